--- a/packages/core/src/lib/routing/attempts/attempt-course.ts
+++ b/packages/core/src/lib/routing/attempts/attempt-course.ts
@@ -4,68 +4,68 @@
  * SPDX-License-Identifier: BSD-3-Clause
  */
 /**
- * Decides what follows when an attempt at an endpoint has ended: pass its answer on, try the next endpoint, go on with
- * a broken stream, or give up. It knows nothing of sockets; the shell reports what happened.
+ * Decides what to do after an attempt ends: forward the answer, retry at another endpoint, resume a broken stream, or
+ * fail the request. This module performs no I/O; its caller reports the result of each attempt.
  */
 import type { Outcome } from '../../failure.js'
 import type { Route } from '../published/routing-configuration.js'
 
-/** Why an endpoint certainly did not run a request. */
+/** Why an endpoint is known not to have run a request. */
 export type NotRunReason = 'full' | 'wrong-instance' | 'wrong-version' | 'not-connected' | 'refused'
 
 /** How an attempt ended. */
 export type AttemptEnd =
-  /** A whole answer came: an event stream up to its end, or an answer of another kind. */
+  /** A complete answer arrived: an event stream up to its end, or an answer of another kind. */
   | { readonly type: 'answered', readonly status: number, readonly stream: boolean }
   | { readonly type: 'not-run', readonly reason: NotRunReason }
-  /** The connection ended, within a stream or before it, or what came was no answer to this request. It may have run. */
+  /** The connection ended during or before the answer, or the answer did not belong to this request. The request may have run. */
   | { readonly type: 'broken', readonly detail: string, readonly connection: 'lost' | 'open' }
-  /** Nothing came for so long that the endpoint counts as dead. It may have run. */
+  /** The endpoint sent nothing until the idle timeout. The request may have run. */
   | { readonly type: 'stalled', readonly detail: string }
 
-/** What follows. */
+/** The action to take after an attempt ends. */
 export type NextStep =
   | { readonly type: 'pass-on' }
   | { readonly type: 'try-next' }
-  /** Go on at another endpoint after the last event that the caller has. */
+  /** Resume at another endpoint after the last event forwarded to the caller. */
   | { readonly type: 'resume' }
   | { readonly type: 'give-up', readonly outcome: Outcome }
 
-/** What a further attempt is for: a stream whose caller has its first events, or an answer of which nothing is out. */
+/** The purpose of a retry: to resume a stream whose first events were forwarded, or to start an answer of which nothing was. */
 export type RetryPurpose = 'go-on' | 'begin'
 
-/** What bounds further attempts. */
+/** The conditions that limit further attempts. */
 export interface AttemptBounds {
-  /** Whether there is still time before the caller's deadline and the route's time-out. */
+  /** Whether neither the caller's deadline nor the route's timeout has passed. */
   readonly timeLeft: boolean
-  /** Whether it may have ended endpoints, and is to be tried at no other. */
+  /** Whether the request is suspected of crashing endpoints, so that it must not be retried. */
   readonly suspect: boolean
-  /** Whether another endpoint can take it. */
+  /** Whether another endpoint can take the request. */
   readonly elsewhere: () => boolean
-  /** Spends one retry of the service's budget if there is one. */
+  /** Takes one retry from the service's retry budget; returns `false` if the budget is exhausted. */
   readonly spendRetry: (purpose: RetryPurpose) => boolean
 }
 
-/** Answers below this status are successes. */
+/** Status codes below this one are successes. */
 export const LEAST_UNSUCCESSFUL_STATUS = 300
-/** Answers of an endpoint from this status on count as its failure. */
+/** Status codes from this one on are failures of the endpoint. */
 export const LEAST_FAILURE_STATUS = 500
 
-/** The ends of an attempt, as far as they are told apart here. */
+/** The classes of attempt results that the decision distinguishes. */
 export type EndKind = 'whole-stream' | 'whole-success' | 'rejection' | 'failure' | 'not-connected' | 'not-run' | 'lost'
 
-/** What the caller has: whole events only are passed on, and a head goes with the first of them. */
+/** What was forwarded to the caller. Only complete events are forwarded, and the response head is sent with the first of them. */
 export type CallerHas = 'nothing' | 'events'
 
 /**
- * What an end calls for. `final`: it is the answer. `final-if-last`: so it is, but another endpoint may do better. `replace`: it is
- * no answer, and another endpoint is needed.
+ * How a result is handled. `final`: it is the answer. `final-if-last`: it is the answer unless a retry is possible. `replace`: it
+ * cannot be the answer, and another endpoint is needed.
  */
 type Verdict = 'final' | 'final-if-last' | 'replace'
 
 /**
- * All cases. Once a caller has events, only a whole stream may end its answer: any other answer in that place made a broken
- * stream look whole (26 to 37 streams on a day on which engines fail half of the streams that they are to go on with).
+ * The verdict for each result. Once events were forwarded, only a complete stream may end the answer: any other answer would make
+ * a broken stream look complete. This happened to 26 to 37 streams in a run in which engines failed half of the resumed streams.
  */
 const verdicts: Record<EndKind, Record<CallerHas, Verdict>> = {
   'whole-stream': { nothing: 'final', events: 'final' },
@@ -77,10 +77,10 @@
   lost: { nothing: 'replace', events: 'replace' }
 }
 
-/** Ends after which the endpoint certainly did nothing, so that any request may go elsewhere. */
+/** Results that prove that the endpoint did not run the request, so that any request may be retried. */
 const withoutRun: ReadonlySet<EndKind> = new Set(['not-connected', 'not-run'])
 
-/** The attempts of one request. */
+/** Tracks the attempts of one request. */
 export class AttemptCourse {
   private _sent = 0
   private _mayHaveRun = false
@@ -88,18 +88,17 @@
 
   constructor (private readonly _route: Pick<Route, 'kind' | 'maxAttempts' | 'resumable'>) {}
 
-  /** Attempts whose request reached an endpoint, or may have. */
+  /** The number of attempts whose request reached an endpoint or may have reached one. */
   get sent (): number { return this._sent }
-  /** Whether any endpoint may have run the request. */
   get mayHaveRun (): boolean { return this._mayHaveRun }
-  /** Whether the request may run more than once. */
+  /** Whether the request may safely run more than once. */
   get repeatable (): boolean { return this._route.kind === 'safe' || (this._route.kind === 'streaming' && this._route.resumable) }
 
-  /** Events have been passed on to the caller. */
+  /** Records that events were forwarded to the caller. */
   begun (): void { this._callerHas = 'events' }
 
   /**
-   * An attempt has ended.
+   * Records the result of an attempt and returns the next action.
    *
    * @example
    * const step = course.ended({ type: 'not-run', reason: 'full' }, { timeLeft: true, suspect: false, elsewhere: () => true, spendRetry: purpose => budget.trySpend(purpose) })
@@ -119,7 +118,7 @@
     return this._callerHas === 'events' ? this._route.resumable : this.repeatable
   }
 
-  /** A connection that never opened brought no endpoint any load, and is no attempt. */
+  /** A failed connection puts no load on an endpoint, so it counts neither as an attempt nor against the retry budget. */
   private _another (kind: EndKind, { timeLeft, suspect, elsewhere, spendRetry }: AttemptBounds): boolean {
     const costly = kind !== 'not-connected'
     if (!timeLeft || suspect || (costly && this._sent >= this._route.maxAttempts) || !elsewhere()) return false
--- a/packages/core/src/lib/routing/attempts/early-refusal.ts
+++ b/packages/core/src/lib/routing/attempts/early-refusal.ts
@@ -4,68 +4,67 @@
  * SPDX-License-Identifier: BSD-3-Clause
  */
 /**
- * Whether a request starts now or is refused at once with a time to come back. What is started late makes the next one late
- * too, so a pool that is asked for more than it can do serves more in time when it refuses the rest.
+ * Admission control: decides whether a request starts now or is rejected at once with a retry delay. A request that starts
+ * late delays those behind it, so an overloaded pool meets more objectives when the excess load is shed.
  */
 
-/** What a decision rests on; times in milliseconds. */
+/** The input of an admission decision; times in milliseconds. */
 export interface StartOutlook {
-  /** When the first event, or the whole answer, is expected from the chosen endpoint, for a request of usual size. */
+  /** The expected time to the first event, or to the complete answer, at the chosen endpoint, for a request of typical size. */
   readonly expected: number
   /** The route's objective. */
   readonly objective: number
-  /** What requests of the service want on average: see `UsualObjective`. */
+  /** The mean objective of the service's requests: see `UsualObjective`. */
   readonly usualObjective: number
 }
 
-/** The decision. */
+/** An admission decision. */
 export type StartDecision =
   | { readonly type: 'start' }
   | { readonly type: 'refuse' }
 
 /**
- * The share of the objective up to which an expected answer is worth starting. A pool that is asked for more than it can
- * do fills up to this, and estimates err in both directions: at 1.3 half of its answers were late. In the model of a pool
- * (the `policy` benchmark) 0.8 earns most at 100 and 130 requests a second, among 0.65, 0.8, 0.95, 1.1 and 1.3, and 0.003 less
- * than 0.65 at 150.
+ * A request is admitted if its expected time is at most this share of the objective. An overloaded pool fills up to this
+ * bound, and estimates err in both directions: at 1.3 half of the answers are late. In the `policy` benchmark, among 0.65, 0.8,
+ * 0.95, 1.1 and 1.3, a share of 0.8 scores best at 100 and 130 requests a second, and 0.003 below 0.65 at 150.
  */
 const LARGEST_SHARE = 0.8
-/** Callers do not wait longer than this share of their patience for the time that they are told. */
+/** The longest retry delay, as a share of the time that the caller will still wait. */
 const LONGEST_RETRY_SHARE = 1 / 3
 /**
- * A caller that a busy pool refused is told to come back within these shares of what is left of its objective: then it can still be
- * in time. Engines end a request every 150 ms or so, and room comes and goes as fast. In the model of a crowded pool (`policy`
- * benchmark, 84 engines, 98 entries, 450 requests a second, 3 seeds) callers told a fifth to a third of their patience were served
- * late in 0.23 of all cases and not at all in 0.07; so, in 0.10 and 0.10, and 0.14 more were in time.
+ * The bounds of the retry delay at a busy pool, as shares of the remaining objective, so that the retry can still be in time.
+ * Engines finish a request about every 150 ms, and capacity becomes free as quickly. In the `policy` benchmark of an overloaded pool
+ * (84 engines, 98 entries, 450 requests a second, 3 seeds), delays of a fifth to a third of the patience gave 0.23 late and 0.07
+ * unserved requests; these bounds give 0.10 and 0.10, and 0.14 more are in time.
  */
 const SOONEST_RETURN = 0.2
 const LATEST_RETURN = 0.35
 /**
- * Who cannot be in time any more is told the longest time that it will wait, less up to this share of it: those that were refused
- * together come back spread out.
+ * The jitter of the longest retry delay, as a share of it, for callers that can no longer meet their objective. It spreads out the
+ * retries of callers that were rejected together.
  */
 const RETRY_SPREAD = 0.4
-/** The same share where nothing takes requests yet, and is to do so only about the longest time from now, or later. */
+/** The jitter, as a share of the longest delay, if the pool opens only at about the longest delay from now, or later. */
 const LATE_OPENING_SPREAD = 0.1
 /**
- * After a restart of everything the agents are heard, and their engines serve, about so much later, in milliseconds: a
- * process starts in 0.3 s, and a staged version is loaded in as much again.
+ * The time from a restart of the whole deployment until agents report and engines serve, in milliseconds: a process starts in
+ * about 0.3 s, and loading a staged version takes about as long.
  */
 const SILENT_OPENING = 500
 
-/** When a pool is expected to take requests. */
+/** When a pool is expected to accept requests. */
 export type Opening =
-  /** It does. */
+  /** It accepts requests now. */
   | { readonly type: 'open' }
-  /** In so many milliseconds, as its agents tell. */
+  /** It opens in this many milliseconds, according to its agents. */
   | { readonly type: 'expected', readonly in: number }
-  /** Its agents do not know. */
+  /** Its agents report, but not when it opens. */
   | { readonly type: 'unknown' }
-  /** None of its agents is heard. */
+  /** None of its agents reports. */
   | { readonly type: 'silent' }
 
 /**
- * Decides on one request.
+ * Decides whether to admit one request.
  *
  * @example
  * const decision = decideStart({ expected: 900, objective: 400, usualObjective: 440 })
@@ -75,18 +74,19 @@
   return { type: 'refuse' }
 }
 
-/** Weight of the newest request in the usual objective: it follows a new mix of requests within some tens of them. */
+/** Weight of the newest request in the moving average: the average adapts to a new mix of requests within a few tens of them. */
 const OBJECTIVE_SMOOTHING = 0.05
 
 /**
- * The mean objective of a service's requests. All are admitted by it: by their own, those with a little more time would
- * fill an overloaded pool up to their limit, and hardly any other would be let in.
+ * The exponentially weighted moving average of the objectives of a service's requests. Admission uses this average for all
+ * requests: if each were admitted by its own objective, those with slightly longer ones would fill an overloaded pool, and hardly
+ * any others would be admitted.
  */
 export class UsualObjective {
   private _mean: number | undefined
 
   /**
-   * A request came. Returns the mean, in milliseconds.
+   * Adds a request's objective and returns the new mean, in milliseconds.
    *
    * @example
    * const usualObjective = usual.observe(route.objective)
@@ -97,15 +97,15 @@
   }
 }
 
-/** What a refused caller has left, in milliseconds. */
+/** The time that a rejected caller has left, in milliseconds. */
 export interface CallerTime {
-  /** What it will still wait. */
+  /** Time until the caller's deadline. */
   readonly patience: number
-  /** Until its objective is over, counted from its first try; 0 or less when it is. */
+  /** Time left of the objective, counted from the caller's first try; 0 or less if it has passed. */
   readonly objective: number
 }
 
-/** Between what times a caller is to come back, in milliseconds. */
+/** The bounds of a retry delay, in milliseconds. */
 interface Return {
   readonly earliest: number
   readonly latest: number
@@ -113,7 +113,7 @@
 
 function lateReturn (longest: number): Return { return { earliest: longest * (1 - RETRY_SPREAD), latest: longest } }
 
-/** By when the pool takes requests; `longest` is the most that the caller will wait. */
+/** The bounds of the retry delay by the state of the pool; `longest` is the longest delay that the caller accepts. */
 const returns: { readonly [Type in Opening['type']]: (opening: Extract<Opening, { type: Type }>, longest: number, objective: number) => Return } = {
   open: (_opening, longest, objective) => objective > 0 ? { earliest: SOONEST_RETURN * objective, latest: LATEST_RETURN * objective } : lateReturn(longest),
   expected: (opening, longest) => ({ earliest: opening.in, latest: longest }),
@@ -122,9 +122,9 @@
 }
 
 /**
- * When a caller that is refused is to come back, in milliseconds: soon where room may be found in a moment. Where nothing takes requests, callers are spread from the
- * time at which something will up to the longest that they will wait: told the longest time as those of a busy pool are,
- * they left the pool half empty for a second after a loss of power, and a third of them were refused again in the next.
+ * The retry delay of a rejected caller, in milliseconds. It is short if the pool is only busy. If the pool is closed, delays are
+ * spread from its expected opening up to the longest delay that callers accept: with the longest delay for all, the pool stayed
+ * half empty for a second after a power loss, and a third of the callers were rejected again in the next second.
  *
  * @param draw A random number in [0, 1).
  * @example
@@ -138,18 +138,18 @@
   return Math.round(last - spread * draw)
 }
 
-/** A route's greatest patience fades by this share with each request, so that it follows callers that wait for less. */
+/** The decay of a route's longest patience with each request, so that it adapts when callers set shorter deadlines. */
 const PATIENCE_FADE = 0.001
 
 /**
- * Tells callers that come back from those that come first: who was refused, or failed, before waits for less than others of its
- * route do, since its deadline counts from its first try.
+ * Distinguishes retries by callers from first tries: a caller's deadline counts from its first try, so a retry has less patience
+ * left than other requests of its route.
  */
 export class FirstTries {
   private readonly _greatest = new Map<string, number>()
 
   /**
-   * Milliseconds since the first try of a request, as far as its patience tells.
+   * Estimates the milliseconds since the first try of a request from its patience.
    *
    * @example
    * const elapsed = firstTries.elapsed(route.name, head.patience)
--- a/packages/core/src/lib/routing/attempts/event-splitter.ts
+++ b/packages/core/src/lib/routing/attempts/event-splitter.ts
@@ -4,14 +4,14 @@
  * SPDX-License-Identifier: BSD-3-Clause
  */
 /**
- * Cuts an event stream into whole events and reads their ids, so that only whole events reach the caller and a broken
- * stream can go on elsewhere after the last of them.
+ * Splits an event stream into complete events and reads their ids, so that only complete events are forwarded and a broken
+ * stream can be resumed at another endpoint after the last of them.
  */
 
-/** A run of whole events. */
+/** One or more consecutive complete events. */
 export interface WholeEvents {
   readonly bytes: Uint8Array
-  /** The id of the last event with one; nothing when none has. */
+  /** The id of the last event that has one; `undefined` if none has. */
   readonly lastId: string | undefined
   readonly count: number
 }
@@ -19,17 +19,16 @@
 const NEWLINE = 10
 const CARRIAGE_RETURN = 13
 
-/** The state of one stream. */
+/** Splits one stream. */
 export class EventSplitter {
   private _rest: Uint8Array = new Uint8Array(0)
 
-  /** Bytes of an event that is not whole yet. */
+  /** The number of buffered bytes of an incomplete event. */
   get pending (): number { return this._rest.length }
 
   /**
-   * Takes bytes and returns the events that they complete.
+   * Adds bytes and returns the events that they complete, or `undefined` if no event is complete yet.
    *
-   * @returns Nothing when no event is complete yet.
    * @example
    * const events = splitter.push(bytes)
    * if (events !== undefined) response.write(events.bytes)
@@ -73,7 +72,7 @@
   return { lastId, count }
 }
 
-/** Ids are ASCII; other bytes only need to keep their places. */
+/** Maps each byte to one character: ids are ASCII, and other bytes need not be decoded. */
 function textOf (bytes: Uint8Array): string {
   let text = ''
   for (const byte of bytes) text += String.fromCharCode(byte)
--- a/packages/core/src/lib/routing/attempts/fleet-size.ts
+++ b/packages/core/src/lib/routing/attempts/fleet-size.ts
@@ -4,51 +4,51 @@
  * SPDX-License-Identifier: BSD-3-Clause
  */
 /**
- * How many entries there are, as far as one of them can tell. Entries do not know each other, and each follows some agents only. An
- * agent counts its followers, each by the share of its following that falls on one agent: added up over all agents, each entry counts
- * once. Wrong beliefs err to the greater number: what is shared out by it is then shared too thinly.
+ * Estimates the number of entries in the deployment. Entries do not know each other, and each follows only some agents. An agent
+ * counts each of its followers as one divided by the number of agents which that entry follows, so over all agents each entry counts
+ * once. When in doubt the estimate is too high: limits divided by it are then too low rather than exceeded.
  */
 
-/** More entries than any deployment has; a count beyond it is taken for a mistake of whoever tells it. */
+/** More entries than any deployment has; a higher count is rejected as an error of the reporting agent. */
 export const MOST_ENTRIES = 10_000
-/** While no agent was heard, there may be as many entries as the largest deployment that is planned for has, and a few more. */
+/** Assumed number of entries until an agent reports: that of the largest supported deployment and a few more. */
 export const ASSUMED_ENTRIES = 400
 /**
- * A count holds for this long at least, and twice this at most, in milliseconds: longer than zones are usually cut off, so that an
- * entry that loses sight of others does not take their part.
+ * A count is kept for at least this long and at most twice as long, in milliseconds: longer than usual network partitions between
+ * zones, so that an entry that is partitioned from others does not use their share.
  */
 const MEMORY = 60_000
 
 /** The agents of one availability zone, as an entry sees them. */
 export interface ZoneOfAgents {
   readonly availabilityZone: string
-  /** Agents that are listed. */
+  /** The number of listed agents. */
   readonly listed: number
-  /** Those that this entry follows. */
+  /** The number of agents that this entry follows. */
   readonly followed: number
 }
 
-/** What one agent told: the largest count in this stretch of memory and in the one before. */
+/** The counts reported by one agent: the largest of the current period and of the period before. */
 interface Told {
   readonly availabilityZone: string
   now: number
   before: number
 }
 
-/** The entries of a deployment, counted. */
+/** Estimates the number of entries in a deployment. */
 export class FleetSize {
   private readonly _told = new Map<string, Told>()
   private _since: number | undefined
 
   /**
-   * @param _zones Availability zones that have agents.
+   * @param _zones Returns the availability zones that have agents.
    */
   constructor (private readonly _zones: () => readonly ZoneOfAgents[]) {}
 
   /**
-   * An agent told how many entries it counts.
+   * Records the number of entries that an agent counts.
    *
-   * @returns Whether the count can be true.
+   * @returns Whether the count is plausible.
    * @example
    * if (!fleet.heard('hall-1', '10.0.0.7:7700', 0.8, now)) log.warn('entries-miscounted')
    */
@@ -62,9 +62,9 @@
   }
 
   /**
-   * The number of entries; nothing while no agent was heard. An entry that hears the agents of some zones only may be cut off with
-   * those, and then so are the entries that they count: those follow agents of the other zones too, which do not tell, and the other
-   * zones are taken for as large.
+   * The estimated number of entries; `undefined` until an agent reports. If only the agents of some zones report, this entry may be
+   * partitioned together with those zones and with the entries that their agents count. These entries also follow agents of the
+   * other zones, whose reports are missing, so the sum is scaled up; the other zones are assumed to have as many entries.
    */
   estimate (now: number): number | undefined {
     this._turn(now)
@@ -98,5 +98,5 @@
 
 function followedOf (zones: readonly ZoneOfAgents[]): number { return zones.reduce((sum, { followed }) => sum + followed, 0) }
 
-/** Sums of shares are not exact. */
+/** Tolerance for the floating-point error of the summed shares. */
 const ROUNDING = 1e-6
--- a/packages/core/src/lib/routing/attempts/retry-allowance.ts
+++ b/packages/core/src/lib/routing/attempts/retry-allowance.ts
@@ -4,70 +4,70 @@
  * SPDX-License-Identifier: BSD-3-Clause
  */
 /**
- * One entry's part of the retries that a whole fleet may make. The operators bound what a service gets beyond first attempts: in
- * any stretch of time, a share of its requests and a fixed number more, over all entries together.
+ * One entry's share of the fleet's retry budget, as a token bucket. Operators limit the retries of a service in any time window, over
+ * all entries together, to a ratio of its requests plus a fixed number.
  *
- * Each entry earns the share of the requests that it takes. Of its part of the fixed number it earns one half over the stretch, and
- * may save up the other. Added up over all entries, what is spent in a stretch is at most what was earned in it and what was saved
- * before. A process begins with nothing: whatever entries begin with is given out again by each restart, and nine entries that began
- * with 10 retries each made 433 in 10 s, with 413 allowed, when eight of them were killed while endpoints refused 45 in 100 requests.
+ * Each entry earns the ratio of the requests that it receives. It earns one half of its share of the fixed number over the window, and
+ * may save up the other half. Over all entries, the retries in a window are at most those earned in it plus those saved before. The
+ * bucket starts empty, since each restart would grant an initial balance again: nine entries that started with 10 retries each made
+ * 433 in 10 s, with 413 allowed, when eight of them were killed while endpoints rejected 45% of the requests.
  */
 import type { RetryPurpose } from './attempt-course.js'
 import { ASSUMED_ENTRIES } from './fleet-size.js'
 
-/** What the operators allow. */
+/** The retry limits that operators set. */
 export interface RetryTerms {
-  /** Further attempts, as a share of requests. */
+  /** Allowed retries as a share of requests. */
   readonly ratio: number
-  /** Further attempts beyond that, of all entries together, in one stretch of time. */
+  /** Allowed retries beyond the ratio, of all entries together, in one window. */
   readonly slack: number
-  /** How long a stretch is, in milliseconds. */
+  /** The length of the window, in milliseconds. */
   readonly window: number
 }
 
 /**
- * The share of the terms that is used. Entries and operators do not count the same requests in the same moments: one that is sent at
- * the end of a stretch may be taken in the next.
+ * The share of the limits that is used. Entries and operators count the same request at different times: one that is sent at the end
+ * of a window may be received in the next.
  */
 const USED_SHARE = 0.9
 /**
- * The share of what may be saved that is kept for streams that have begun: their callers have read a part already, and what the
- * engine wrote so far is lost without another. Chosen, not tuned.
+ * The share of the capacity that is reserved for resuming streams: their callers already have a part of the answer, and without a
+ * retry the engine's work so far is lost.
  */
 const KEPT_FOR_BEGUN = 0.25
 /**
- * The share of the fixed number that may be saved up; the rest is earned by and by. All of it saved, fleets of 6 to 98 entries whose
- * endpoints refuse 45 in 100 requests serve 0.65 of them, and 0.57 where nine
- * in ten entries restart every second; half of it, 0.66 and 0.60 (the `retries` benchmark, three seeds).
+ * The share of the fixed number that may be saved up; the rest is earned over the window. In the `retries` benchmark (6 to 98 entries,
+ * endpoints that reject 45% of requests, three seeds), saving all of it serves 0.65 of the requests, and 0.57 if nine in ten entries
+ * restart every second; saving half of it serves 0.66 and 0.60.
  */
 const SAVED_SHARE = 0.5
-/** An entry that could not save up one retry could never make any. */
+/** The least bucket capacity: an entry that cannot save up one whole retry can never make any. */
 const LEAST_CAPACITY = 1
 
-/** What one entry may spend on one service. */
+/** The retry budget of one entry for one service. */
 export class RetryAllowance {
   private _credit = 0
 
   /**
-   * @param _terms Of the operators.
-   * @param _entries How many entries share them; nothing while that is not known.
-   * @param _earnedUpTo The time of its beginning.
+   * @param _terms The limits that operators set.
+   * @param _entries Returns the number of entries that share the limits, or `undefined` if it is unknown.
+   * @param _earnedUpTo The creation time.
    */
   constructor (private readonly _terms: RetryTerms, private readonly _entries: (now: number) => number | undefined, private _earnedUpTo: number) {}
 
-  /** What may be saved up, in retries. */
+  /** The most retries that can be saved up. */
   capacity (now: number): number {
     return Math.max(LEAST_CAPACITY, SAVED_SHARE * this._part(now))
   }
 
-  /** A request was taken. */
+  /** Records a received request. */
   requested (now: number): void {
     this._earn(now)
     this._credit = Math.min(this.capacity(now), this._credit + USED_SHARE * this._terms.ratio)
   }
 
   /**
-   * Spends one retry if there is one.
+   * Takes one retry from the budget; returns `false` if too little is left.
    *
    * @example
    * if (!allowance.trySpend('begin', now)) giveUp()
@@ -81,10 +81,10 @@
     return true
   }
 
-  /** This entry's part of the fixed number. */
+  /** This entry's share of the fixed number. */
   private _part (now: number): number { return USED_SHARE * this._terms.slack / (this._entries(now) ?? ASSUMED_ENTRIES) }
 
-  /** What was saved before more entries were known of may be too much now. */
+  /** Adds what was earned since the last call. Also lowers the balance if the capacity shrank because more entries are known. */
   private _earn (now: number): void {
     const elapsed = Math.min(this._terms.window, now - this._earnedUpTo)
     const earned = (1 - SAVED_SHARE) * this._part(now) * elapsed / this._terms.window
--- a/packages/core/src/lib/routing/attempts/suspect-requests.ts
+++ b/packages/core/src/lib/routing/attempts/suspect-requests.ts
@@ -4,92 +4,93 @@
  * SPDX-License-Identifier: BSD-3-Clause
  */
 /**
- * Requests that may end the endpoints that run them, and which of them are held back. The load that it answers: one request that ends
- * whatever begins it, sent again and again under new ids through any entry, while each endpoint that ends breaks off some 15 others.
+ * Detects requests that may crash the endpoints that run them, and quarantines them. It guards against one request that crashes
+ * every endpoint that starts it and is resent repeatedly with new ids through any entry, while each crash breaks off about 15 others.
  *
- * A request is known by its fingerprint. What accuses it is each start of an endpoint that was lost while the request was there. All
- * that ran there are accused alike, and those that did nothing are cleared by what tells one from the other: they do not come back
- * again and again, their endpoint shows a sign of life when only their connection was lost, and sooner or later they are answered.
- * Processes tell each other what they have seen, so that the fleet loses as many endpoints as one entry would.
+ * A request is identified by its fingerprint. Each incarnation of an endpoint that was lost while it ran the request counts against
+ * the request, and so against every other request that ran there. Harmless requests are cleared: they are not lost repeatedly, their
+ * endpoint is heard again if only the connection was lost, and sooner or later they are answered. Processes share their observations,
+ * so that the whole fleet loses no more endpoints than a single entry would.
  */
 
-/** One endpoint that was lost while a request was there, as a process tells another. */
+/** An endpoint that was lost while it ran a request, as sent to other processes. */
 export interface LossReport {
   readonly fingerprint: string
-  /** The start of the endpoint: see `startOf`. */
+  /** The incarnation of the endpoint: see `startOf`. */
   readonly start: string
-  /** Milliseconds since then. */
+  /** Milliseconds since the loss. */
   readonly age: number
 }
 
-/** A request that an endpoint answered, as a process tells another: what was lost under it before, ended of something else. */
+/** A request that an endpoint answered, as sent to other processes: earlier losses under this request had another cause. */
 export interface AnswerReport {
   readonly fingerprint: string
-  /** Milliseconds since then. */
+  /** Milliseconds since the answer. */
   readonly age: number
 }
 
-/** What processes tell each other. */
+/** The observations that processes share. */
 export interface SuspectNews {
   readonly losses: readonly LossReport[]
   readonly answers: readonly AnswerReport[]
 }
 
-/** What may be done with a request: anything; this one attempt, but no further one; nothing. */
+/** How a request may be handled: without restriction, with a single attempt and no retry, or not at all. */
 export type Standing = 'clear' | 'no-further-attempt' | 'held-back'
 
 /**
- * Endpoints lost under a request until it is tried at no other by itself, and until it is not begun any more. One loss says nothing: of
- * 77 requests that broke off with an endpoint, one had ended it. Two in a row happened to 12 of them, so their callers may come once more.
+ * The number of lost endpoints from which a request is no longer retried, and from which it is no longer started. A single loss proves
+ * nothing: of 77 requests that broke off with an endpoint, one had crashed it. Two losses in a row happened to 12 of them, so
+ * their callers may send the request once more.
  */
 const LOSSES_UNTIL_NO_FURTHER = 2
 const LOSSES_UNTIL_HELD_BACK = 3
-/** What is remembered of one request: more losses change nothing. */
+/** The most losses stored for a request; more would not change how it is handled. */
 const MOST_LOSSES = 8
 /**
- * How long a loss counts, in milliseconds. A request that is held back in the wrong is a body that its caller sends a fourth time; one
- * that is let go in the wrong ends three endpoints more. Chosen, not tuned.
+ * How long a loss counts, in milliseconds. Quarantining a harmless request rejects a body that its caller sends for the fourth time;
+ * releasing a harmful one too early costs three more endpoints.
  */
 const LOSS_LIFETIME = 600_000
 /**
- * An endpoint that lives shows it within this time, in milliseconds: other streams from it go on every 75 ms or so, and its agent reports
- * twice a second at least. Only then others are told of the loss.
+ * A live endpoint is heard within this time, in milliseconds: its other streams send an event about every 75 ms, and its agent reports
+ * at least twice a second. A loss is shared with other processes only after this time.
  */
 const SIGN_OF_LIFE_WITHIN = 700
-/** What comes sooner after the loss may have been on its way before, in milliseconds. */
+/** Data received within this time after a loss may have been sent before it, in milliseconds, and does not show that the endpoint lives. */
 const ON_ITS_WAY = 50
 /**
- * A request that was answered so lately is not held back, in milliseconds: many callers may send the same one, and all endpoints that it is
- * at may end together of something else.
+ * A request is not restricted for this long after an answer, in milliseconds: many callers may send the same request, and all
+ * endpoints that run it may fail together for another reason.
  */
 const ANSWERED_LIFETIME = 30_000
-/** Bounds of memory: requests of half a minute at an entry of the largest fleet that is planned for, and accused ones. */
+/** Memory bounds: the requests of half a minute at an entry of the largest supported fleet, and the requests with losses. */
 const MOST_ANSWERED = 4_096
 const MOST_ACCUSED = 512
 
-/** Losses, and answers, in one message: more at a time say nothing of single requests, and a process that tells more is not believed. */
+/** The most losses, and the most answers, in one message: more at a time identify no single request, and a longer message is rejected. */
 const MOST_TOLD = 512
 
-/** A loss that this process saw itself, and that a sign of life may still take back. */
+/** A loss that this process observed itself and that is retracted if the endpoint is heard again in time. */
 interface FreshLoss {
   readonly fingerprint: string
   readonly start: string
   readonly at: number
 }
 
-/** What one process knows of requests that may end endpoints. */
+/** Tracks requests that may crash endpoints, in one process. */
 export class SuspectRequests {
-  /** When each start was lost, by fingerprint. */
+  /** The time at which each incarnation of an endpoint was lost, by fingerprint. */
   private readonly _losses = new Map<string, Map<string, number>>()
   private readonly _answeredAt = new Map<string, number>()
   private _fresh: FreshLoss[] = []
 
-  /** A connection to an endpoint was lost while a request was there. */
+  /** Records that the connection to an endpoint was lost while it ran a request. */
   lost (fingerprint: string, start: string, now: number): void {
     if (this._add(fingerprint, start, now)) this._fresh.push({ fingerprint, start, at: now })
   }
 
-  /** An endpoint lived at some time: what was lost to it before was a connection. */
+  /** Records that an endpoint was alive at a time, so that only the connection was lost before; retracts the losses. */
   lived (start: string, at: number): void {
     if (this._fresh.length === 0) return
     const takenBack = this._fresh.filter(loss => loss.start === start && loss.at + ON_ITS_WAY <= at)
@@ -97,9 +98,9 @@
   }
 
   /**
-   * An endpoint ran a request and gave its whole answer.
+   * Records that an endpoint answered a request completely.
    *
-   * @returns Whether the request had been suspect, so that others should know.
+   * @returns Whether the request was suspect before, so that other processes should be notified.
    */
   answered (fingerprint: string, now: number): boolean {
     const known = this._answeredAt.get(fingerprint) ?? -Infinity
@@ -114,7 +115,7 @@
   }
 
   /**
-   * What may be done with a request now.
+   * Returns how a request may be handled now.
    *
    * @example
    * if (suspects.standing(fingerprint, now) === 'held-back') refuse()
@@ -126,20 +127,20 @@
     return losses < LOSSES_UNTIL_HELD_BACK ? 'no-further-attempt' : 'held-back'
   }
 
-  /** The starts of endpoints that were lost under a request. */
+  /** The incarnations of endpoints that were lost while they ran a request. */
   lossesOf (fingerprint: string, now: number): string[] {
     const losses = this._losses.get(fingerprint)
     return losses === undefined ? [] : [...losses].flatMap(([start, at]) => now - at <= LOSS_LIFETIME ? [start] : [])
   }
 
-  /** Until a request may be begun again, in milliseconds. */
+  /** The time until a request may be started again, in milliseconds. */
   heldBackFor (fingerprint: string, now: number): number {
     const times = [...this._losses.get(fingerprint)?.values() ?? []].sort((left, right) => right - left)
     const decisive = times[LOSSES_UNTIL_HELD_BACK - 1]
     return decisive === undefined ? 0 : Math.max(0, decisive + LOSS_LIFETIME - now)
   }
 
-  /** Losses that this process saw and that no sign of life took back in time; each is returned once, to be told. */
+  /** Returns the losses that this process observed and that were not retracted in time, each once, to share them. */
   takeConfirmed (now: number): LossReport[] {
     if (this._fresh.length === 0) return []
     const confirmed = this._fresh.filter(({ at }) => now - at >= SIGN_OF_LIFE_WITHIN)
@@ -148,9 +149,9 @@
   }
 
   /**
-   * Takes what another process tells.
+   * Adds the observations of another process.
    *
-   * @returns What was not known.
+   * @returns The observations that were new.
    * @example
    * const news = suspects.heard({ losses, answers: [] }, now)
    */
@@ -162,9 +163,9 @@
   }
 
   /**
-   * What all others should know: losses of the requests that are not clear any more.
+   * Returns the losses to share with all other processes: those of requests that are restricted.
    *
-   * @param least Losses that a request must have.
+   * @param least The least number of losses of a request.
    */
   known (now: number, least = LOSSES_UNTIL_NO_FURTHER): LossReport[] {
     const reports: LossReport[] = []
@@ -194,7 +195,7 @@
     return losses
   }
 
-  /** Drops what counts no more, or else the request with the fewest losses, the oldest of them. */
+  /** Drops expired losses, then the request with the fewest losses, the oldest of these. */
   private _forgetOne (now: number): void {
     let [least, fewest] = ['', Infinity]
     for (const [fingerprint, losses] of this._losses) {
@@ -206,7 +207,7 @@
     this._losses.delete(least)
   }
 
-  /** Drops what was lost under a request up to some time; tells how many losses that were. */
+  /** Drops the losses of a request up to a time and returns their number. */
   private _forgetBefore (fingerprint: string, time: number): number {
     const before = [...this._losses.get(fingerprint) ?? []].filter(([, at]) => at <= time)
     for (const [start] of before) this._remove(fingerprint, start)
@@ -225,9 +226,8 @@
 const LONGEST_START = 200
 
 /**
- * Reads what a process tells.
+ * Validates the observations received from another process; returns `undefined` if they are malformed.
  *
- * @returns Nothing when it cannot be read.
  * @example
  * const news = readSuspectNews({ losses: [{ fingerprint: '0123456789abcdef', start: 'engine-7', age: 120 }], answers: [] })
  */
--- a/packages/core/src/test/lib/routing/attempts/attempt-course_test.ts
+++ b/packages/core/src/test/lib/routing/attempts/attempt-course_test.ts
@@ -22,7 +22,7 @@
 
 function answered (status: number, asStream = false): AttemptEnd { return { type: 'answered', status, stream: asStream } }
 
-/** What the last of some attempts leads to. */
+/** The step, or the outcome of a failure, after the last of some attempts. */
 function last (route: Bounds, ends: readonly AttemptEnd[], options: { begun?: boolean, timeLeft?: boolean, suspect?: boolean, elsewhere?: boolean, budget?: number } = {}): string {
   const course = new AttemptCourse(route)
   let budget = options.budget ?? 10
@@ -37,33 +37,33 @@
 
 describe('AttemptCourse', () => {
   const cases: [name: string, step: string, expected: string][] = [
-    ['a whole answer is passed on', last(safe, [answered(200)]), 'pass-on'],
-    ['a caller\'s own mistake is passed on', last(safe, [answered(404)]), 'pass-on'],
-    ['a failure of an endpoint is tried elsewhere where that is safe', last(safe, [answered(500)]), 'try-next'],
-    ['a second failure is passed on', last(safe, [answered(500), answered(500)]), 'pass-on'],
-    ['a failure of an unsafe request is passed on', last(unsafe, [answered(500)]), 'pass-on'],
-    ['an unsafe request that did not run is tried elsewhere', last(unsafe, [full]), 'try-next'],
-    ['an unsafe request that may have run is given up as unknown', last(unsafe, [broken]), 'unknown'],
-    ['an unsafe request that is silent is given up as unknown', last(unsafe, [stalled]), 'unknown'],
-    ['two refusals are proof that nothing ran', last(unsafe, [full, full]), 'not-run'],
-    ['a loss after a refusal is no such proof', last(unsafe, [full, broken]), 'unknown'],
-    ['a refusal after a loss is no such proof', last(safe, [broken, full]), 'unknown'],
-    ['a connection that never opened does not count as an attempt', last({ ...unsafe, maxAttempts: 1 }, [unconnected, unconnected]), 'try-next'],
-    ['an endpoint that refused counts as an attempt', last({ ...unsafe, maxAttempts: 1 }, [full]), 'not-run'],
-    ['a stream that broke before its first event starts elsewhere', last(stream, [broken]), 'try-next'],
-    ['a stream that broke later goes on elsewhere', last(stream, [broken], { begun: true }), 'resume'],
-    ['a stream that may not be resumed ends cut', last(fixedStream, [broken], { begun: true }), 'cut'],
-    ['a stream that may not be resumed does not start again', last(fixedStream, [broken]), 'unknown'],
-    ['without time nothing is tried', last(safe, [full], { timeLeft: false }), 'not-run'],
-    ['what may end endpoints is tried at no other', last(stream, [broken], { suspect: true }), 'unknown'],
-    ['what may end endpoints and did not run is tried at no other', last(safe, [full], { suspect: true }), 'not-run'],
-    ['a stream that may end endpoints is cut', last(stream, [broken], { begun: true, suspect: true }), 'cut'],
-    ['without budget nothing is tried', last(safe, [broken], { budget: 0 }), 'unknown'],
-    ['without budget a failure is passed on', last(safe, [answered(503)], { budget: 0 }), 'pass-on']
+    ['forwards a complete answer', last(safe, [answered(200)]), 'pass-on'],
+    ['forwards a client error', last(safe, [answered(404)]), 'pass-on'],
+    ['retries a safe request after a server error', last(safe, [answered(500)]), 'try-next'],
+    ['forwards a second server error', last(safe, [answered(500), answered(500)]), 'pass-on'],
+    ['forwards the server error of an unsafe request', last(unsafe, [answered(500)]), 'pass-on'],
+    ['retries an unsafe request that did not run', last(unsafe, [full]), 'try-next'],
+    ['fails an unsafe request that may have run with an unknown outcome', last(unsafe, [broken]), 'unknown'],
+    ['fails a stalled unsafe request with an unknown outcome', last(unsafe, [stalled]), 'unknown'],
+    ['reports that nothing ran after two rejections', last(unsafe, [full, full]), 'not-run'],
+    ['reports an unknown outcome after a rejection and a lost connection', last(unsafe, [full, broken]), 'unknown'],
+    ['reports an unknown outcome after a lost connection and a rejection', last(safe, [broken, full]), 'unknown'],
+    ['does not count a failed connection as an attempt', last({ ...unsafe, maxAttempts: 1 }, [unconnected, unconnected]), 'try-next'],
+    ['counts a rejection by an endpoint as an attempt', last({ ...unsafe, maxAttempts: 1 }, [full]), 'not-run'],
+    ['restarts a stream that broke before its first event at another endpoint', last(stream, [broken]), 'try-next'],
+    ['resumes a stream that broke later at another endpoint', last(stream, [broken], { begun: true }), 'resume'],
+    ['reports a broken stream that is not resumable as cut', last(fixedStream, [broken], { begun: true }), 'cut'],
+    ['does not restart a stream that is not resumable', last(fixedStream, [broken]), 'unknown'],
+    ['does not retry after the deadline', last(safe, [full], { timeLeft: false }), 'not-run'],
+    ['does not retry a suspect request', last(stream, [broken], { suspect: true }), 'unknown'],
+    ['does not retry a suspect request that did not run', last(safe, [full], { suspect: true }), 'not-run'],
+    ['does not resume a suspect stream', last(stream, [broken], { begun: true, suspect: true }), 'cut'],
+    ['does not retry without budget', last(safe, [broken], { budget: 0 }), 'unknown'],
+    ['forwards a server error without budget', last(safe, [answered(503)], { budget: 0 }), 'pass-on']
   ]
   for (const [name, step, expected] of cases) it(name, () => assert.equal(step, expected))
 
-  it('spends no retry where no other endpoint can take the request', () => {
+  it('does not spend the retry budget if no other endpoint can take the request', () => {
     let spent = 0
     new AttemptCourse(safe).ended(full, { timeLeft: true, suspect: false, elsewhere: () => false, spendRetry: () => { spent += 1; return true } })
     assert.equal(spent, 0)
@@ -71,10 +71,10 @@
 })
 
 /**
- * Everything that can come together: what the caller has, how the attempt ended, and what is left: attempts, budget, time and
- * another endpoint, or all of them but one.
+ * All combinations of what was forwarded to the caller, the result of the attempt, and the conditions for a retry: attempts, budget,
+ * time and another endpoint, either all of them or all but one.
  */
-describe('AttemptCourse, the whole table for a resumable stream', () => {
+describe('AttemptCourse, all combinations for a resumable stream', () => {
   type Left = 'all' | 'no attempt' | 'no budget' | 'no time' | 'no endpoint'
   const lefts: readonly Left[] = ['all', 'no attempt', 'no budget', 'no time', 'no endpoint']
   type Expected = readonly [all: string, noAttempt: string, noBudget: string, noTime: string, noEndpoint: string]
@@ -82,27 +82,27 @@
   const orElse = (step: string, otherwise: string): Expected => [step, otherwise, otherwise, otherwise, otherwise]
 
   const table: [end: string, attempt: AttemptEnd, nothing: Expected, events: Expected][] = [
-    ['a whole stream', answered(200, true), same('pass-on'), same('pass-on')],
-    ['a success that is no stream', answered(200), same('pass-on'), orElse('resume', 'cut')],
+    ['a complete stream', answered(200, true), same('pass-on'), same('pass-on')],
+    ['a success that is not a stream', answered(200), same('pass-on'), orElse('resume', 'cut')],
     ['a success without content', answered(204), same('pass-on'), orElse('resume', 'cut')],
-    ['a redirection', answered(302), same('pass-on'), orElse('resume', 'cut')],
-    ['a rejection', answered(404), same('pass-on'), orElse('resume', 'cut')],
-    ['a rejection that is sent as a stream', answered(404, true), same('pass-on'), orElse('resume', 'cut')],
-    ['a failure', answered(500), orElse('try-next', 'pass-on'), orElse('resume', 'cut')],
-    ['a failure that is sent as a stream', answered(500, true), orElse('try-next', 'pass-on'), orElse('resume', 'cut')],
-    ['a failure at the deadline', answered(504), orElse('try-next', 'pass-on'), orElse('resume', 'cut')],
+    ['a redirect', answered(302), same('pass-on'), orElse('resume', 'cut')],
+    ['a client error', answered(404), same('pass-on'), orElse('resume', 'cut')],
+    ['a client error sent as a stream', answered(404, true), same('pass-on'), orElse('resume', 'cut')],
+    ['a server error', answered(500), orElse('try-next', 'pass-on'), orElse('resume', 'cut')],
+    ['a server error sent as a stream', answered(500, true), orElse('try-next', 'pass-on'), orElse('resume', 'cut')],
+    ['a gateway timeout', answered(504), orElse('try-next', 'pass-on'), orElse('resume', 'cut')],
     ['a full endpoint', full, orElse('try-next', 'not-run'), orElse('resume', 'cut')],
-    ['another instance', { type: 'not-run', reason: 'wrong-instance' }, orElse('try-next', 'not-run'), orElse('resume', 'cut')],
-    ['another version', { type: 'not-run', reason: 'wrong-version' }, orElse('try-next', 'not-run'), orElse('resume', 'cut')],
-    ['a refusal', { type: 'not-run', reason: 'refused' }, orElse('try-next', 'not-run'), orElse('resume', 'cut')],
+    ['the wrong instance', { type: 'not-run', reason: 'wrong-instance' }, orElse('try-next', 'not-run'), orElse('resume', 'cut')],
+    ['the wrong version', { type: 'not-run', reason: 'wrong-version' }, orElse('try-next', 'not-run'), orElse('resume', 'cut')],
+    ['a rejection', { type: 'not-run', reason: 'refused' }, orElse('try-next', 'not-run'), orElse('resume', 'cut')],
     ['no connection', unconnected, ['try-next', 'try-next', 'try-next', 'not-run', 'not-run'], ['resume', 'resume', 'resume', 'cut', 'cut']],
     ['a broken connection', broken, orElse('try-next', 'unknown'), orElse('resume', 'cut')],
-    ['a silent endpoint', stalled, orElse('try-next', 'unknown'), orElse('resume', 'cut')]
+    ['a stalled endpoint', stalled, orElse('try-next', 'unknown'), orElse('resume', 'cut')]
   ]
   for (const [end, attempt, nothing, events] of table) {
     for (const [begun, expected] of [[false, nothing], [true, events]] as const) {
       for (const [index, left] of lefts.entries()) {
-        it(`${end}, ${begun ? 'events' : 'nothing'} passed on, ${left} left: ${expected[index]}`, () => {
+        it(`${end}, ${begun ? 'events' : 'nothing'} forwarded, ${left} left: ${expected[index]}`, () => {
           const route = { ...stream, maxAttempts: left === 'no attempt' ? 1 : 2 }
           const step = last(route, [attempt], { begun, timeLeft: left !== 'no time', elsewhere: left !== 'no endpoint', budget: left === 'no budget' ? 0 : 1 })
           assert.equal(step, expected[index])
--- a/packages/core/src/test/lib/routing/attempts/event-splitter_test.ts
+++ b/packages/core/src/test/lib/routing/attempts/event-splitter_test.ts
@@ -13,16 +13,16 @@
 describe('EventSplitter', () => {
   const cases: [name: string, pieces: string[], whole: string, lastId: string | undefined, pending: number][] = [
     ['one event', ['id: 1\ndata: a\n\n'], 'id: 1\ndata: a\n\n', '1', 0],
-    ['two events in one piece', ['id: 1\n\nid: 2\n\n'], 'id: 1\n\nid: 2\n\n', '2', 0],
-    ['an event in pieces', ['id: 1\nda', 'ta: a\n', '\n'], 'id: 1\ndata: a\n\n', '1', 0],
-    ['a started event after a whole one', ['id: 1\n\nid: 2\nda'], 'id: 1\n\n', '1', 8],
+    ['two events in one chunk', ['id: 1\n\nid: 2\n\n'], 'id: 1\n\nid: 2\n\n', '2', 0],
+    ['an event in several chunks', ['id: 1\nda', 'ta: a\n', '\n'], 'id: 1\ndata: a\n\n', '1', 0],
+    ['an incomplete event after a complete one', ['id: 1\n\nid: 2\nda'], 'id: 1\n\n', '1', 8],
     ['carriage returns', ['id: 3\r\ndata: a\r\n\r\n'], 'id: 3\r\ndata: a\r\n\r\n', '3', 0],
-    ['an event without id', ['data: a\n\n'], 'data: a\n\n', undefined, 0],
-    ['an event without id after one with', ['id: 4\n\n', 'data: a\n\n'], 'id: 4\n\ndata: a\n\n', '4', 0],
-    ['nothing whole', ['id: 1\ndata: a\n'], '', undefined, 14]
+    ['an event without an id', ['data: a\n\n'], 'data: a\n\n', undefined, 0],
+    ['an event without an id after one with an id', ['id: 4\n\n', 'data: a\n\n'], 'id: 4\n\ndata: a\n\n', '4', 0],
+    ['no complete event', ['id: 1\ndata: a\n'], '', undefined, 14]
   ]
   for (const [name, pieces, whole, lastId, pending] of cases) {
-    it(`passes on whole events only: ${name}`, () => {
+    it(`returns complete events only: ${name}`, () => {
       const splitter = new EventSplitter()
       let out = ''
       let id: string | undefined
--- a/packages/core/src/test/lib/routing/attempts/retry-allowance_test.ts
+++ b/packages/core/src/test/lib/routing/attempts/retry-allowance_test.ts
@@ -10,7 +10,7 @@
 
 const terms = { ratio: 0.2, slack: 100, window: 10_000 }
 
-/** Retries that can be made after so many requests. */
+/** The number of retries available after some requests. */
 function spendable (entries: number | undefined, requests: number, purpose: RetryPurpose): number {
   const allowance = new RetryAllowance(terms, () => entries, 0)
   for (let count = 0; count < requests; count += 1) allowance.requested(0)
@@ -21,17 +21,17 @@
 
 describe('RetryAllowance', () => {
   const cases: [name: string, entries: number | undefined, requests: number, purpose: RetryPurpose, expected: number][] = [
-    ['a process begins with nothing', 9, 0, 'go-on', 0],
-    ['0.18 of a retry are earned with each request', 9, 6, 'go-on', 1],
-    ['nine entries save half of a ninth of the slack each', 9, 10_000, 'go-on', 5],
-    ['a quarter of that is kept for streams that have begun', 9, 10_000, 'begin', 4],
-    ['ninety-eight entries save up one each at least', 98, 10_000, 'go-on', 1],
-    ['one retry can be saved up and spent on anything', 98, 10_000, 'begin', 1],
-    ['as one of four hundred while the number of entries is not known', undefined, 10_000, 'go-on', 1]
+    ['starts empty', 9, 0, 'go-on', 0],
+    ['earns 0.18 of a retry with each request', 9, 6, 'go-on', 1],
+    ['saves up half of a ninth of the slack for each of nine entries', 9, 10_000, 'go-on', 5],
+    ['reserves a quarter of the capacity for resuming streams', 9, 10_000, 'begin', 4],
+    ['saves up at least one retry for each of ninety-eight entries', 98, 10_000, 'go-on', 1],
+    ['allows a single saved retry for either purpose', 98, 10_000, 'begin', 1],
+    ['assumes four hundred entries while their number is unknown', undefined, 10_000, 'go-on', 1]
   ]
   for (const [name, entries, requests, purpose, expected] of cases) it(name, () => assert.equal(spendable(entries, requests, purpose), expected))
 
-  it('gives up what was saved when more entries are known of', () => {
+  it('reduces the balance when more entries become known', () => {
     let entries = 2
     const allowance = new RetryAllowance(terms, () => entries, 0)
     for (let count = 0; count < 1_000; count += 1) allowance.requested(0)
@@ -41,14 +41,14 @@
     assert.equal(spent, 1)
   })
 
-  it('earns half of its part of the slack in the time for which that holds', () => {
+  it('earns half of its share of the slack in one window', () => {
     const allowance = new RetryAllowance(terms, () => 9, 0)
     let spent = 0
     for (let now = 0; now <= 10_000; now += 100) if (allowance.trySpend('go-on', now)) spent += 1
     assert.equal(spent, 5)
   })
 
-  it('earns no more in a long rest than it may save', () => {
+  it('earns no more than its capacity while idle', () => {
     const allowance = new RetryAllowance(terms, () => 9, 0)
     let spent = 0
     while (allowance.trySpend('go-on', 1_000_000)) spent += 1
