--- a/packages/core/src/lib/routing/choice/choice-price.ts
+++ b/packages/core/src/lib/routing/choice/choice-price.ts
@@ -4,8 +4,8 @@
  * SPDX-License-Identifier: BSD-3-Clause
  */
 /**
- * What an endpoint costs beyond the time until its answer: the distance to it, work that would hold up a switch which is planned
- * there, and that nothing is known of it. All in milliseconds, so that they add up with the expected time.
+ * Penalties added to an endpoint's expected time when endpoints are compared: for distance, for work that would delay a planned
+ * version switch, and for missing load reports. All are in milliseconds, so that they can be added to the expected time.
  */
 import type { ServiceDescription } from '../published/routing-configuration.js'
 import type { EndpointCandidate, Need, Place } from './endpoint-choice.js'
@@ -13,47 +13,48 @@
 import { stepTime } from './engine-model.js'
 
 /**
- * Milliseconds that an answer must be expected sooner elsewhere to leave the zone, and the region. Bytes between regions
- * cost about five times those between zones; an event stream is 4 KB.
+ * Penalties for leaving the availability zone and the region, in milliseconds. Traffic between regions costs about five times as
+ * much as traffic between zones; an event stream has 4 KB.
  */
 const ZONE_PRICE = 10
 const REGION_PRICE = 20
 /**
- * Up to this share of the usual objective it matters little when an answer begins: of those expected at 100 to 150 ms none
- * was late, at 150 to 200 1%, at 200 to 250 4 to 9%, with an objective of 300 to 400. While the own zone has an engine that is
- * expected sooner, leaving it costs so many times the usual price: a sixth of the bytes between regions less.
+ * Up to this share of the mean objective, a sooner answer gains little: with objectives of 300 to 400 ms, no answer expected at 100
+ * to 150 ms was late, 1% of those at 150 to 200 ms, and 4 to 9% of those at 200 to 250 ms. While the entry's own zone has an engine
+ * expected within this share, the distance penalty is multiplied by `COMFORT_FACTOR`, which saves a sixth of the traffic between
+ * regions.
  */
 export const COMFORT_SHARE = 0.47
 const COMFORT_FACTOR = 3
 /**
- * What it costs, in milliseconds, to leave an engine with a millisecond of work when it wants to switch to another
- * version: that long it takes nothing new, though it still works on what it has.
+ * Penalty, in milliseconds, for each millisecond of work that an engine still has at the time of a planned version switch: for that
+ * long it accepts no new requests while it finishes the work.
  */
 const CLOSING_PRICE = 1.5
 /**
- * What an engine of a pool that tells nothing of itself is taken to be slower, in milliseconds: about two prompts of usual
- * size that nobody knows of. Its agent may just not be reached yet, and all entries would think it idle.
+ * Penalty for an engine of a pool without a current load report, in milliseconds: about two prompts of typical size. Its agent may
+ * only be unreachable so far, and without the penalty all entries would consider the engine idle.
  */
 const UNSEEN_PRICE = 100
 /**
- * A request is taken to begin within so many times the expected time, and so many times the way there and back: engines
- * and links may just be getting slower, and the queue of a link that was narrowed grows by its own length in a moment.
+ * Safety factors on the expected time and on the round trip time for the latest start of a request: engines and links may be slowing
+ * down, and the queue of a link whose bandwidth has dropped can double within a moment.
  */
 const BEGIN_FACTOR = 2
 const BEGIN_LINK_FACTOR = 6
 
-/** What a price rests on, besides the candidate. */
+/** The inputs of a cost, besides the candidate. */
 export interface PriceView {
   readonly place: Place
   readonly service: ServiceDescription
   readonly need: Need
-  /** What the distance counts, see `distanceFactor`. */
+  /** The multiplier of the distance penalty, see `distanceFactor`. */
   readonly distanceFactor: number
   readonly now: number
 }
 
 /**
- * What a choice costs in all, in milliseconds.
+ * The total cost of a candidate, in milliseconds: its expected time and all penalties.
  *
  * @example
  * const costs = candidates.map(candidate => costOf(candidate, loadOf(candidate), view))
@@ -65,8 +66,8 @@
 }
 
 /**
- * How many times the price of distance counts: more while an answer from the own zone is expected so soon that nothing is gained by a
- * sooner one.
+ * The multiplier of the distance penalty: higher while an endpoint of the entry's own zone is expected to answer so soon that a sooner
+ * answer gains nothing.
  *
  * @example
  * const factor = distanceFactor(candidates, place, need)
@@ -77,8 +78,8 @@
 }
 
 /**
- * Whether a request could begin on an old version after it must no longer. Where the agent is not heard the way is not
- * known, and may be a link with seconds of queue: then it could.
+ * Whether a request could start on an old version after the bound for that version. Returns `true` if the agent's last report is too
+ * old: the round trip time is then unknown, and the link may have seconds of queue.
  *
  * @example
  * const candidates = expected.filter(candidate => !tooLate(candidate, need, now))
@@ -94,7 +95,7 @@
   return place.regionOf(availabilityZone) === place.regionOf(place.availabilityZone) ? ZONE_PRICE : REGION_PRICE
 }
 
-/** The price of work that would hold up a planned switch. */
+/** The penalty for work that would delay a planned version switch. */
 function closingPrice ({ expected }: EndpointCandidate, load: EndpointLoad, { pool }: ServiceDescription, { answerTokens }: Need, now: number): number {
   const closesAt = load.closesAt(now)
   if (closesAt === undefined || pool === undefined) return 0
--- a/packages/core/src/lib/routing/choice/endpoint-chooser.ts
+++ b/packages/core/src/lib/routing/choice/endpoint-chooser.ts
@@ -4,8 +4,8 @@
  * SPDX-License-Identifier: BSD-3-Clause
  */
 /**
- * Chooses the endpoint for a request: the one where the first event, or the answer, is expected soonest, with a price
- * in milliseconds for leaving the availability zone and the region.
+ * Chooses the endpoint for a request: the one with the shortest expected time to the first event or to the answer, with a
+ * penalty in milliseconds for leaving the availability zone and the region.
  */
 import { Ejection } from '../../ejection.js'
 import type { EndpointCandidate, Choice, Need, Place } from './endpoint-choice.js'
@@ -20,38 +20,39 @@
 import { RequestRate } from './request-rate.js'
 import { UsualTime } from './usual-time.js'
 
-/** The one that is, and what others are taken to have sent there meanwhile, in milliseconds of waiting. */
+/** The picked candidate, and the estimated extra wait from requests that other entries have sent there since, in milliseconds. */
 interface Picked {
   readonly candidate: EndpointCandidate
   readonly byOthers: number
 }
 
-/** What the end of an attempt says of its endpoint. */
+/** What the result of an attempt shows about its endpoint. */
 export type EndpointHealth = 'good' | 'bad' | 'unclear'
 
-/** Why an endpoint is passed over for a while. */
+/** Why an endpoint is skipped temporarily. */
 export type Avoidance = 'refused' | 'unreachable' | 'wrong-instance' | 'wrong-version'
 
 /**
- * How long, in milliseconds. A full or switching endpoint is asked again soon; one that cannot be reached is given the
- * time that a process takes to come back.
+ * How long an endpoint is skipped, in milliseconds. A full or switching endpoint is retried soon; an unreachable one is skipped
+ * for the time that a process takes to restart.
  */
 const avoidances: Record<Avoidance, number> = { refused: 100, unreachable: 2_000, 'wrong-instance': 3_000, 'wrong-version': 150 }
 /**
- * What entries hold of an engine is this old on average, in milliseconds: its agent looks at it twenty times a second, and
- * what was sent just before is not seen there yet, nor what is still on its way.
+ * The mean age of an entry's view of an engine, in milliseconds: its agent polls it twenty times a second, and requests that are in
+ * flight or were sent just before a poll are not reported yet.
  */
 const VIEW_AGE = 80
-/** A plain endpoint that names no slots is taken to have these. */
+/** The assumed number of slots of a plain endpoint that does not publish it. */
 const ASSUMED_SLOTS = 8
+
 interface Known {
   readonly load: EndpointLoad
   avoidUntil: number
 }
 
-/** The endpoints of one service, as one entry sees them. */
+/** Chooses among the endpoints of one service, for one entry. */
 export class EndpointChooser {
-  /** What is known of each start of an endpoint: see `startOf`. */
+  /** The state of each incarnation of an endpoint: see `startOf`. */
   private readonly _known = new Map<string, Known>()
   private readonly _ejection = new Ejection()
   private readonly _rate = new RequestRate()
@@ -62,17 +63,17 @@
   private readonly _plainTime = new UsualTime()
 
   /**
-   * @param _draw Random numbers in [0, 1).
-   * @param _gate What the endpoints ask of those who send to them.
+   * @param _draw Returns random numbers in [0, 1).
+   * @param _gate The restrictions that endpoints place on requests to them.
    */
   constructor (private readonly _place: Place, private readonly _draw: () => number, private readonly _gate: EndpointGate = openGate) {}
 
   get records (): readonly EndpointRecord[] { return this._records }
 
   /**
-   * Takes the endpoints that are listed.
+   * Sets the listed endpoints.
    *
-   * @param isFollowed Whether the load of one is followed; others are only chosen where no followed one can take a request.
+   * @param isFollowed Whether the entry receives load reports of an endpoint; others are chosen only if none of these can take a request.
    */
   setRecords (records: readonly EndpointRecord[], isFollowed: (record: EndpointRecord) => boolean = () => true): void {
     this._records = records
@@ -83,17 +84,17 @@
     for (const [start, { load }] of this._known) if (!this._listed.has(start) && load.outstanding === 0) this._known.delete(start)
   }
 
-  /** Requests in a millisecond that this entry sends to the service. */
+  /** The rate at which this entry sends requests to the service, in requests per millisecond. */
   sentRate (now: number): number { return this._rate.perMillisecond(now) }
 
-  /** What is known of an endpoint's load. */
+  /** The load of an endpoint. */
   load (start: string): EndpointLoad { return this._entry(start).load }
 
   heard (start: string, report: LoadReport, now: number): void {
     if (this._listed.has(start)) this._entry(start).load.heard(report, now)
   }
 
-  /** A measurement of the way to an endpoint began, or ended. */
+  /** Records the start or the end of a round trip measurement. */
   measured (start: string, step: 'begun' | 'ended', now: number): void {
     if (!this._listed.has(start)) return
     const { load } = this._entry(start)
@@ -101,12 +102,12 @@
     else load.ponged(now)
   }
 
-  /** Passes an endpoint over for a while. */
+  /** Skips an endpoint temporarily. */
   avoid (start: string, why: Avoidance, now: number): void {
     this._entry(start).avoidUntil = now + avoidances[why]
   }
 
-  /** A request was sent. */
+  /** Records a request that was sent to the chosen endpoint. */
   sent (choice: Choice, request: string, promptTokens: number, now: number): void {
     this._rate.sent(now)
     const start = startOf(choice.record)
@@ -115,13 +116,13 @@
     this._gate.sent(start, now)
   }
 
-  /** A plain request was answered after so many milliseconds. */
+  /** Records the response time of a plain request, in milliseconds. */
   plainTook (start: string, milliseconds: number, now: number): void {
     this._entry(start).load.plainTook(milliseconds, this._plainTime.value(now), now)
     this._plainTime.took(milliseconds, now)
   }
 
-  /** A request has ended there. */
+  /** Records the end of a request and what it shows about the endpoint's health. */
   ended (start: string, request: string, health: EndpointHealth, now: number): void {
     this._entry(start).load.ended(request)
     if (health === 'good') this._ejection.succeeded(start)
@@ -130,7 +131,7 @@
   }
 
   /**
-   * Chooses an endpoint, or nothing when none may take the request.
+   * Chooses an endpoint; returns `undefined` if none can take the request.
    *
    * @example
    * const choice = chooser.choose(service, { promptTokens: 1_290, model: 'drafting', leastVersion: 2, tried: new Set() }, now)
@@ -152,7 +153,7 @@
     return picked === undefined ? undefined : this._choice(picked, service, need, now)
   }
 
-  /** An endpoint whose turn would pass goes first, where its answer is expected as soon as any caller needs it. */
+  /** Prefers rate-limited endpoints for which this entry holds a permit that would lapse, if they are expected to answer soon enough for any caller. */
   private _dueFirst (choices: readonly EndpointCandidate[], { usualObjective }: Need, now: number): readonly EndpointCandidate[] {
     if (this._gate.quiet) return choices
     const due = choices.filter(({ record, expected }) => this._gate.isDue(startOf(record), now) && expected < COMFORT_SHARE * usualObjective)
@@ -160,7 +161,7 @@
   }
 
   /**
-   * When some endpoint is expected to take the request, for callers that are refused.
+   * Returns when an endpoint is expected to accept the request, to compute the retry delay of a rejected caller.
    *
    * @example
    * const milliseconds = retryAfter({ patience, objective }, Math.random(), chooser.opening(service, need, now))
@@ -176,7 +177,7 @@
     return times.length === 0 ? { type: 'unknown' } : { type: 'expected', in: Math.max(0, Math.min(...times) - now) }
   }
 
-  /** When the first of some endpoints that could take a request is to be sent one, as they themselves ask; nothing where there is none. */
+  /** When the gate next allows a request to one of the given endpoints; `undefined` if the list is empty. */
   private _openingOf (takers: readonly EndpointRecord[], now: number): Opening | undefined {
     if (takers.length === 0) return undefined
     const soonest = Math.min(...takers.map(record => this._gate.opensIn(startOf(record), now)))
@@ -184,7 +185,7 @@
     return soonest === Infinity ? { type: 'unknown' } : { type: 'expected', in: soonest }
   }
 
-  /** How many endpoints are sent nothing now because they ask for it, by reason. */
+  /** The number of endpoints that the gate closes now, by reason. */
   spared (now: number): ReadonlyMap<SparedFor, number> {
     const counts = new Map<SparedFor, number>()
     if (this._gate.quiet) return counts
@@ -196,8 +197,8 @@
   }
 
   /**
-   * Draws among pools' engines, whose reports all entries share, and counts what the others send there meanwhile in what
-   * is expected; of plain endpoints the best one is taken.
+   * Picks an engine of a pool at random, because all entries act on the same load reports, and adds the requests of other entries to
+   * the expected time. For a plain service it picks the cheapest endpoint.
    */
   private _pick (choices: readonly EndpointCandidate[], costs: readonly number[], { pool }: ServiceDescription, now: number): Picked | undefined {
     if (pool === undefined) return pickedAt(choices, costs.indexOf(Math.min(...costs)), 0)
@@ -214,9 +215,9 @@
   }
 
   /**
-   * Requests that other entries have sent to the engines that this one follows, since the reports that it holds. An agent counts
-   * those entries only that reach it: taken for as many as before and as busy as this one, they made the entries of a zone that was
-   * cut off refuse half of what its engines could do.
+   * The estimated number of requests that other entries have sent to the followed engines since their last reports. It uses the rates
+   * that agents report, which count only the entries that reach them. Assuming a constant number of entries as busy as this one made
+   * the entries of a partitioned zone reject half of what its engines could serve.
    */
   private _sentByOthers (now: number): number {
     let all = 0
@@ -224,10 +225,10 @@
     return Math.max(0, all - this.sentRate(now)) * VIEW_AGE
   }
 
-  /** Engines whose load is known. */
+  /** The number of followed engines that have a current load report. */
   heardCount (now: number): number { return this._followed.filter(record => this._entryOf(record).load.report(now) !== undefined).length }
 
-  /** The version that an endpoint serves, by its fresh report or else by the list. */
+  /** The version that an endpoint serves, from its current load report or else from its record. */
   versionOf (record: EndpointRecord, model: string, now: number): number {
     const listed = record.models.find(held => held.model === model)?.version ?? 0
     return this._entryOf(record).load.report(now)?.version ?? listed
@@ -237,7 +238,7 @@
     return this._takes(record, service, need, now) && (this._gate.quiet || this._gate.sparedFor(startOf(record), now) === undefined)
   }
 
-  /** Whether an endpoint could take a request, whatever it asks of those who send to it. */
+  /** Whether an endpoint could take a request, regardless of the gate. */
   private _takes (record: EndpointRecord, service: ServiceDescription, need: Need, now: number): boolean {
     if (record.draining || need.tried.has(startOf(record))) return false
     const known = this._entryOf(record)
--- a/packages/core/src/lib/routing/choice/endpoint-gate.ts
+++ b/packages/core/src/lib/routing/choice/endpoint-gate.ts
@@ -3,24 +3,24 @@
  * Copyright 2026 the drumdrift contributors
  * SPDX-License-Identifier: BSD-3-Clause
  */
-/** What endpoints themselves ask of those who send to them, as the choice among them sees it. */
+/** The restrictions that endpoints place on requests to them, as the endpoint chooser sees them. */
 
-/** Why an endpoint is sent nothing now. */
+/** Why no request may be sent to an endpoint now. */
 export type SparedFor = 'limited' | 'leaving' | 'resting'
 
 /** Which endpoints may be sent a request. */
 export interface EndpointGate {
-  /** Whether no endpoint asks for anything, as nearly always: then nobody has to ask for each endpoint. */
+  /** Whether no endpoint has any restriction, which is the common case: then the check of each endpoint can be skipped. */
   readonly quiet: boolean
-  /** Why a start of an endpoint is sent nothing now; nothing when it may be sent a request. */
+  /** The reason why no request may be sent to an endpoint now; `undefined` if one may be sent. */
   sparedFor (start: string, now: number): SparedFor | undefined
-  /** Whether it is to be sent the next request that it suits: it takes few, and this entry's turn would pass. */
+  /** Whether the endpoint is rate-limited and this entry holds a permit that would lapse, so that the endpoint is preferred. */
   isDue (start: string, now: number): boolean
-  /** A request was sent. */
+  /** Records a request that was sent. */
   sent (start: string, now: number): void
-  /** When it may be sent one again, in milliseconds from now: 0 for now, infinite for never. */
+  /** The time until a request may be sent to the endpoint, in milliseconds: 0 for now, infinite for never. */
   opensIn (start: string, now: number): number
 }
 
-/** The gate where no endpoint asks for anything. */
+/** A gate without restrictions. */
 export const openGate: EndpointGate = { quiet: true, sparedFor: () => undefined, isDue: () => false, sent: () => {}, opensIn: () => 0 }
--- a/packages/core/src/lib/routing/choice/endpoint-load.ts
+++ b/packages/core/src/lib/routing/choice/endpoint-load.ts
@@ -4,84 +4,84 @@
  * SPDX-License-Identifier: BSD-3-Clause
  */
 /**
- * What one entry knows of the load of one endpoint: the endpoint's last report, where there is one, corrected by what
- * this entry has sent and seen end since.
+ * Estimates the load of one endpoint, as seen by one entry: the endpoint's last load report, if there is one, corrected by the
+ * requests that this entry has sent and seen end since.
  */
 import { decay } from '../decay.js'
 import { firstTokenTime, readRate } from './engine-model.js'
 import type { PoolDescription } from '../published/routing-configuration.js'
 
-/** What an engine says of itself, taken beside it and passed on at once. */
+/** The load of an engine, as reported by its agent. */
 export interface LoadReport {
   readonly running: number
   readonly waiting: number
-  /** Prompt tokens of running requests that it has still to read; nothing when that is not told. */
+  /** Prompt tokens of running requests that the engine has not read yet; absent if not reported. */
   readonly unreadTokens?: number | undefined
-  /** The version that it serves; 0 for none. */
+  /** The version that the engine serves; 0 for none. */
   readonly version: number
-  /** Whether it will take new work: not while it switches to another version. */
+  /** Whether the engine accepts new requests; it does not while it switches to another version. */
   readonly accepting: boolean
-  /** How much slower than described it works; 1 as described. */
+  /** The slowdown of the engine against its pool's description; 1 for none. */
   readonly pace: number
-  /** Milliseconds until it stops to take new work, to switch to another version; nothing when that is not planned. */
+  /** Milliseconds until the engine stops accepting requests to switch to another version; absent if no switch is planned. */
   readonly closesIn?: number | undefined
-  /** Milliseconds until it takes new work on the version that it is to take next; nothing when that is not known. */
+  /** Milliseconds until the engine accepts requests on its next version; absent if unknown. */
   readonly opensIn?: number | undefined
-  /** Requests in a millisecond that entries which hear these reports send to this engine, if each sends as many to all that it follows; nothing when that is not told. */
+  /** The rate of requests to this engine from the entries that receive its reports, in requests per millisecond, if each entry sends equally to all engines that it follows; absent if not reported. */
   readonly sentRate?: number | undefined
-  /** The start of the engine that this is told of; nothing where engines do not tell it. See `EndpointRecord`. */
+  /** The start of the engine's incarnation that the report describes; absent if the engine does not publish it. See `EndpointRecord`. */
   readonly born?: number | undefined
-  /** Milliseconds from the agent's look at the engine to when it was told; nothing for at once. */
+  /** Milliseconds between the agent's poll of the engine and the sending of the report; absent for none. */
   readonly age?: number | undefined
-  /** Entries that hear these reports, each counted by one over the engines that it follows; nothing when that is not told. */
+  /** The number of entries that receive these reports, each divided by the number of engines that it follows; absent if not reported. */
   readonly entries?: number | undefined
 }
 
-/** A request of this entry at the endpoint. */
+/** A request of this entry in flight at the endpoint. */
 interface Sent {
   readonly promptTokens: number
   readonly sentAt: number
   begun: boolean
 }
 
-/** How long before it was told a report was made, in milliseconds; 0 where what it says of that cannot be. */
+/** The age of a report when it was sent, in milliseconds; 0 if the reported age is implausible. */
 export function ageOf ({ age }: LoadReport): number {
   return typeof age === 'number' && age >= 0 && age <= REPORT_LIFETIME ? age : 0
 }
 
-/** A report older than this says nothing any more, in milliseconds: ten of the agents' reports are missing by then. */
+/** A report expires after this time, in milliseconds: ten reports of the agent are missing by then. */
 export const REPORT_LIFETIME = 1_000
-/** What is on its way to the endpoint when it reports, in milliseconds: a few network delays. */
+/** Requests sent less than this time before a report are assumed not to be counted in it, in milliseconds: a few network delays. */
 const REPORT_BLIND_TIME = 5
 /**
- * Without reports, other entries are taken to send as much as this one does. The true number is unknown; a few entries
- * of a zone share most of the endpoints of that zone.
+ * Without reports, this many entries, each sending as much as this one, are assumed to share the endpoint. The true number is
+ * unknown; most endpoints of a zone are shared by a few entries of that zone.
  */
 const ASSUMED_ENTRIES = 3
-/** Weight of the newest sample in the measured slowness. */
+/** Weight of the newest sample in the exponentially weighted moving average of the slowness. */
 const SLOWNESS_SMOOTHING = 0.3
 const LEAST_SLOWNESS = 0.7
 const GREATEST_SLOWNESS = 20
-/** Measured slowness halves its distance to 1 in this time without new samples, in milliseconds. */
+/** Without new samples, the slowness decays towards 1 with this half-life, in milliseconds. */
 const SLOWNESS_HALF_LIFE = 2_000
-/** The longest measured way counts half after this, in milliseconds: a few times the queue of a narrowed link. */
+/** The half-life of the longest measured round trip time, in milliseconds: a few times the queue of a link with reduced bandwidth. */
 const PEAK_HALF_LIFE = 2_000
 /**
- * Without new answers the measured time of a plain endpoint halves its distance to what is usual for its service in this
- * time, in milliseconds: one that was so slow that requests went elsewhere would otherwise never be tried again.
+ * Without new answers, the measured time of a plain endpoint decays towards its service's mean with this half-life, in
+ * milliseconds: an endpoint so slow that requests go elsewhere would otherwise never be tried again.
  */
 const PLAIN_TIME_HALF_LIFE = 2_000
 
-/** The load of one endpoint, as one entry sees it. */
+/** The load of one endpoint, as seen by one entry. */
 export class EndpointLoad {
   private readonly _sent = new Map<string, Sent>()
   private _report: LoadReport | undefined
   private _heardAt = -Infinity
   private _endedSinceReport = 0
-  /** The last measured way there and back, in milliseconds, and when the one under way began. */
+  /** The last measured round trip time, in milliseconds, and the start of the measurement in progress. */
   private _roundTrip = 0
   private _pingedAt: number | undefined
-  /** The longest way measured lately, and when it was. */
+  /** The longest recent round trip time, and when it was measured. */
   private _peak = 0
   private _peakAt = 0
   private _slowness = 1
@@ -89,27 +89,27 @@
   private _plainTime: number | undefined
   private _plainTimeAt = 0
 
-  /** Requests of this entry that have not ended there. */
+  /** The number of requests of this entry that are in flight at the endpoint. */
   get outstanding (): number { return this._sent.size }
 
-  /** The endpoint's last report, unless it is too old to say anything. */
+  /** The endpoint's last report; `undefined` if it has expired. */
   report (now: number): LoadReport | undefined {
     return now - this._heardAt <= REPORT_LIFETIME ? this._report : undefined
   }
 
-  /** When it will stop to take new work; nothing when that is not planned. */
+  /** When the engine stops accepting requests; `undefined` if no switch is planned. */
   closesAt (now: number): number | undefined {
     const closesIn = this.report(now)?.closesIn
     return closesIn === undefined ? undefined : this._heardAt + closesIn
   }
 
-  /** When it takes new work on its next version; nothing when that is not known. */
+  /** When the engine accepts requests on its next version; `undefined` if unknown. */
   opensAt (now: number): number | undefined {
     const opensIn = this.report(now)?.opensIn
     return opensIn === undefined ? undefined : this._heardAt + opensIn
   }
 
-  /** The age of the last report in milliseconds; infinite when there was none. */
+  /** The age of the last report in milliseconds; infinite if there was none. */
   reportAge (now: number): number { return now - this._heardAt }
 
   heard (report: LoadReport, now: number): void {
@@ -118,10 +118,10 @@
     this._endedSinceReport = 0
   }
 
-  /** A measurement of the way to the endpoint and back begins. */
+  /** Starts a round trip measurement, unless one is in progress. */
   pinged (now: number): void { this._pingedAt ??= now }
 
-  /** It ended, or was given up with the connection. */
+  /** Ends the measurement, also when it was abandoned because the connection was lost. */
   ponged (now: number): void {
     if (this._pingedAt === undefined) return
     this._roundTrip = now - this._pingedAt
@@ -132,14 +132,14 @@
   }
 
   /**
-   * The longest way there and back of the last seconds, fading, in milliseconds. The queue of a narrow link comes and goes
-   * within one measurement, so where a request must not be late the last one says too little.
+   * The longest round trip time of the last seconds, with decay, in milliseconds. The queue of a slow link can build up and clear
+   * within one measurement, so the last one alone is not enough where a request must not be late.
    */
   longestRoundTrip (now: number): number { return Math.max(this.roundTrip(now), this._fadedPeak(now)) }
 
   /**
-   * The way there and back, in milliseconds: what was measured last, or more when the measurement under way already takes
-   * longer. A link that carries chunks of weights, or was narrowed, shows in it at once.
+   * The round trip time, in milliseconds: the last measurement, or the duration so far of the one in progress if that is longer. This
+   * shows at once that a link carries chunks of weights or has lost bandwidth.
    */
   roundTrip (now: number): number {
     return Math.max(this._roundTrip, this._pingedAt === undefined ? 0 : now - this._pingedAt)
@@ -150,9 +150,9 @@
   }
 
   /**
-   * The first event came, or the whole answer of a plain service.
+   * Records the first event of an answer, or the complete answer of a plain service.
    *
-   * @param predicted What was expected when it was sent, in milliseconds; nothing where there was no expectation.
+   * @param predicted The expected time when the request was sent, in milliseconds; `undefined` if there was no estimate.
    */
   begun (request: string, predicted: number | undefined, now: number): void {
     const sent = this._sent.get(request)
@@ -162,9 +162,9 @@
   }
 
   /**
-   * A plain request took so long in all, in milliseconds.
+   * Records the total response time of a plain request, in milliseconds.
    *
-   * @param usual What its service's requests usually take; 0 while that is not known.
+   * @param usual The mean response time of the service; 0 if unknown.
    */
   plainTook (milliseconds: number, usual: number, now: number): void {
     const before = this._fadedPlainTime(usual, now) || milliseconds
@@ -176,7 +176,7 @@
     if (this._sent.delete(request)) this._endedSinceReport += 1
   }
 
-  /** How much slower than expected answers have come lately; 1 as expected. */
+  /** The recent ratio of measured to expected times; 1 if answers arrive as expected. */
   slowness (now: number): number {
     return 1 + (this._slowness - 1) * decay(now - this._slownessAt, SLOWNESS_HALF_LIFE)
   }
@@ -195,11 +195,11 @@
   }
 
   /**
-   * The expected time to the answer of a plain service, in milliseconds. Requests wait only when all slots are taken, and
-   * what other entries send shows in how long answers take: counted as if each request made the next one slower, and as if
-   * others sent as much, 14 of 808 were refused on a day with endpoints that were half empty.
+   * The expected time to the answer of a plain service, in milliseconds. Requests wait only if all slots are occupied, and the load
+   * from other entries already shows in the measured response times. A model in which each request slows the next one, and other
+   * entries send as much as this one, rejected 14 of 808 requests while endpoints were half empty.
    *
-   * @param usual What its service's requests usually take; 0 while that is not known.
+   * @param usual The mean response time of the service; 0 if unknown.
    */
   expectedPlainAnswer (slots: number, usual: number, now: number): number {
     const waiting = Math.max(0, this._sent.size + 1 - slots)
@@ -211,7 +211,7 @@
     return usual + (this._plainTime - usual) * decay(now - this._plainTimeAt, PLAIN_TIME_HALF_LIFE)
   }
 
-  /** What was unread when the report was made, less what the engine has read since. */
+  /** The unread prompt tokens in the report, less those that the engine has read since. */
   private _unread ({ unreadTokens = 0 }: LoadReport, pool: PoolDescription, now: number): number {
     return Math.max(0, unreadTokens - this.reportAge(now) * readRate(pool))
   }
--- a/packages/core/src/lib/routing/choice/even-choice.ts
+++ b/packages/core/src/lib/routing/choice/even-choice.ts
@@ -4,23 +4,23 @@
  * SPDX-License-Identifier: BSD-3-Clause
  */
 /**
- * Choosing among endpoints when other choosers hold the same, slightly old view: if all took the best one, it would be
- * the worst a moment later. Each draws at random instead, with the odds that spread the requests which all of them
- * send together so that every endpoint ends up equally loaded.
+ * Randomised choice among endpoints by several choosers that share the same slightly stale view: if all took the cheapest
+ * endpoint, it would be overloaded a moment later (herding). Each chooser draws at random instead, with weights that spread the
+ * requests of all choosers so that every endpoint ends up equally loaded.
  */
 
-/** What the odds rest on. */
+/** The inputs of the random weights. */
 export interface EvenChoice {
-  /** The cost of each endpoint as it was last seen, in milliseconds. */
+  /** The last known cost of each endpoint, in milliseconds. */
   readonly costs: readonly number[]
-  /** What one more request adds to the cost of its endpoint, in milliseconds. */
+  /** The cost that one more request adds to its endpoint, in milliseconds. */
   readonly step: number
-  /** Requests that the other choosers have sent since this view was made; 0 or more. */
+  /** The number of requests that other choosers have sent since this view was taken; 0 or more. */
   readonly requests: number
 }
 
 /**
- * The cost up to which the requests fill the endpoints, the cheapest first.
+ * The common cost level that results when the requests fill the endpoints, the cheapest first (water filling).
  *
  * @example
  * levelOf({ costs: [100, 140], step: 40, requests: 3 }) // 180: two more on the first, one on the second
@@ -40,7 +40,8 @@
 }
 
 /**
- * Draws the index of an endpoint; one at or above the level is never drawn. Without others it is the cheapest.
+ * Draws the index of an endpoint, with weights proportional to the distance below the level. An endpoint at or above the level is
+ * never drawn. Returns the cheapest endpoint if no other chooser has sent requests.
  *
  * @param draw A random number in [0, 1).
  * @example
--- a/packages/core/src/lib/routing/choice/followed-engines.ts
+++ b/packages/core/src/lib/routing/choice/followed-engines.ts
@@ -4,27 +4,29 @@
  * SPDX-License-Identifier: BSD-3-Clause
  */
 /**
- * Which engines one entry follows and sends to. Each report goes to every entry that follows its engine, and each entry measures its
- * way to every engine that it follows, so with all pairs followed the load grows with the square of a deployment: an entry took 0.066
- * of a core with 120 engines and 98 entries, 0.029 with 9 and 15. A dozen engines to choose among are nearly as good as all.
+ * Selects the engines that an entry follows and sends to. Each load report goes to every entry that follows the engine, and each entry
+ * measures the round trip time to every engine that it follows, so following all pairs costs the square of the deployment's size: an
+ * entry used 0.066 of a core with 120 engines and 98 entries, and 0.029 with 9 and 15. A choice among a dozen engines is nearly as
+ * good as one among all.
  */
 import { hash32 } from '../../rendezvous.js'
 
-/** An engine, by the agent beside it. */
+/** An engine, identified by its agent. */
 export interface EngineAt {
   readonly agent: string
   readonly availabilityZone: string
 }
 
-/** Up to so many engines, an entry follows all. */
+/** The largest number of engines of which an entry follows all. */
 export const FOLLOW_ALL_UP_TO = 24
-/** Beyond, so many, most of them in the own zone. */
+/** The number of engines followed in larger deployments, and how many of them may be in the entry's own zone. */
 const MOST_FOLLOWED = 20
 const MOST_NEAR = 12
 
 /**
- * The agents that an entry follows. The order is drawn from its name and theirs: it is the same after a restart, one that joins or
- * leaves moves nobody else, and each engine gets nearly as many entries as any other.
+ * The agents that an entry follows, selected by rendezvous hashing of the entry's and the agents' names: the selection is the same
+ * after a restart, an agent that joins or leaves hardly changes the selection of the others, and followers are spread nearly evenly
+ * over engines.
  *
  * @param self The entry's name.
  * @example
@@ -52,7 +54,7 @@
   return groups
 }
 
-/** Takes one of each list in turn, until there are enough. */
+/** Takes one item of each list in turn (round robin), up to `count` items. */
 function dealt (lists: readonly (readonly string[])[], count: number): string[] {
   const taken: string[] = []
   const longest = Math.max(0, ...lists.map(list => list.length))
--- a/packages/core/src/lib/routing/choice/load-news.ts
+++ b/packages/core/src/lib/routing/choice/load-news.ts
@@ -4,37 +4,38 @@
  * SPDX-License-Identifier: BSD-3-Clause
  */
 /**
- * Whether a report of an engine's load says anything that those who have the one before do not already expect. Every
- * report goes to every entry, so those that say nothing are most of what control costs on small instances.
+ * Decides whether a load report differs enough from what its receivers extrapolate from the previous one to be sent. Every report
+ * goes to every follower, so redundant reports would be most of the control traffic's cost on small instances.
  */
 import type { LoadReport } from './endpoint-load.js'
 
-/** Prompt tokens that a report may be wrong by: about half a prompt of usual size, some 25 ms of reading. */
+/** Tolerated error of the unread prompt tokens: about half a prompt of typical size, or 25 ms of prefill. */
 const UNREAD_TOLERANCE = 500
-/** A free slot more or less matters little while so many are free. */
+/** With at most this many free slots, every change of the number of running requests is reported. */
 const SLOTS_NEARLY_FULL = 3
+/** Tolerated change of the number of running requests while more slots are free and one request matters little. */
 const RUNNING_TOLERANCE = 1
-/** An engine may open so much sooner or later than told, in milliseconds: callers come back spread over more. */
+/** Tolerated shift of an engine's opening, in milliseconds: the retries of callers are spread over a longer time. */
 const OPENING_TOLERANCE = 300
-/** An engine may stop to take new work so much sooner or later than told, in milliseconds: a look of its agent or two. */
+/** Tolerated shift of the time at which an engine stops accepting requests, in milliseconds: one or two polls of its agent. */
 const CLOSING_TOLERANCE = 150
-/** The share by which the pace may change untold. */
+/** Tolerated relative change of the pace. */
 const PACE_TOLERANCE = 0.05
 
-/** What the comparison rests on. */
+/** The inputs of the comparison. */
 export interface LoadExpectation {
-  /** The report that was told last. */
+  /** The report that was sent last. */
   readonly told: LoadReport
-  /** Milliseconds since then. */
+  /** Milliseconds since it was sent. */
   readonly age: number
-  /** Prompt tokens that the engine reads in a millisecond. */
+  /** The engine's prefill rate, in prompt tokens per millisecond. */
   readonly readRate: number
-  /** Requests that it runs at once. */
+  /** The number of requests that the engine can run concurrently. */
   readonly slots: number
 }
 
 /**
- * Compares a new report with what was told.
+ * Whether a new report must be sent, compared with what receivers expect from the last one.
  *
  * @example
  * if (isLoadNews(load, { told, age: 100, readRate: 20, slots: 16 })) tell(load)
@@ -52,7 +53,7 @@
   return Math.abs(load.running - told.running) > (nearlyFull ? 0 : RUNNING_TOLERANCE)
 }
 
-/** Whether a moment that was told to be so far ahead is now expected sooner or later than that. */
+/** Whether a planned time has moved by more than the tolerance from the time that was reported. */
 function hasMoved (ahead: number | undefined, told: number | undefined, age: number, tolerance: number): boolean {
   return Math.abs((ahead ?? 0) - Math.max(0, (told ?? 0) - age)) > tolerance
 }
--- a/packages/core/src/lib/routing/choice/unread-tokens.ts
+++ b/packages/core/src/lib/routing/choice/unread-tokens.ts
@@ -4,29 +4,29 @@
  * SPDX-License-Identifier: BSD-3-Clause
  */
 /**
- * Estimates how many prompt tokens an engine has admitted and not read yet. Engines count a request as running from its
- * admission on, though its first token comes only after its prompt has been read together with all others that were
- * admitted; what they do tell is the context that their requests hold, which grows by the whole prompt at admission.
+ * Estimates how many prompt tokens an engine has admitted but not prefilled yet. Engines count a request as running from its
+ * admission, although its first token follows only after the prefill of its prompt and of all others admitted before. They do report
+ * the context held by their requests, which grows by the whole prompt at admission.
  */
 
-/** What an engine tells of its context. */
+/** The context that an engine reports. */
 export interface ContextReading {
   readonly running: number
-  /** Tokens held for the running requests: prompts from their admission on, and what has been written. */
+  /** Tokens held for the running requests: prompts from their admission on, and generated tokens. */
   readonly contextTokens: number
 }
 
-/** The estimate for one engine. */
+/** Estimates the unread tokens of one engine. */
 export class UnreadTokens {
   private _before: ContextReading = { running: 0, contextTokens: 0 }
   private _readAt: number | undefined
   private _unread = 0
 
   /**
-   * Takes a reading, a few of which should fall into the time of one request.
+   * Adds a reading. There should be several readings within the duration of one request.
    *
-   * @param readRate Prompt tokens that the engine reads in a millisecond.
-   * @returns The tokens that are not read yet.
+   * @param readRate The engine's prefill rate, in prompt tokens per millisecond.
+   * @returns The estimated number of unread tokens.
    * @example
    * const unread = estimate.observe({ running: 12, contextTokens: 14_000 }, 20, now)
    */
@@ -39,7 +39,7 @@
     return Math.min(this._unread, reading.contextTokens)
   }
 
-  /** The context of requests that ended meanwhile is taken to be of the mean size; growth by writing is small beside prompts. */
+  /** Prompt tokens admitted since the last reading. Requests that ended are assumed to have held the mean context; growth by generated tokens is small compared with prompts. */
   private _admitted ({ running, contextTokens }: ContextReading): number {
     const before = this._before
     const ended = Math.max(0, before.running - running)
--- a/packages/core/src/lib/routing/choice/usual-time.ts
+++ b/packages/core/src/lib/routing/choice/usual-time.ts
@@ -3,29 +3,29 @@
  * Copyright 2026 the drumdrift contributors
  * SPDX-License-Identifier: BSD-3-Clause
  */
-/** What the requests of a plain service usually take, whichever endpoint answers. */
+/** Tracks the mean response time of a plain service over all its endpoints. */
 import { decay } from '../decay.js'
 
-/** Weight of the newest answer: the mean is that of some tens of answers. */
+/** Weight of the newest answer in the exponentially weighted moving average: the mean covers a few tens of answers. */
 const SMOOTHING = 0.05
 /**
- * Without answers the mean halves in this time, in milliseconds: requests to a service that was slow everywhere are
- * refused, and would be for ever.
+ * The half-life of the mean without new answers, in milliseconds: requests to a service that is slow at all endpoints are rejected,
+ * and without decay they would be rejected for ever.
  */
 const HALF_LIFE = 1_500
 
-/** A mean that fades while nothing is measured. */
+/** A moving average that decays while there are no measurements. */
 export class UsualTime {
   private _mean = 0
   private _at = 0
 
-  /** The mean, in milliseconds; 0 while nothing is known. */
+  /** The mean, in milliseconds; 0 if unknown. */
   value (now: number): number {
     return this._mean * decay(now - this._at, HALF_LIFE)
   }
 
   /**
-   * An answer took so long, in milliseconds.
+   * Adds a response time, in milliseconds.
    *
    * @example
    * usual.took(24, now)
--- a/packages/core/src/test/lib/routing/choice/endpoint-chooser_test.ts
+++ b/packages/core/src/test/lib/routing/choice/endpoint-chooser_test.ts
@@ -33,39 +33,39 @@
   return made
 }
 
-/** The chosen endpoint's id, or nothing. */
+/** The id of the chosen endpoint; `undefined` if there is none. */
 function chosen (made: EndpointChooser, part: Partial<Need> = {}, service = drafting, now = 1_050): string | undefined {
   return made.choose(service, { ...need, ...part }, now)?.record.id
 }
 
 describe('EndpointChooser', () => {
   const cases: [name: string, chosen: string | undefined, expected: string | undefined][] = [
-    ['the one that answers soonest', chosen(chooser([record('a'), record('b')], { a: busy, b: idle })), 'b'],
-    ['one whose admitted prompts are read', chosen(chooser([record('a'), record('b')], { a: { ...idle, running: 4, unreadTokens: 8_000 }, b: { ...idle, running: 6 } })), 'b'],
-    ['one that tells its load before one that might be idle', chosen(chooser([record('a'), record('b')], { b: { ...idle, running: 6 } })), 'b'],
-    ['the own zone among equals', chosen(chooser([record('a', 'next'), record('b')], { a: idle, b: idle })), 'b'],
+    ['the endpoint with the shortest expected time', chosen(chooser([record('a'), record('b')], { a: busy, b: idle })), 'b'],
+    ['an endpoint without unread prompts', chosen(chooser([record('a'), record('b')], { a: { ...idle, running: 4, unreadTokens: 8_000 }, b: { ...idle, running: 6 } })), 'b'],
+    ['an endpoint with a load report before one without', chosen(chooser([record('a'), record('b')], { b: { ...idle, running: 6 } })), 'b'],
+    ['the entry\'s own zone among equals', chosen(chooser([record('a', 'next'), record('b')], { a: idle, b: idle })), 'b'],
     ['the nearer zone among equals', chosen(chooser([record('a', 'far'), record('b', 'next')], { a: idle, b: idle })), 'b'],
-    ['another zone when the own one is much slower', chosen(chooser([record('a'), record('b', 'far')], { a: busy, b: idle })), 'b'],
-    ['none that drains', chosen(chooser([record('a', 'koshi', { draining: true })])), undefined],
-    ['none that was tried', chosen(chooser([record('a'), record('b')]), { tried: new Set(['a']) }), 'b'],
-    ['none that holds nothing', chosen(chooser([record('a', 'koshi', { models: [] })])), undefined],
-    ['none that is switching', chosen(chooser([record('a')], { a: { ...idle, accepting: false } })), undefined],
-    ['none of too old a version', chosen(chooser([record('a')], { a: idle }), { leastVersion: 2 }), undefined],
-    ['a fresh report of a version before the list', chosen(chooser([record('a')], { a: { ...idle, version: 2 } }), { leastVersion: 2 }), 'a'],
-    ['the list when the report is old', chosen(chooser([record('a')], { a: { ...idle, version: 2 } }), { leastVersion: 2 }, drafting, 9_000), undefined],
-    ['none that would begin after its bound', chosen(chooser([record('a')], { a: busy }), { mustBeginBy: () => 1_200 }), undefined],
-    ['none of an old version whose way is unknown', chosen(chooser([record('a')]), { mustBeginBy: () => 9_000 }), undefined],
-    ['one of the newest version whose way is unknown', chosen(chooser([record('a')])), 'a'],
-    ['one that begins before its bound', chosen(chooser([record('a')], { a: idle }), { mustBeginBy: () => 1_600 }), 'a'],
-    ['one that does not close soon, for a long answer', chosen(chooser([record('a'), record('b', 'next')], { a: { ...idle, closesIn: 200 }, b: idle }), { answerTokens: 150 }), 'b'],
-    ['one that closes soon, for a short answer', chosen(chooser([record('a'), record('b', 'next')], { a: { ...idle, closesIn: 900 }, b: idle }), { answerTokens: 20 }), 'a']
+    ['another zone if the own zone is much slower', chosen(chooser([record('a'), record('b', 'far')], { a: busy, b: idle })), 'b'],
+    ['no draining endpoint', chosen(chooser([record('a', 'koshi', { draining: true })])), undefined],
+    ['no endpoint that was already tried', chosen(chooser([record('a'), record('b')]), { tried: new Set(['a']) }), 'b'],
+    ['no endpoint without the model', chosen(chooser([record('a', 'koshi', { models: [] })])), undefined],
+    ['no endpoint that is switching versions', chosen(chooser([record('a')], { a: { ...idle, accepting: false } })), undefined],
+    ['no endpoint with too old a version', chosen(chooser([record('a')], { a: idle }), { leastVersion: 2 }), undefined],
+    ['by the version in a current load report before that in the record', chosen(chooser([record('a')], { a: { ...idle, version: 2 } }), { leastVersion: 2 }), 'a'],
+    ['by the version in the record if the load report has expired', chosen(chooser([record('a')], { a: { ...idle, version: 2 } }), { leastVersion: 2 }, drafting, 9_000), undefined],
+    ['no endpoint that would start after the bound of its version', chosen(chooser([record('a')], { a: busy }), { mustBeginBy: () => 1_200 }), undefined],
+    ['no endpoint with an old version if the round trip time is unknown', chosen(chooser([record('a')]), { mustBeginBy: () => 9_000 }), undefined],
+    ['an endpoint with the newest version if the round trip time is unknown', chosen(chooser([record('a')])), 'a'],
+    ['an endpoint that starts before the bound of its version', chosen(chooser([record('a')], { a: idle }), { mustBeginBy: () => 1_600 }), 'a'],
+    ['an endpoint that does not close soon, for a long answer', chosen(chooser([record('a'), record('b', 'next')], { a: { ...idle, closesIn: 200 }, b: idle }), { answerTokens: 150 }), 'b'],
+    ['an endpoint that closes soon, for a short answer', chosen(chooser([record('a'), record('b', 'next')], { a: { ...idle, closesIn: 900 }, b: idle }), { answerTokens: 20 }), 'a']
   ]
   for (const [name, id, expected] of cases) it(`chooses ${name}`, () => assert.equal(id, expected))
 
   const crowds: [name: string, sentRate: number, fewest: number, most: number][] = [
-    ['alone, gives everything to the best engine', 0, 3, 3],
-    ['where all that is sent to the pool is its own, does the same', 0.005 / 3, 3, 3],
-    ['one of many entries, leaves room there for what they send', 0.08 / 3, 1, 2]
+    ['sends all requests to the best engine if there are no other entries', 0, 3, 3],
+    ['sends all requests to the best engine if the reported rate is its own', 0.005 / 3, 3, 3],
+    ['leaves capacity of the best engine to the requests of other entries', 0.08 / 3, 1, 2]
   ]
   for (const [name, sentRate, fewest, most] of crowds) {
     it(name, () => {
@@ -85,9 +85,9 @@
   }
 
   const distances: [name: string, own: Partial<LoadReport>, usualObjective: number, expected: string][] = [
-    ['leaves the region for a sooner answer when every millisecond counts', { unreadTokens: 1_800 }, 100, 'b'],
-    ['stays when the answer is soon enough at home', { unreadTokens: 1_800 }, 1_000, 'a'],
-    ['leaves the region when it is not', { running: 14, unreadTokens: 14_000 }, 1_000, 'b']
+    ['leaves the region for a sooner answer if the objective is short', { unreadTokens: 1_800 }, 100, 'b'],
+    ['stays in the zone if the answer is expected soon enough there', { unreadTokens: 1_800 }, 1_000, 'a'],
+    ['leaves the region if the answer is not expected soon enough in the zone', { running: 14, unreadTokens: 14_000 }, 1_000, 'b']
   ]
   for (const [name, own, usualObjective, expected] of distances) {
     it(name, () => {
@@ -96,7 +96,7 @@
     })
   }
 
-  it('expects of a large request what a usual one waits, for its admission', () => {
+  it('admits a large request by the expected time of one of typical size', () => {
     const made = chooser([record('a')], { a: idle })
     const large = made.choose(drafting, { ...need, promptTokens: 4_000 }, 1_050)
     const usual = made.choose(drafting, { ...need, promptTokens: 1_000 }, 1_050)
@@ -104,7 +104,7 @@
     assert.ok((large?.expected ?? 0) > (usual?.expected ?? 0))
   })
 
-  it('tries a plain service again some time after it was slow', () => {
+  it('decays the expected time of a plain service that was slow', () => {
     const made = chooser([record('a')])
     made.plainTook('a', 9_000, 1_000)
     const slow = made.choose(desk, { ...need, model: '' }, 1_000)?.expected ?? 0
@@ -113,10 +113,10 @@
   })
 
   const plain: [name: string, took: readonly number[], outstanding: number, expected: number][] = [
-    ['nothing before any answer', [], 0, 0],
-    ['what answers take', [20, 20], 0, 20],
-    ['no wait while slots are free', [20, 20], 7, 20],
-    ['a wait for a slot when all are taken', [20, 20], 9, 20 * (1 + 2 / 8)]
+    ['no time before the first answer', [], 0, 0],
+    ['the mean response time', [20, 20], 0, 20],
+    ['no queueing while slots are free', [20, 20], 7, 20],
+    ['queueing for a slot if all are occupied', [20, 20], 9, 20 * (1 + 2 / 8)]
   ]
   for (const [name, took, outstanding, expected] of plain) {
     it(`expects of a plain service ${name}`, () => {
@@ -130,13 +130,13 @@
     })
   }
 
-  it('expects of an endpoint of a plain service that was not asked yet what the others take', () => {
+  it('expects the response time of the other endpoints from a plain endpoint that was not tried yet', () => {
     const made = chooser([record('a'), record('b')])
     made.plainTook('a', 30, 1_000)
     assert.equal(made.choose(desk, { ...need, model: '', tried: new Set(['a']) }, 1_000)?.expected, 30)
   })
 
-  it('gives nothing to an old version over a link whose queue could hold it beyond the bound', () => {
+  it('does not choose an old version over a link whose queue could delay the start beyond the bound', () => {
     const made = chooser([record('a')], { a: idle })
     const bounded = { mustBeginBy: (): number => 2_300 }
     assert.equal(chosen(made, bounded), 'a')
@@ -149,7 +149,7 @@
     assert.equal(chosen(made, bounded), undefined)
   })
 
-  it('trusts such a link again once its queue has been short for seconds', () => {
+  it('chooses an old version again once the queue of its link has been short for seconds', () => {
     const made = chooser([record('a')], { a: idle })
     made.measured('a', 'begun', 850)
     made.measured('a', 'ended', 1_040)
@@ -159,7 +159,7 @@
     assert.equal(chosen(made, { mustBeginBy: () => 10_200 }, drafting, 9_050), 'a')
   })
 
-  it('counts what it sent since the last report', () => {
+  it('counts the requests sent since the last load report', () => {
     const made = chooser([record('a'), record('b')], { a: idle, b: idle })
     const ids = new Set<string | undefined>()
     for (const request of ['r1', 'r2']) {
@@ -170,14 +170,14 @@
     assert.deepEqual([...ids].sort(), ['a', 'b'])
   })
 
-  it('passes over for a while what could not be reached', () => {
+  it('skips an unreachable endpoint temporarily', () => {
     const made = chooser([record('a')])
     made.avoid('a', 'unreachable', 1_000)
     assert.equal(chosen(made, {}, drafting, 2_999), undefined)
     assert.equal(chosen(made, {}, drafting, 3_000), 'a')
   })
 
-  it('keeps to the connections that an endpoint takes', () => {
+  it('respects the maximum number of connections to an endpoint', () => {
     const made = chooser([record('a', 'koshi', { service: 'desk', models: [] })])
     for (const request of ['r1', 'r2', 'r3', 'r4']) {
       const choice = made.choose(desk, need, 0)
@@ -188,7 +188,7 @@
     assert.equal(chosen(made, {}, desk, 0), 'a')
   })
 
-  it('goes elsewhere when an endpoint answers much later than expected, and comes back with time', () => {
+  it('avoids an endpoint that answers much later than expected, and returns after some time', () => {
     const made = chooser([record('a'), record('b', 'next')], { a: idle, b: idle })
     for (const request of ['r1', 'r2', 'r3']) {
       const choice = made.choose(drafting, { ...need, tried: new Set(['b']) }, 1_000)
@@ -208,31 +208,31 @@
   const closed: LoadReport = { ...idle, accepting: false }
   const cases: [name: string, made: EndpointChooser, part: Partial<Need>, service: ServiceDescription, expected: Opening][] = [
     ['a plain service is open', chooser([]), {}, desk, { type: 'open' }],
-    ['a pool is open when an engine that is heard takes requests', chooser([record('a'), record('b')], { a: closed, b: idle }), {}, drafting, { type: 'open' }],
-    ['also when the request was tried there', chooser([record('a')], { a: idle }), { tried: new Set(['a']) }, drafting, { type: 'open' }],
-    ['it opens with the first engine that tells when', chooser([record('a'), record('b'), record('c')], { a: { ...closed, opensIn: 900 }, b: { ...closed, opensIn: 400 }, c: closed }), {}, drafting, { type: 'expected', in: 350 }],
-    ['at once when that time has passed', chooser([record('a')], { a: { ...closed, opensIn: 20 } }), {}, drafting, { type: 'expected', in: 0 }],
-    ['an engine of too old a version opens with its next one', chooser([record('a')], { a: { ...idle, opensIn: 700 } }), { leastVersion: 2 }, drafting, { type: 'expected', in: 650 }],
-    ['nobody knows when engines that are heard do not tell', chooser([record('a')], { a: closed }), {}, drafting, { type: 'unknown' }],
-    ['it is silent when no agent is heard', chooser([record('a')]), {}, drafting, { type: 'silent' }]
+    ['a pool is open if an engine that reports accepts requests', chooser([record('a'), record('b')], { a: closed, b: idle }), {}, drafting, { type: 'open' }],
+    ['a pool is open also if the request was already tried there', chooser([record('a')], { a: idle }), { tried: new Set(['a']) }, drafting, { type: 'open' }],
+    ['a pool opens with the first engine that reports when', chooser([record('a'), record('b'), record('c')], { a: { ...closed, opensIn: 900 }, b: { ...closed, opensIn: 400 }, c: closed }), {}, drafting, { type: 'expected', in: 350 }],
+    ['a pool opens at once if the reported time has passed', chooser([record('a')], { a: { ...closed, opensIn: 20 } }), {}, drafting, { type: 'expected', in: 0 }],
+    ['an engine with too old a version opens with its next version', chooser([record('a')], { a: { ...idle, opensIn: 700 } }), { leastVersion: 2 }, drafting, { type: 'expected', in: 650 }],
+    ['the opening is unknown if no engine reports when it opens', chooser([record('a')], { a: closed }), {}, drafting, { type: 'unknown' }],
+    ['a pool is silent if no agent reports', chooser([record('a')]), {}, drafting, { type: 'silent' }]
   ]
   for (const [name, made, part, service, expected] of cases) it(name, () => assert.deepEqual(made.opening(service, { ...need, ...part }, 1_050), expected))
 })
 
-/** What is learnt of one start of an endpoint says nothing of the next. */
-describe('an endpoint that starts again under its id', () => {
+/** The state of one incarnation of an endpoint must not apply to the next. */
+describe('EndpointChooser, an endpoint that restarts with the same id', () => {
   const first = record('a', 'koshi', { born: 100 })
   const second = record('a', 'koshi', { born: 200 })
   const other = record('b', 'koshi', { models: [] })
 
   type Learn = (made: EndpointChooser) => void
   const state: [name: string, learn: Learn][] = [
-    ['a report of its load', made => made.heard(startOf(first), { ...idle, version: 0 }, 1_000)],
-    ['that it was switching', made => made.heard(startOf(first), { ...idle, accepting: false }, 1_000)],
-    ['that it refused', made => made.avoid(startOf(first), 'unreachable', 1_000)]
+    ['an earlier load report', made => made.heard(startOf(first), { ...idle, version: 0 }, 1_000)],
+    ['an earlier version switch', made => made.heard(startOf(first), { ...idle, accepting: false }, 1_000)],
+    ['an earlier connection failure', made => made.avoid(startOf(first), 'unreachable', 1_000)]
   ]
   for (const [name, learn] of state) {
-    it(`is not judged by ${name}`, () => {
+    it(`is not affected by ${name}`, () => {
       const made = chooser([first, other])
       learn(made)
       const before = chosen(made)
@@ -241,7 +241,7 @@
     })
   }
 
-  it('is not judged by its failures', () => {
+  it('is not affected by earlier failures', () => {
     const others = [record('b', 'next'), record('c', 'next')]
     const made = chooser([first, ...others], { [startOf(first)]: idle, b: idle, c: idle })
     for (let count = 0; count < 3; count += 1) made.ended(startOf(first), `request-${count}`, 'bad', 1_000)
@@ -251,11 +251,11 @@
     assert.deepEqual([before, chosen(made)], ['b', 'a'])
   })
 
-  it('may have a request that its earlier start was sent', () => {
+  it('can take a request that was sent to its earlier incarnation', () => {
     assert.equal(chosen(chooser([second]), { tried: new Set([startOf(first)]) }), 'a')
   })
 
-  it('is not slowed by what its earlier start had to do', () => {
+  it('is not affected by the load of its earlier incarnation', () => {
     const made = chooser([first, record('b', 'next')], { [startOf(first)]: busy, b: { ...idle, running: 6 } })
     assert.equal(chosen(made), 'b')
     made.setRecords([second, record('b', 'next')])
@@ -263,19 +263,19 @@
     assert.equal(chosen(made), 'a')
   })
 
-  it('takes no late report of its earlier start', () => {
+  it('ignores a late load report of its earlier incarnation', () => {
     const made = chooser([second])
     made.heard(startOf(first), { ...idle, version: 0 }, 1_000)
     assert.equal(chosen(made), 'a')
   })
 })
 
-describe('an engine that is not followed', () => {
+describe('EndpointChooser, an engine that is not followed', () => {
   const followed = (record: EndpointRecord): boolean => record.id !== 'far'
 
   const cases: [name: string, near: LoadReport, expected: string][] = [
-    ['is passed over while a followed one takes requests, however late', busy, 'near'],
-    ['is chosen where none does', { ...idle, accepting: false }, 'far']
+    ['is skipped while a followed engine accepts requests, however late its answer', busy, 'near'],
+    ['is chosen if no followed engine accepts requests', { ...idle, accepting: false }, 'far']
   ]
   for (const [name, near, expected] of cases) {
     it(name, () => {
@@ -287,7 +287,7 @@
   }
 })
 
-/** A gate that lets nothing to some endpoints for so long, and has a turn of others that would pass. */
+/** A gate that closes some endpoints for the given milliseconds, and holds permits for others that would lapse. */
 function gate (closed: Readonly<Record<string, number>>, due: readonly string[] = []): EndpointGate {
   const sparedFor = (start: string): SparedFor | undefined => closed[start] === undefined ? undefined : 'limited'
   return { quiet: false, sparedFor, isDue: start => due.includes(start), opensIn: start => closed[start] ?? 0, sent: () => {} }
@@ -300,28 +300,28 @@
   return made
 }
 
-describe('EndpointChooser, where endpoints ask for less', () => {
+describe('EndpointChooser with a gate', () => {
   const [a, b] = [record('a'), record('b')]
   const loads = { a: idle, b: busy }
   const wide = { usualObjective: 2_000 }
   const cases: [name: string, chosen: string | undefined, expected: string | undefined][] = [
-    ['sends what one does not take to the other, though it is busier', chosen(gated([a, b], gate({ a: 500 }), loads)), 'b'],
-    ['sends nothing where none takes any', chosen(gated([a, b], gate({ a: 500, b: 700 }), loads)), undefined],
-    ['uses a turn that would pass', chosen(gated([a, b], gate({}, ['b']), loads), wide), 'b'],
-    ['lets it pass where the answer would come late', chosen(gated([a, b], gate({}, ['b']), loads), { usualObjective: 100 }), 'a'],
-    ['does the same for plain endpoints', chosen(gated([a, b], gate({ a: 500 })), {}, desk), 'b']
+    ['chooses a busier endpoint if the other is closed', chosen(gated([a, b], gate({ a: 500 }), loads)), 'b'],
+    ['chooses no endpoint if all are closed', chosen(gated([a, b], gate({ a: 500, b: 700 }), loads)), undefined],
+    ['uses a permit that would lapse', chosen(gated([a, b], gate({}, ['b']), loads), wide), 'b'],
+    ['lets a permit lapse if the answer would be late', chosen(gated([a, b], gate({}, ['b']), loads), { usualObjective: 100 }), 'a'],
+    ['chooses another plain endpoint if one is closed', chosen(gated([a, b], gate({ a: 500 })), {}, desk), 'b']
   ]
   for (const [name, id, expected] of cases) it(name, () => assert.equal(id, expected))
 
   const openings: [name: string, service: ServiceDescription, closed: Record<string, number>, expected: Opening][] = [
     ['a pool', drafting, { a: 500, b: 700 }, { type: 'expected', in: 500 }],
     ['a plain service', desk, { a: 500, b: 700 }, { type: 'expected', in: 500 }],
-    ['a plain service with one that takes requests', desk, { a: 500 }, { type: 'open' }],
-    ['a service that all endpoints leave', desk, { a: Infinity, b: Infinity }, { type: 'unknown' }]
+    ['a plain service with an open endpoint', desk, { a: 500 }, { type: 'open' }],
+    ['a service whose endpoints are all leaving', desk, { a: Infinity, b: Infinity }, { type: 'unknown' }]
   ]
   for (const [name, service, closed, expected] of openings) {
-    it(`says when the first takes a request again: ${name}`, () => assert.deepEqual(gated([a, b], gate(closed), { a: idle, b: idle }).opening(service, need, 1_050), expected))
+    it(`returns when the first endpoint accepts a request again: ${name}`, () => assert.deepEqual(gated([a, b], gate(closed), { a: idle, b: idle }).opening(service, need, 1_050), expected))
   }
 
-  it('counts those that it spares', () => assert.deepEqual([...gated([a, b], gate({ a: 500 })).spared(1_050)], [['limited', 1]]))
+  it('counts closed endpoints', () => assert.deepEqual([...gated([a, b], gate({ a: 500 })).spared(1_050)], [['limited', 1]]))
 })
--- a/packages/core/src/test/lib/routing/choice/followed-engines_test.ts
+++ b/packages/core/src/test/lib/routing/choice/followed-engines_test.ts
@@ -13,7 +13,7 @@
   return names.flatMap(availabilityZone => Array.from({ length: perZone }, (_, index) => ({ agent: `${availabilityZone}-${index}`, availabilityZone })))
 }
 
-/** How many engines of each zone an entry of zone a follows. */
+/** The number of engines of each zone that an entry in zone a follows. */
 function perZone (list: readonly EngineAt[]): number[] {
   const followed = enginesToFollow('entry-1', 'a', list)
   return zones.map(zone => list.filter(({ agent, availabilityZone }) => availabilityZone === zone && followed.has(agent)).length)
@@ -21,15 +21,15 @@
 
 describe('enginesToFollow', () => {
   const cases: [name: string, list: EngineAt[], expected: number[]][] = [
-    ['all of a few', engines(3), [3, 3, 3, 3, 3]],
-    ['a dozen of the own zone and two of each other one', engines(17), [12, 2, 2, 2, 2]],
-    ['more of other zones where there are fewer of them', engines(12, ['a', 'b', 'c']), [12, 4, 4, 0, 0]],
-    ['more of other zones where the own one has few', [...engines(4, ['a']), ...engines(20, ['b', 'c', 'd', 'e'])], [4, 4, 4, 4, 4]],
-    ['others where the own zone has none', engines(20, ['b', 'c', 'd', 'e']), [0, 5, 5, 5, 5]]
+    ['all engines of a small deployment', engines(3), [3, 3, 3, 3, 3]],
+    ['twelve of its own zone and two of each other zone', engines(17), [12, 2, 2, 2, 2]],
+    ['more of each other zone if there are fewer zones', engines(12, ['a', 'b', 'c']), [12, 4, 4, 0, 0]],
+    ['more of other zones if its own zone has few', [...engines(4, ['a']), ...engines(20, ['b', 'c', 'd', 'e'])], [4, 4, 4, 4, 4]],
+    ['engines of other zones if its own zone has none', engines(20, ['b', 'c', 'd', 'e']), [0, 5, 5, 5, 5]]
   ]
   for (const [name, list, expected] of cases) it(`follows ${name}`, () => assert.deepEqual(perZone(list), expected))
 
-  it('moves nobody but the one that leaves and the one that takes its place', () => {
+  it('replaces only the engine that leaves', () => {
     const list = engines(24)
     const before = enginesToFollow('entry-1', 'a', list)
     const [left = ''] = before
@@ -37,7 +37,7 @@
     assert.equal([...after].filter(agent => !before.has(agent)).length, 1)
   })
 
-  it('gives each of 84 engines about as many of 98 entries as any other', () => {
+  it('spreads 98 entries nearly evenly over 84 engines', () => {
     const list = engines(17).slice(0, 84)
     const followers = new Map<string, number>()
     for (let entry = 0; entry < 98; entry += 1) {
--- a/packages/core/src/test/lib/routing/choice/request-rate_test.ts
+++ b/packages/core/src/test/lib/routing/choice/request-rate_test.ts
@@ -9,9 +9,9 @@
 
 describe('RequestRate', () => {
   const cases: [name: string, pause: number, since: number, least: number, most: number][] = [
-    ['tells a steady rate', 50, 0, 0.018, 0.022],
-    ['fades when nothing comes', 50, 3_000, 0.001, 0.004],
-    ['tells a high rate', 5, 0, 0.19, 0.21]
+    ['measures a steady rate', 50, 0, 0.018, 0.022],
+    ['decays without requests', 50, 3_000, 0.001, 0.004],
+    ['measures a high rate', 5, 0, 0.19, 0.21]
   ]
   for (const [name, pause, since, least, most] of cases) {
     it(name, () => {
@@ -22,5 +22,5 @@
     })
   }
 
-  it('is nothing before the first request', () => assert.equal(new RequestRate().perMillisecond(5_000), 0))
+  it('is 0 before the first request', () => assert.equal(new RequestRate().perMillisecond(5_000), 0))
 })
