--- a/packages/core/src/lib/routing/limits/endpoint-absences.ts
+++ b/packages/core/src/lib/routing/limits/endpoint-absences.ts
@@ -4,38 +4,38 @@
  * SPDX-License-Identifier: BSD-3-Clause
  */
 /**
- * Endpoints that want nothing, as they said themselves in an answer. The load that it answers: an endpoint that leaves while the store
- * takes no writes, so that the list calls it ready until it has ended; and endpoints that turn requests away faster than entries look
- * for another one, and ask for some seconds of rest.
+ * Tracks endpoints that announced in an answer that they are leaving or want no requests for some time. This covers an endpoint that
+ * shuts down while the store accepts no writes, so that its record remains ready until it has ended, and overloaded endpoints that
+ * reject requests faster than entries choose another one, and ask for a pause of some seconds.
  */
 import type { EndpointGate, SparedFor } from '../choice/endpoint-gate.js'
 
-/** A rest beyond this is more than an endpoint in need can mean, in milliseconds: one hour. */
+/** The longest accepted pause, in milliseconds: one hour is more than an overloaded endpoint can need. */
 const LONGEST_REST = 3_600_000
-/** Bounds of memory: more starts of endpoints than any list has. */
+/** Memory bound: more incarnations of endpoints than any deployment lists. */
 const MOST_REMEMBERED = 1_024
 
 /**
- * Whether an endpoint can mean a rest of so many milliseconds; what makes no sense is not heeded.
+ * Whether a pause that an endpoint asks for, in milliseconds, is plausible; others are ignored.
  *
  * @example
  * isRest(3_000) // true
  */
 export function isRest (milliseconds: number): boolean { return milliseconds >= 0 && milliseconds <= LONGEST_REST }
 
-/** The endpoints that want nothing, as one entry heard it. */
+/** The endpoints that are leaving or paused, as announced to one entry. */
 export class EndpointAbsences implements Pick<EndpointGate, 'quiet' | 'sparedFor' | 'opensIn'> {
   private readonly _leaving = new Set<string>()
-  /** Until when each endpoint wants nothing from this entry. */
+  /** The time until which each endpoint wants no requests from this entry. */
   private readonly _restsUntil = new Map<string, number>()
 
   get quiet (): boolean { return this._leaving.size === 0 && this._restsUntil.size === 0 }
 
   /**
-   * An endpoint said that it leaves. No list takes that back, nor an answer that was made before: a start that leaves is never sent to
-   * again.
+   * Records that an endpoint is leaving. This is final: neither its record nor a delayed earlier answer reverts it, and no request is
+   * sent to this incarnation again.
    *
-   * @returns Whether that is news.
+   * @returns Whether this was unknown before.
    */
   leaves (start: string): boolean {
     if (this._leaving.has(start)) return false
@@ -45,10 +45,10 @@
   }
 
   /**
-   * An endpoint turned a request of this entry away and wants nothing for so long, in milliseconds. What it asked for before holds on:
-   * answers overtake each other, and each was meant for this entry.
+   * Records that an endpoint rejected a request of this entry and asked for a pause, in milliseconds. A longer pause from an earlier
+   * answer remains in force, since answers can arrive out of order and each was addressed to this entry.
    *
-   * @returns Whether it rested not before.
+   * @returns Whether the endpoint was not paused before.
    */
   rests (start: string, milliseconds: number, now: number): boolean {
     const until = now + milliseconds
@@ -67,7 +67,7 @@
 
   opensIn (start: string, now: number): number { return this._leaving.has(start) ? Infinity : this._restOf(start, now) }
 
-  /** What is left of an endpoint's rest, in milliseconds. */
+  /** The remaining pause of an endpoint, in milliseconds. */
   private _restOf (start: string, now: number): number {
     return Math.max(0, (this._restsUntil.get(start) ?? -Infinity) - now)
   }
--- a/packages/core/src/lib/routing/limits/endpoint-limits.ts
+++ b/packages/core/src/lib/routing/limits/endpoint-limits.ts
@@ -3,37 +3,37 @@
  * Copyright 2026 the drumdrift contributors
  * SPDX-License-Identifier: BSD-3-Clause
  */
-/** The limits that endpoints name, as one entry heeds them: which one holds for each start of an endpoint, and its part of it. */
+/** Applies the rate limits that endpoints announce: tracks the limit of each incarnation of an endpoint, and this entry's share of it. */
 import type { EndpointGate, SparedFor } from '../choice/endpoint-gate.js'
 import { LimitBook, type LimitNews, type LimitStatement } from './limit-book.js'
 import { LimitShare } from './limit-share.js'
 
-/** A limit that began, changed or ended. */
+/** A rate limit that started, changed or ended. */
 export interface LimitChange {
   readonly start: string
-  /** Requests a second; nothing when it ended. */
+  /** The limit in requests per second; `undefined` if it ended. */
   readonly limit: number | undefined
-  /** What this entry may send of it, in requests a second; nothing when it ended. */
+  /** This entry's share of the limit, in requests per second; `undefined` if it ended. */
   readonly share: number | undefined
 }
 
 const MILLISECONDS_PER_SECOND = 1_000
 
-/** The limits of all endpoints. */
+/** The rate limits of all endpoints. */
 export class EndpointLimits implements EndpointGate {
   private readonly _book = new LimitBook()
   private readonly _shares = new Map<string, LimitShare>()
 
   /**
-   * @param _entries How many entries share the limits; nothing while that is not known.
-   * @param _draw Random numbers in [0, 1).
+   * @param _entries Returns the number of entries that share the limits, or `undefined` if it is unknown.
+   * @param _draw Returns random numbers in [0, 1).
    */
   constructor (private readonly _entries: (now: number) => number | undefined, private readonly _draw: () => number) {}
 
   /**
-   * An answer to this entry said something.
+   * Records the limit announced in an answer to this entry.
    *
-   * @returns The change, to be logged and told to others.
+   * @returns The change, to log and to share with other processes; `undefined` if there is none.
    * @example
    * const change = limits.heard(start, { limit: 1.1, askedAt: sentAt, heardAt: now }, now)
    */
@@ -41,16 +41,16 @@
     return this._book.heard(start, statement, now) ? this._changed(start, now) : undefined
   }
 
-  /** Other entries heard something. Returns the changes. */
+  /** Adds the limits that another process reports and returns the changes. */
   told (news: LimitNews, now: number): LimitChange[] {
     return this._book.told(news, now).map(({ start }) => this._changed(start, now))
   }
 
-  /** What a process that told something should know, since it holds otherwise here. */
+  /** Returns this process's statements about endpoints whose reported limit differs from the one here, to send back to the reporter. */
   corrections (news: LimitNews, now: number): LimitNews { return this._book.corrections(news, now) }
-  /** What others should know of an endpoint whose limit changed. */
+  /** Returns the report on one endpoint, to share when its limit changed. */
   report (start: string, now: number): LimitNews { return this._book.report(start, now) }
-  /** What a process should know that starts, or was cut off. */
+  /** Returns the reports on all endpoints, for a process that starts or was partitioned. */
   known (now: number): LimitNews { return this._book.known(now) }
 
   get quiet (): boolean { return this._shares.size === 0 }
@@ -60,7 +60,7 @@
     return this._shareOf(start, now)?.maySend(now) === false ? 'limited' : undefined
   }
 
-  /** Every entry's turn counts: it is how an endpoint gets what it takes, and how its entries hear that it takes more. */
+  /** A permit should not lapse: requests use the endpoint's capacity, and only their answers can announce a higher limit. */
   isDue (start: string, now: number): boolean {
     return !this.quiet && this._shareOf(start, now)?.maySend(now) === true
   }
@@ -71,13 +71,13 @@
 
   opensIn (start: string, now: number): number { return this._shareOf(start, now)?.nextIn(now) ?? 0 }
 
-  /** The part of a limit that this entry has, or nothing where the limit is too old to hold. */
+  /** This entry's share of a limit; `undefined` if there is no limit or it has expired. */
   private _shareOf (start: string, now: number): LimitShare | undefined {
     if (this._book.limitOf(start, now) === undefined) this._shares.delete(start)
     return this._shares.get(start)
   }
 
-  /** Endpoints that are gone are asked for no more. */
+  /** Drops the shares of expired limits, such as those of endpoints that are gone and no longer looked up. */
   private _dropLapsed (now: number): void {
     for (const start of this._shares.keys()) this._shareOf(start, now)
   }
--- a/packages/core/src/lib/routing/limits/endpoint-notices.ts
+++ b/packages/core/src/lib/routing/limits/endpoint-notices.ts
@@ -4,36 +4,36 @@
  * SPDX-License-Identifier: BSD-3-Clause
  */
 /**
- * What endpoints say of themselves in their answers, and what follows for those who send to them: whoever wants nothing is not asked
- * what it takes.
+ * Handles the notices that endpoints attach to their answers, and restricts requests accordingly. An endpoint that is leaving or paused
+ * gets no requests, whatever its rate limit.
  */
 import type { EndpointGate, SparedFor } from '../choice/endpoint-gate.js'
 import { EndpointAbsences, isRest } from './endpoint-absences.js'
 import type { EndpointLimits, LimitChange } from './endpoint-limits.js'
 import { isLimit } from './limit-book.js'
 
-/** What an endpoint says of itself in an answer of any kind, besides the answer. */
+/** The notice that an endpoint attaches to an answer of any kind. */
 export interface EndpointNotice {
   /**
-   * Requests a second that it takes from all entries together; nothing when it names no limit. `unsaid`: that it names none says nothing,
-   * since what came is no answer of its own.
+   * The endpoint's rate limit for all entries together, in requests per second; `undefined` if the answer announces none. `unsaid`: the
+   * answer was not made by the endpoint itself, so a missing limit means nothing.
    */
   readonly limit: number | 'unreadable' | 'unsaid' | undefined
-  /** Whether it will end soon and wants no new work. */
+  /** Whether the endpoint will end soon and wants no new requests. */
   readonly leaving: boolean
-  /** Milliseconds for which it wants nothing from this process, since it turned its request away; nothing when it does not say. */
+  /** Milliseconds for which the endpoint wants no requests from this process after it rejected one; `undefined` if it does not say. */
   readonly rest: number | 'unreadable' | undefined
 }
 
-/** What changed by a notice. */
+/** A change caused by a notice. */
 export type NoticeChange =
   | { readonly type: 'limit', readonly change: LimitChange }
   | { readonly type: 'leaving', readonly start: string }
   | { readonly type: 'resting', readonly start: string, readonly rest: number }
-  /** It cannot be meant, so what was known holds on. */
+  /** The value is implausible; the previous state remains in force. */
   | { readonly type: 'refused', readonly start: string, readonly what: 'limit' | 'rest', readonly value: string }
 
-/** What the endpoints asked of one process. */
+/** The restrictions that endpoints have announced to one process. */
 export class EndpointNotices implements EndpointGate {
   private readonly _absences = new EndpointAbsences()
 
@@ -44,10 +44,10 @@
   constructor (readonly limits: EndpointLimits) {}
 
   /**
-   * An answer said something of its endpoint.
+   * Applies the notice in an answer.
    *
-   * @param askedAt When its request was sent.
-   * @returns What changed, to be logged.
+   * @param askedAt The time at which the request was sent.
+   * @returns The changes, to log.
    */
   heard (start: string, { limit, leaving, rest }: EndpointNotice, askedAt: number, now: number): NoticeChange[] {
     const changes: (NoticeChange | undefined)[] = [
--- a/packages/core/src/lib/routing/limits/limit-book.ts
+++ b/packages/core/src/lib/routing/limits/limit-book.ts
@@ -4,75 +4,75 @@
  * SPDX-License-Identifier: BSD-3-Clause
  */
 /**
- * What endpoints said of the requests that they take: the newest of each start of one, by whichever entry heard it. Statements overtake
- * each other, on connections of one entry and on the ways between processes, so a limit is only raised or lifted by an answer to a
- * request that was sent after the limit was heard.
+ * Stores the newest rate limit statement of each incarnation of an endpoint, as received by any entry. Statements can arrive out of
+ * order, both on connections of one entry and between processes, so a limit is raised or lifted only by an answer to a request that
+ * was sent after the limit was received.
  */
 
-/** What an answer said of its endpoint's limit. */
+/** The rate limit that an answer announced. */
 export interface LimitStatement {
-  /** Requests a second that it takes from all entries together; nothing when it named no limit. */
+  /** The endpoint's limit for all entries together, in requests per second; `undefined` if the answer announced none. */
   readonly limit: number | undefined
-  /** When the request was sent, and when its answer was heard, by this process's clock. The endpoint said it in between. */
+  /** When the request was sent, and when its answer was received, by this process's clock. The endpoint made the statement in between. */
   readonly askedAt: number
   readonly heardAt: number
 }
 
-/** A statement as a process tells it to another; ages in milliseconds, since clocks differ. */
+/** A statement as sent to other processes; it carries ages in milliseconds, since clocks differ. */
 export interface LimitReport {
-  /** The start of the endpoint: see `startOf`. */
+  /** The incarnation of the endpoint: see `startOf`. */
   readonly start: string
-  /** Nothing when no limit holds any more. */
+  /** The limit in requests per second; `null` if there is none any more. */
   readonly limit: number | null
   readonly askedAge: number
   readonly heardAge: number
 }
 
-/** What processes tell each other of limits. */
+/** The limit reports that processes share. */
 export type LimitNews = readonly LimitReport[]
 
-/** A limit above this names nothing that any fleet could exceed, in requests a second: it was misread, or made up. */
+/** The highest accepted limit, in requests per second: no fleet could exceed it, so a higher value is an error. */
 const GREATEST_LIMIT = 100_000
-/** How long what was said is remembered, in milliseconds: longer than an entry of the largest fleet goes without a turn. */
+/** How long a statement is kept, in milliseconds: longer than the interval between permits of an entry in the largest fleet. */
 const STATEMENT_LIFETIME = 600_000
 /**
- * What is told is on its way for so long at most, in milliseconds, and was said so much earlier than its age tells. Without that a
- * statement grew younger with each process that passed it on, and two of them replaced each other without end.
+ * The longest delivery time of a report, in milliseconds, which is added to its age. Without it, a statement became younger with each
+ * process that forwarded it, and two statements replaced each other endlessly.
  */
 const LONGEST_WAY = 1_000
-/** Bounds of memory and of one message: more endpoints than any pool has. */
+/** Bound of memory and of the reports in one message: more endpoints than any pool has. */
 const MOST_STATEMENTS = 1_024
 const LONGEST_START = 200
 
 /**
- * Whether an endpoint can mean a limit; what makes no sense is not heeded, and what it said before holds on.
+ * Whether an announced limit is plausible; others are ignored, and the previous limit remains in force.
  *
  * @example
  * isLimit(1.1) // true
  */
 export function isLimit (limit: number): boolean { return limit >= 0 && limit <= GREATEST_LIMIT }
 
-/** The statements that one process knows. */
+/** The rate limit statements known to one process. */
 export class LimitBook {
   private readonly _statements = new Map<string, LimitStatement>()
 
-  /** The limit of an endpoint, in requests a second; nothing when none is known. */
+  /** The limit of an endpoint, in requests per second; `undefined` if none is known. */
   limitOf (start: string, now: number): number | undefined {
     const { limit, heardAt = -Infinity } = this._statements.get(start) ?? {}
     return limit === undefined || now - heardAt > STATEMENT_LIFETIME ? undefined : limit
   }
 
   /**
-   * Takes a statement.
+   * Adds a statement.
    *
-   * @returns Whether the limit is another one now.
+   * @returns Whether the limit changed.
    * @example
    * if (book.heard(start, { limit: 1.1, askedAt, heardAt: now }, now)) tellOthers()
    */
   heard (start: string, statement: LimitStatement, now: number): boolean {
     const known = this._statements.get(start)
     const before = this.limitOf(start, now)
-    // Most endpoints never name a limit, and nothing is kept of them.
+    // Most endpoints never announce a limit; no statements of these are stored.
     if (known === undefined && statement.limit === undefined) return false
     const held = known === undefined ? statement : newer(known, statement)
     if (held === known) return false
@@ -86,9 +86,9 @@
   }
 
   /**
-   * Takes what another process tells.
+   * Adds the reports of another process.
    *
-   * @returns What changed a limit here.
+   * @returns The reports that changed a limit here.
    */
   told (news: LimitNews, now: number): LimitNews {
     return news.filter(({ start, limit, askedAge, heardAge }) => {
@@ -97,26 +97,27 @@
   }
 
   /**
-   * What a process that told something should know, since it holds otherwise here. Of two statements that may have been made in either
-   * order it keeps the lower limit, and would keep it until its next turn; a later statement settles it.
+   * Returns this process's statements about endpoints whose reported limit differs from the one here. If the order of two statements
+   * is unknown, the reporter keeps the lower limit until its next request to the endpoint; a later statement from here resolves this
+   * sooner.
    */
   corrections (news: LimitNews, now: number): LimitNews {
     return news.filter(({ start, limit }) => this.limitOf(start, now) !== (limit ?? undefined)).flatMap(({ start }) => this.report(start, now))
   }
 
-  /** What is known of one endpoint, to be told. */
+  /** Returns the report on one endpoint, to share; empty if it has no statement. */
   report (start: string, now: number): LimitNews {
     const statement = this._statements.get(start)
     return statement === undefined ? [] : [{ start, limit: statement.limit ?? null, askedAge: Math.max(0, now - statement.askedAt), heardAge: Math.max(0, now - statement.heardAt) }]
   }
 
-  /** All that holds, for a process that starts, or was cut off: also that limits ended, which it may have missed. */
+  /** Returns all current statements, for a process that starts or was partitioned; includes ended limits, which it may have missed. */
   known (now: number): LimitNews {
     return [...this._statements].filter(([, { heardAt }]) => now - heardAt <= STATEMENT_LIFETIME).flatMap(([start]) => this.report(start, now))
   }
 }
 
-/** Of two statements the one that the endpoint made later; where nobody can tell, the one that asks for more care. */
+/** Returns the later of two statements, or the lower limit if their order cannot be determined. */
 function newer (known: LimitStatement, told: LimitStatement): LimitStatement {
   if (told.askedAt >= known.heardAt) return told
   if (told.heardAt <= known.askedAt) return known
@@ -124,9 +125,8 @@
 }
 
 /**
- * Reads what a process tells.
+ * Validates limit reports received from another process; returns `undefined` if they are malformed.
  *
- * @returns Nothing when it cannot be read.
  * @example
  * const news = readLimitNews([{ start: 'engine-7', limit: 1.1, askedAge: 130, heardAge: 20 }])
  */
--- a/packages/core/src/lib/routing/limits/limit-share.ts
+++ b/packages/core/src/lib/routing/limits/limit-share.ts
@@ -4,42 +4,42 @@
  * SPDX-License-Identifier: BSD-3-Clause
  */
 /**
- * One entry's part of the requests that an endpoint in need takes from all entries together. The load that it answers: an endpoint
- * that asks for about one request a second, before 6 to 380 entries that do not see what each other sends.
+ * One entry's share of an endpoint's rate limit, which applies to all entries together. It is designed for overloaded endpoints that
+ * accept about one request per second, from 6 to 380 entries that do not see each other's requests.
  *
- * Each entry earns rights to send at an equal part of the limit, out of step with the others: it begins at a random place in its own
- * turn, so that what all begin with is what they would have earned in any other moment. A right lapses soon when nobody needs it.
- * Kept until it is needed, one saved right of each entry is 98 requests at once in a fleet of 98.
+ * Each entry earns permits at an equal share of the limit. Entries start at a random phase between two permits, so that they are not
+ * synchronised and start with no more than they would have earned at any other time. An unused permit lapses soon: if permits were
+ * kept, one saved permit per entry would allow 98 simultaneous requests in a fleet of 98.
  */
 import { ASSUMED_ENTRIES } from '../attempts/fleet-size.js'
 
-/** The operators count in stretches of this length, in milliseconds, and allow so much in one. */
+/** The operators' window, in milliseconds, and the requests allowed in it: a multiple of the limit, and a fixed number beyond that. */
 const STRETCH = 4_000
 const ALLOWED_FACTOR = 1.5
 const ALLOWED_BEYOND = 5
-/** A right that nobody used lapses after this, in milliseconds: requests to a small service come that often to one entry. */
+/** An unused permit lapses after this time, in milliseconds: one entry receives requests for a small service about this often. */
 export const RIGHT_LIFETIME = 1_000
 /**
- * Turns of many entries fall together by chance. So many standard deviations above the mean must still be allowed: one stretch in
- * some ten thousand has more.
+ * Permits of many entries coincide by chance. This many standard deviations above the mean must still be allowed; about one window in
+ * ten thousand exceeds it.
  */
 const DEVIATIONS = 5
 /**
- * An endpoint that takes less than this is asked all the same, in requests a second of all entries together: one that is never asked
- * could never say that it takes more.
+ * The least rate of requests from all entries together, in requests per second, also for a lower limit: without any request, an
+ * endpoint could never announce a higher limit.
  */
 const LEAST_LIMIT = 0.25
-/** How finely the used part of a limit is worked out, and the least that is used of one. */
+/** The resolution of the used share of a limit, and its minimum. */
 const SHARE_STEP = 0.05
-/** Rights that an entry may hold at once at high limits; more than it sends in the lifetime of one. */
+/** The most permits that an entry may hold at once at high limits; more than it sends in the lifetime of one. */
 const MOST_RIGHTS = 64
 const MILLISECONDS_PER_SECOND = 1_000
 
 /**
- * The part of a limit that may be used, so that turns which fall together stay within what is allowed: all of it before few entries,
- * whose turns cannot all fall together, and less before many.
+ * The share of a limit that may be used so that coinciding permits stay within the allowed number of requests: all of it for few
+ * entries, whose permits cannot all coincide, and less for many.
  *
- * @param limit In requests a second.
+ * @param limit In requests per second.
  * @example
  * usedShare(1.1, 6) // 1
  */
@@ -51,24 +51,24 @@
   return SHARE_STEP
 }
 
-/** Requests in a stretch that are hardly ever exceeded. Rights of just before it may be used in it. */
+/** An upper bound on the requests in a window that is rarely exceeded. It includes permits earned just before the window. */
 function mostExpected (rate: number, entries: number): number {
   const turns = rate / entries * (STRETCH + RIGHT_LIFETIME) / MILLISECONDS_PER_SECOND
   const uncertain = turns % 1
   return entries * turns + DEVIATIONS * Math.sqrt(entries * uncertain * (1 - uncertain))
 }
 
-/** What one entry may send to one endpoint. */
+/** The permits of one entry for one endpoint. */
 export class LimitShare {
-  /** When each right that is left was earned. */
+  /** The times at which the remaining permits were earned. */
   private _rights: number[] = []
-  /** The part of the next right that is earned. */
+  /** The earned fraction of the next permit. */
   private _earned: number
   private _lookedAt: number
 
   /**
-   * @param _limit What the endpoint takes from all entries together, in requests a second.
-   * @param _entries How many entries share it; nothing while that is not known.
+   * @param _limit The endpoint's limit for all entries together, in requests per second.
+   * @param _entries Returns the number of entries that share the limit, or `undefined` if it is unknown.
    * @param draw A random number in [0, 1).
    */
   constructor (private _limit: number, private readonly _entries: (now: number) => number | undefined, draw: number, now: number) {
@@ -76,7 +76,7 @@
     this._lookedAt = now
   }
 
-  /** The endpoint takes more or less from now on. What was earned stays: drawn anew with each change, it would be earned twice. */
+  /** Changes the limit. The earned permits are kept: with a new random phase after each change, they would be earned twice. */
   change (limit: number, now: number): void {
     this._earn(now)
     this._limit = limit
@@ -98,13 +98,13 @@
     this._rights.shift()
   }
 
-  /** When the next request may be sent, in milliseconds from now. */
+  /** The time until the next request may be sent, in milliseconds. */
   nextIn (now: number): number {
     this._earn(now)
     return this._rights.length > 0 ? 0 : (1 - this._earned) / this.rate(now)
   }
 
-  /** Requests that this entry may send in a millisecond. */
+  /** The rate at which this entry may send, in requests per millisecond. */
   rate (now: number): number {
     const entries = Math.max(1, this._entries(now) ?? ASSUMED_ENTRIES)
     return usedShare(this._limit, entries) * Math.max(LEAST_LIMIT, this._limit) / entries / MILLISECONDS_PER_SECOND
--- a/packages/core/src/test/lib/routing/limits/endpoint-notices_test.ts
+++ b/packages/core/src/test/lib/routing/limits/endpoint-notices_test.ts
@@ -13,7 +13,7 @@
 
 function fresh (): EndpointNotices { return new EndpointNotices(new EndpointLimits(() => 6, () => 0.5)) }
 
-/** What some notices change, heard one after the other, a second apart. */
+/** The types of the changes caused by notices that arrive one second apart. */
 function changes (...notices: Partial<EndpointNotice>[]): NoticeChange['type'][] {
   const heard = fresh()
   return notices.flatMap((notice, second) => heard.heard(start, { ...nothing, ...notice }, second * 1_000, second * 1_000 + 10).map(({ type }) => type))
@@ -21,28 +21,28 @@
 
 describe('EndpointNotices', () => {
   const cases: [name: string, changed: NoticeChange['type'][], expected: NoticeChange['type'][]][] = [
-    ['nothing', changes({}, {}), []],
-    ['a limit, once for as long as it stays the same', changes({ limit: 1.1 }, { limit: 1.1 }, { limit: 2 }, {}), ['limit', 'limit', 'limit']],
-    ['leaving, once', changes({ leaving: true }, { leaving: true }, {}), ['leaving']],
-    ['a rest, and another after its end', changes({ rest: 3_000 }, { rest: 3_000 }, {}, {}, {}, { rest: 500 }), ['resting', 'resting']],
-    ['no end of a limit by an answer that is nobody\'s', changes({ limit: 1.1 }, { limit: 'unsaid' }, { limit: 'unsaid' }), ['limit']],
-    ['no rest of no time', changes({ rest: 0 }), []],
+    ['no change for empty notices', changes({}, {}), []],
+    ['a limit only when it changes', changes({ limit: 1.1 }, { limit: 1.1 }, { limit: 2 }, {}), ['limit', 'limit', 'limit']],
+    ['leaving only once', changes({ leaving: true }, { leaving: true }, {}), ['leaving']],
+    ['a pause, and another one after its end', changes({ rest: 3_000 }, { rest: 3_000 }, {}, {}, {}, { rest: 500 }), ['resting', 'resting']],
+    ['no end of a limit for an answer that the endpoint did not make', changes({ limit: 1.1 }, { limit: 'unsaid' }, { limit: 'unsaid' }), ['limit']],
+    ['no pause of 0 milliseconds', changes({ rest: 0 }), []],
     ['all three at once', changes({ limit: 1.1, leaving: true, rest: 100 }), ['leaving', 'resting', 'limit']],
-    ['what cannot be meant', changes({ limit: 'unreadable' }, { limit: 1e9 }, { rest: 'unreadable' }, { rest: -1 }), ['refused', 'refused', 'refused', 'refused']]
+    ['implausible values as refused', changes({ limit: 'unreadable' }, { limit: 1e9 }, { rest: 'unreadable' }, { rest: -1 }), ['refused', 'refused', 'refused', 'refused']]
   ]
-  for (const [name, changed, expected] of cases) it(`tells of ${name}`, () => assert.deepEqual(changed, expected))
+  for (const [name, changed, expected] of cases) it(`reports ${name}`, () => assert.deepEqual(changed, expected))
 
   const spared: [name: string, notice: Partial<EndpointNotice>, at: number, reason: string | undefined, opensIn: number][] = [
-    ['one that asks for nothing', {}, 20, undefined, 0],
-    ['one that rests', { rest: 3_000 }, 1_010, 'resting', 2_000],
-    ['one whose rest is over', { rest: 3_000 }, 3_011, undefined, 0],
-    ['one that leaves, for good', { leaving: true, rest: 3_000 }, 600_000, 'leaving', Infinity],
-    ['one whose limit leaves no turn yet', { limit: 1 }, 1_010, 'limited', 2_000],
-    ['one whose turn has come', { limit: 1 }, 3_200, undefined, 0],
-    ['one whose turn has come while it rests', { limit: 1, rest: 5_000 }, 3_200, 'resting', 1_810]
+    ['an endpoint without restrictions', {}, 20, undefined, 0],
+    ['a paused endpoint', { rest: 3_000 }, 1_010, 'resting', 2_000],
+    ['an endpoint whose pause has ended', { rest: 3_000 }, 3_011, undefined, 0],
+    ['a leaving endpoint, permanently', { leaving: true, rest: 3_000 }, 600_000, 'leaving', Infinity],
+    ['a rate-limited endpoint without a permit', { limit: 1 }, 1_010, 'limited', 2_000],
+    ['a rate-limited endpoint with a permit', { limit: 1 }, 3_200, undefined, 0],
+    ['a paused endpoint with a permit', { limit: 1, rest: 5_000 }, 3_200, 'resting', 1_810]
   ]
   for (const [name, notice, at, reason, opensIn] of spared) {
-    it(`knows ${name}`, () => {
+    it(`restricts ${name}`, () => {
       const notices = fresh()
       notices.heard(start, { ...nothing, ...notice }, 0, 10)
       assert.deepEqual([notices.sparedFor(start, at), Math.round(notices.opensIn(start, at))], [reason, opensIn])
@@ -50,20 +50,20 @@
     })
   }
 
-  it('keeps what one start says from another start of the endpoint', () => {
+  it('does not apply the notice of one incarnation of an endpoint to another', () => {
     const notices = fresh()
     notices.heard(start, { limit: 0, leaving: true, rest: 9_000 }, 0, 10)
     assert.equal(notices.sparedFor('engine-7@1800', 20), undefined)
   })
 
-  it('is quiet until an endpoint asks for something', () => {
+  it('is quiet until an endpoint has a restriction', () => {
     const notices = fresh()
     const before = notices.quiet
     notices.heard(start, { ...nothing, rest: 100 }, 0, 10)
     assert.deepEqual([before, notices.quiet], [true, false])
   })
 
-  it('lets as many through in a rest as arrive before it is heard, and none after: all of a crowd that is turned away', () => {
+  it('sends requests to an overloaded endpoint only until the first notice of a pause arrives', () => {
     const notices = fresh()
     let sent = 0
     for (let now = 0; now < 3_000; now += 5) {
@@ -74,7 +74,7 @@
     assert.equal(sent, 5)
   })
 
-  it('remembers a bounded number of endpoints that leave', () => {
+  it('stores a bounded number of leaving endpoints', () => {
     const notices = fresh()
     for (let index = 0; index < 3_000; index += 1) notices.heard(`engine-${index}`, { ...nothing, leaving: true }, 0, index)
     assert.deepEqual([notices.sparedFor('engine-0', 3_000), notices.sparedFor('engine-2999', 3_000)], [undefined, 'leaving'])
--- a/packages/core/src/test/lib/routing/limits/limit-book_test.ts
+++ b/packages/core/src/test/lib/routing/limits/limit-book_test.ts
@@ -10,7 +10,7 @@
 const start = 'engine-7@1700'
 const named: LimitStatement = { limit: 1.1, askedAt: 100, heardAt: 200 }
 
-/** The limit after some statements, each taken when it was heard. */
+/** The limit after some statements, each added when it is received. */
 function limitAfter (...statements: LimitStatement[]): number | undefined {
   const book = new LimitBook()
   for (const statement of statements) book.heard(start, statement, statement.heardAt)
@@ -19,20 +19,20 @@
 
 describe('LimitBook', () => {
   const cases: [name: string, limit: number | undefined, expected: number | undefined][] = [
-    ['nothing of an endpoint that names none', limitAfter({ limit: undefined, askedAt: 0, heardAt: 10 }), undefined],
-    ['what was named', limitAfter(named), 1.1],
-    ['a limit of nothing at all', limitAfter({ ...named, limit: 0 }), 0],
-    ['a lower one, whenever it was asked for', limitAfter(named, { limit: 0.5, askedAt: 90, heardAt: 210 }), 0.5],
-    ['a higher one that was asked for after the limit was heard', limitAfter(named, { limit: 3, askedAt: 201, heardAt: 300 }), 3],
-    ['the limit, when a higher one may have been said before', limitAfter(named, { limit: 3, askedAt: 150, heardAt: 300 }), 1.1],
-    ['no limit any more once an answer that was asked for later names none', limitAfter(named, { limit: undefined, askedAt: 201, heardAt: 300 }), undefined],
-    ['the limit, when an answer without one may have been made before', limitAfter(named, { limit: undefined, askedAt: 150, heardAt: 900 }), 1.1],
-    ['the end of a limit, when an older answer with it comes late', limitAfter(named, { limit: undefined, askedAt: 201, heardAt: 300 }, { limit: 1.1, askedAt: 120, heardAt: 200 }), undefined],
-    ['a limit that is named again after its end', limitAfter(named, { limit: undefined, askedAt: 201, heardAt: 300 }, { limit: 2, askedAt: 301, heardAt: 400 }), 2]
+    ['no limit for an endpoint that announces none', limitAfter({ limit: undefined, askedAt: 0, heardAt: 10 }), undefined],
+    ['the announced limit', limitAfter(named), 1.1],
+    ['a limit of 0', limitAfter({ ...named, limit: 0 }), 0],
+    ['a lower limit, whenever its request was sent', limitAfter(named, { limit: 0.5, askedAt: 90, heardAt: 210 }), 0.5],
+    ['a higher limit from a request sent after the limit was received', limitAfter(named, { limit: 3, askedAt: 201, heardAt: 300 }), 3],
+    ['the limit, if a higher one may have been announced before it', limitAfter(named, { limit: 3, askedAt: 150, heardAt: 300 }), 1.1],
+    ['no limit once the answer to a later request announces none', limitAfter(named, { limit: undefined, askedAt: 201, heardAt: 300 }), undefined],
+    ['the limit, if an answer without one may have been made before it', limitAfter(named, { limit: undefined, askedAt: 150, heardAt: 900 }), 1.1],
+    ['no limit after its end, if an older answer with it arrives late', limitAfter(named, { limit: undefined, askedAt: 201, heardAt: 300 }, { limit: 1.1, askedAt: 120, heardAt: 200 }), undefined],
+    ['a limit announced again after its end', limitAfter(named, { limit: undefined, askedAt: 201, heardAt: 300 }, { limit: 2, askedAt: 301, heardAt: 400 }), 2]
   ]
   for (const [name, limit, expected] of cases) it(`holds ${name}`, () => assert.equal(limit, expected))
 
-  it('is told by others, with ages in place of times, and tells that a limit ended too', () => {
+  it('shares limits and their end with other processes, as ages instead of times', () => {
     const [first, second] = [new LimitBook(), new LimitBook()]
     first.heard(start, named, 200)
     assert.equal(second.told(first.known(700), 90_700).length, 1)
@@ -42,7 +42,7 @@
     assert.equal(second.limitOf(start, 92_000), undefined)
   })
 
-  it('is put right by one that knows a later statement', () => {
+  it('is corrected by a process with a later statement', () => {
     const [first, second] = [new LimitBook(), new LimitBook()]
     first.heard(start, named, 200)
     second.heard(start, named, 200)
@@ -51,7 +51,7 @@
     assert.deepEqual([first.limitOf(start, 1_400), second.corrections(first.known(1_400), 1_400)], [undefined, []])
   })
 
-  it('does not take what was passed on many times for a later statement than it is', () => {
+  it('does not treat a statement forwarded many times as later than it is', () => {
     const books = Array.from({ length: 20 }, () => new LimitBook())
     let now = 1_000
     books[0]?.heard(start, { limit: undefined, askedAt: 990, heardAt: 1_000 }, now)
@@ -67,26 +67,26 @@
     assert.equal(later.limitOf(start, now), 2)
   })
 
-  it('forgets after ten minutes', () => {
+  it('drops statements after ten minutes', () => {
     const book = new LimitBook()
     book.heard(start, named, 200)
     assert.deepEqual([book.limitOf(start, 700_000), book.known(700_000)], [undefined, []])
   })
 
-  it('remembers a bounded number of endpoints', () => {
+  it('stores statements of a bounded number of endpoints', () => {
     const book = new LimitBook()
     for (let index = 0; index < 2_000; index += 1) book.heard(`engine-${index}`, named, 200)
     assert.equal(book.known(300).length, 1_024)
   })
 
-  for (const limit of [-1, Number.NaN, Infinity, 1e9]) it(`takes ${limit} for no limit`, () => assert.equal(isLimit(limit), false))
+  for (const limit of [-1, Number.NaN, Infinity, 1e9]) it(`rejects a limit of ${limit}`, () => assert.equal(isLimit(limit), false))
 
   const report = { start, limit: 1.1, askedAge: 30, heardAge: 20 }
   const unreadable: [name: string, input: unknown][] = [
-    ['no list', { ...report }], ['no report', ['engine-7']], ['an endless name', [{ ...report, start: 'x'.repeat(201) }]], ['a limit in words', [{ ...report, limit: 'few' }]],
-    ['a limit below nothing', [{ ...report, limit: -1 }]], ['an age below nothing', [{ ...report, heardAge: -5 }]], ['an answer before its request', [{ ...report, askedAge: 10 }]],
-    ['more than anyone keeps', Array.from({ length: 1_025 }, () => report)]
+    ['a value that is not a list', { ...report }], ['an item that is not a report', ['engine-7']], ['an overlong endpoint name', [{ ...report, start: 'x'.repeat(201) }]], ['a limit that is not a number', [{ ...report, limit: 'few' }]],
+    ['a negative limit', [{ ...report, limit: -1 }]], ['a negative age', [{ ...report, heardAge: -5 }]], ['an answer before its request', [{ ...report, askedAge: 10 }]],
+    ['too many reports', Array.from({ length: 1_025 }, () => report)]
   ]
-  for (const [name, input] of unreadable) it(`cannot read ${name}`, () => assert.equal(readLimitNews(input), undefined))
-  it('reads what others tell', () => assert.deepEqual(readLimitNews([report, { ...report, limit: null }])?.length, 2))
+  for (const [name, input] of unreadable) it(`rejects ${name}`, () => assert.equal(readLimitNews(input), undefined))
+  it('accepts reports with and without a limit', () => assert.deepEqual(readLimitNews([report, { ...report, limit: null }])?.length, 2))
 })
