--- a/packages/core/src/lib/routing/attempts/attempt-course.ts
+++ b/packages/core/src/lib/routing/attempts/attempt-course.ts
@@ -52,10 +52,10 @@
 export const LEAST_FAILURE_STATUS = 500
 
 /** The classes of attempt results that the decision distinguishes. */
-export type EndKind = 'whole-stream' | 'whole-success' | 'rejection' | 'failure' | 'not-connected' | 'not-run' | 'lost'
+export type ResultKind = 'whole-stream' | 'whole-success' | 'rejection' | 'failure' | 'not-connected' | 'not-run' | 'lost'
 
 /** What was forwarded to the caller. Only complete events are forwarded, and the response head is sent with the first of them. */
-export type CallerHas = 'nothing' | 'events'
+export type Forwarded = 'nothing' | 'events'
 
 /**
  * How a result is handled. `final`: it is the answer. `final-if-last`: it is the answer unless a retry is possible. `replace`: it
@@ -67,7 +67,7 @@
  * The verdict for each result. Once events were forwarded, only a complete stream may end the answer: any other answer would make
  * a broken stream look complete. This happened to 26 to 37 streams in a run in which engines failed half of the resumed streams.
  */
-const verdicts: Record<EndKind, Record<CallerHas, Verdict>> = {
+const verdicts: Record<ResultKind, Record<Forwarded, Verdict>> = {
   'whole-stream': { nothing: 'final', events: 'final' },
   'whole-success': { nothing: 'final', events: 'replace' },
   rejection: { nothing: 'final', events: 'replace' },
@@ -78,13 +78,13 @@
 }
 
 /** Results that prove that the endpoint did not run the request, so that any request may be retried. */
-const withoutRun: ReadonlySet<EndKind> = new Set(['not-connected', 'not-run'])
+const notRunKinds: ReadonlySet<ResultKind> = new Set(['not-connected', 'not-run'])
 
 /** Tracks the attempts of one request. */
 export class AttemptCourse {
   private _sent = 0
   private _mayHaveRun = false
-  private _callerHas: CallerHas = 'nothing'
+  private _forwarded: Forwarded = 'nothing'
 
   constructor (private readonly _route: Pick<Route, 'kind' | 'maxAttempts' | 'resumable'>) {}
 
@@ -95,7 +95,7 @@
   get repeatable (): boolean { return this._route.kind === 'safe' || (this._route.kind === 'streaming' && this._route.resumable) }
 
   /** Records that events were forwarded to the caller. */
-  begun (): void { this._callerHas = 'events' }
+  begun (): void { this._forwarded = 'events' }
 
   /**
    * Records the result of an attempt and returns the next action.
@@ -106,32 +106,32 @@
   ended (end: AttemptEnd, bounds: AttemptBounds): NextStep {
     const kind = kindOf(end)
     if (kind !== 'not-connected') this._sent += 1
-    if (!withoutRun.has(kind)) this._mayHaveRun = true
-    const verdict = verdicts[kind][this._callerHas]
+    if (!notRunKinds.has(kind)) this._mayHaveRun = true
+    const verdict = verdicts[kind][this._forwarded]
     if (verdict === 'final') return { type: 'pass-on' }
-    if (this._mayGoElsewhere(kind) && this._another(kind, bounds)) return { type: this._callerHas === 'events' ? 'resume' : 'try-next' }
-    return verdict === 'final-if-last' ? { type: 'pass-on' } : this._giveUp()
+    if (this._isRetryable(kind) && this._mayRetry(kind, bounds)) return { type: this._forwarded === 'events' ? 'resume' : 'try-next' }
+    return verdict === 'final-if-last' ? { type: 'pass-on' } : this._failure()
   }
 
-  private _mayGoElsewhere (kind: EndKind): boolean {
-    if (withoutRun.has(kind)) return true
-    return this._callerHas === 'events' ? this._route.resumable : this.repeatable
+  private _isRetryable (kind: ResultKind): boolean {
+    if (notRunKinds.has(kind)) return true
+    return this._forwarded === 'events' ? this._route.resumable : this.repeatable
   }
 
   /** A failed connection puts no load on an endpoint, so it counts neither as an attempt nor against the retry budget. */
-  private _another (kind: EndKind, { timeLeft, suspect, elsewhere, spendRetry }: AttemptBounds): boolean {
-    const costly = kind !== 'not-connected'
-    if (!timeLeft || suspect || (costly && this._sent >= this._route.maxAttempts) || !elsewhere()) return false
-    return !costly || spendRetry(this._callerHas === 'events' ? 'go-on' : 'begin')
+  private _mayRetry (kind: ResultKind, { timeLeft, suspect, elsewhere, spendRetry }: AttemptBounds): boolean {
+    const countsAsAttempt = kind !== 'not-connected'
+    if (!timeLeft || suspect || (countsAsAttempt && this._sent >= this._route.maxAttempts) || !elsewhere()) return false
+    return !countsAsAttempt || spendRetry(this._forwarded === 'events' ? 'go-on' : 'begin')
   }
 
-  private _giveUp (): NextStep {
-    if (this._callerHas === 'events') return { type: 'give-up', outcome: 'cut' }
+  private _failure (): NextStep {
+    if (this._forwarded === 'events') return { type: 'give-up', outcome: 'cut' }
     return { type: 'give-up', outcome: this._mayHaveRun ? 'unknown' : 'not-run' }
   }
 }
 
-const kindsOfEnds: { readonly [Type in AttemptEnd['type']]: (end: Extract<AttemptEnd, { type: Type }>) => EndKind } = {
+const kindByType: { readonly [Type in AttemptEnd['type']]: (end: Extract<AttemptEnd, { type: Type }>) => ResultKind } = {
   answered: ({ status, stream }) => {
     if (status >= LEAST_FAILURE_STATUS) return 'failure'
     if (status >= LEAST_UNSUCCESSFUL_STATUS) return 'rejection'
@@ -142,4 +142,4 @@
   stalled: () => 'lost'
 }
 
-function kindOf (end: AttemptEnd): EndKind { return kindsOfEnds[end.type](end as never) }
+function kindOf (end: AttemptEnd): ResultKind { return kindByType[end.type](end as never) }
--- a/packages/core/src/lib/routing/attempts/early-refusal.ts
+++ b/packages/core/src/lib/routing/attempts/early-refusal.ts
@@ -9,7 +9,7 @@
  */
 
 /** The input of an admission decision; times in milliseconds. */
-export interface StartOutlook {
+export interface AdmissionInput {
   /** The expected time to the first event, or to the complete answer, at the chosen endpoint, for a request of typical size. */
   readonly expected: number
   /** The route's objective. */
@@ -19,7 +19,7 @@
 }
 
 /** An admission decision. */
-export type StartDecision =
+export type AdmissionDecision =
   | { readonly type: 'start' }
   | { readonly type: 'refuse' }
 
@@ -28,29 +28,29 @@
  * bound, and estimates err in both directions: at 1.3 half of the answers are late. In the `policy` benchmark, among 0.65, 0.8,
  * 0.95, 1.1 and 1.3, a share of 0.8 scores best at 100 and 130 requests a second, and 0.003 below 0.65 at 150.
  */
-const LARGEST_SHARE = 0.8
+const ADMISSION_SHARE = 0.8
 /** The longest retry delay, as a share of the time that the caller will still wait. */
-const LONGEST_RETRY_SHARE = 1 / 3
+const MAX_RETRY_SHARE_OF_PATIENCE = 1 / 3
 /**
  * The bounds of the retry delay at a busy pool, as shares of the remaining objective, so that the retry can still be in time.
  * Engines finish a request about every 150 ms, and capacity becomes free as quickly. In the `policy` benchmark of an overloaded pool
  * (84 engines, 98 entries, 450 requests a second, 3 seeds), delays of a fifth to a third of the patience gave 0.23 late and 0.07
  * unserved requests; these bounds give 0.10 and 0.10, and 0.14 more are in time.
  */
-const SOONEST_RETURN = 0.2
-const LATEST_RETURN = 0.35
+const MIN_RETRY_SHARE_OF_OBJECTIVE = 0.2
+const MAX_RETRY_SHARE_OF_OBJECTIVE = 0.35
 /**
  * The jitter of the longest retry delay, as a share of it, for callers that can no longer meet their objective. It spreads out the
  * retries of callers that were rejected together.
  */
-const RETRY_SPREAD = 0.4
+const RETRY_JITTER = 0.4
 /** The jitter, as a share of the longest delay, if the pool opens only at about the longest delay from now, or later. */
-const LATE_OPENING_SPREAD = 0.1
+const LATE_OPENING_JITTER = 0.1
 /**
  * The time from a restart of the whole deployment until agents report and engines serve, in milliseconds: a process starts in
  * about 0.3 s, and loading a staged version takes about as long.
  */
-const SILENT_OPENING = 500
+const RESTART_MILLISECONDS = 500
 
 /** When a pool is expected to accept requests. */
 export type Opening =
@@ -69,8 +69,8 @@
  * @example
  * const decision = decideStart({ expected: 900, objective: 400, usualObjective: 440 })
  */
-export function decideStart ({ expected, objective, usualObjective }: StartOutlook): StartDecision {
-  if (expected <= Math.min(objective, LARGEST_SHARE * usualObjective)) return { type: 'start' }
+export function decideStart ({ expected, objective, usualObjective }: AdmissionInput): AdmissionDecision {
+  if (expected <= Math.min(objective, ADMISSION_SHARE * usualObjective)) return { type: 'start' }
   return { type: 'refuse' }
 }
 
@@ -106,19 +106,19 @@
 }
 
 /** The bounds of a retry delay, in milliseconds. */
-interface Return {
+interface RetryWindow {
   readonly earliest: number
   readonly latest: number
 }
 
-function lateReturn (longest: number): Return { return { earliest: longest * (1 - RETRY_SPREAD), latest: longest } }
+function lateRetryWindow (longest: number): RetryWindow { return { earliest: longest * (1 - RETRY_JITTER), latest: longest } }
 
 /** The bounds of the retry delay by the state of the pool; `longest` is the longest delay that the caller accepts. */
-const returns: { readonly [Type in Opening['type']]: (opening: Extract<Opening, { type: Type }>, longest: number, objective: number) => Return } = {
-  open: (_opening, longest, objective) => objective > 0 ? { earliest: SOONEST_RETURN * objective, latest: LATEST_RETURN * objective } : lateReturn(longest),
+const retryWindows: { readonly [Type in Opening['type']]: (opening: Extract<Opening, { type: Type }>, longest: number, objective: number) => RetryWindow } = {
+  open: (_opening, longest, objective) => objective > 0 ? { earliest: MIN_RETRY_SHARE_OF_OBJECTIVE * objective, latest: MAX_RETRY_SHARE_OF_OBJECTIVE * objective } : lateRetryWindow(longest),
   expected: (opening, longest) => ({ earliest: opening.in, latest: longest }),
-  unknown: (_opening, longest) => lateReturn(longest),
-  silent: (_opening, longest) => ({ earliest: SILENT_OPENING, latest: longest })
+  unknown: (_opening, longest) => lateRetryWindow(longest),
+  silent: (_opening, longest) => ({ earliest: RESTART_MILLISECONDS, latest: longest })
 }
 
 /**
@@ -131,22 +131,22 @@
  * const milliseconds = retryAfter({ patience: 6_000, objective: 600 }, Math.random(), { type: 'open' }) // 120 to 210
  */
 export function retryAfter ({ patience, objective }: CallerTime, draw: number, opening: Opening): number {
-  const longest = patience * LONGEST_RETRY_SHARE
-  const { earliest, latest } = returns[opening.type](opening as never, longest, objective)
+  const longest = patience * MAX_RETRY_SHARE_OF_PATIENCE
+  const { earliest, latest } = retryWindows[opening.type](opening as never, longest, objective)
   const last = Math.min(latest, longest)
-  const spread = last - Math.min(earliest, last * (1 - LATE_OPENING_SPREAD))
+  const spread = last - Math.min(earliest, last * (1 - LATE_OPENING_JITTER))
   return Math.round(last - spread * draw)
 }
 
 /** The decay of a route's longest patience with each request, so that it adapts when callers set shorter deadlines. */
-const PATIENCE_FADE = 0.001
+const PATIENCE_DECAY = 0.001
 
 /**
  * Distinguishes retries by callers from first tries: a caller's deadline counts from its first try, so a retry has less patience
  * left than other requests of its route.
  */
 export class FirstTries {
-  private readonly _greatest = new Map<string, number>()
+  private readonly _longestPatience = new Map<string, number>()
 
   /**
    * Estimates the milliseconds since the first try of a request from its patience.
@@ -155,8 +155,8 @@
    * const elapsed = firstTries.elapsed(route.name, head.patience)
    */
   elapsed (route: string, patience: number): number {
-    const greatest = Math.max(patience, (this._greatest.get(route) ?? 0) * (1 - PATIENCE_FADE))
-    this._greatest.set(route, greatest)
-    return greatest - patience
+    const longestPatience = Math.max(patience, (this._longestPatience.get(route) ?? 0) * (1 - PATIENCE_DECAY))
+    this._longestPatience.set(route, longestPatience)
+    return longestPatience - patience
   }
 }
--- a/packages/core/src/lib/routing/attempts/event-splitter.ts
+++ b/packages/core/src/lib/routing/attempts/event-splitter.ts
@@ -21,10 +21,10 @@
 
 /** Splits one stream. */
 export class EventSplitter {
-  private _rest: Uint8Array = new Uint8Array(0)
+  private _incomplete: Uint8Array = new Uint8Array(0)
 
   /** The number of buffered bytes of an incomplete event. */
-  get pending (): number { return this._rest.length }
+  get pending (): number { return this._incomplete.length }
 
   /**
    * Adds bytes and returns the events that they complete, or `undefined` if no event is complete yet.
@@ -34,16 +34,16 @@
    * if (events !== undefined) response.write(events.bytes)
    */
   push (bytes: Uint8Array): WholeEvents | undefined {
-    const all = this._rest.length === 0 ? bytes : joined(this._rest, bytes)
+    const all = this._incomplete.length === 0 ? bytes : concatenate(this._incomplete, bytes)
     const end = endOfLastEvent(all)
-    this._rest = all.subarray(end)
+    this._incomplete = all.subarray(end)
     if (end === 0) return undefined
     const whole = all.subarray(0, end)
-    return { bytes: whole, ...describe(whole) }
+    return { bytes: whole, ...lastIdAndCount(whole) }
   }
 }
 
-function joined (left: Uint8Array, right: Uint8Array): Uint8Array {
+function concatenate (left: Uint8Array, right: Uint8Array): Uint8Array {
   const all = new Uint8Array(left.length + right.length)
   all.set(left, 0)
   all.set(right, left.length)
@@ -60,10 +60,10 @@
   return 0
 }
 
-function describe (bytes: Uint8Array): { lastId: string | undefined, count: number } {
+function lastIdAndCount (bytes: Uint8Array): { lastId: string | undefined, count: number } {
   let lastId: string | undefined
   let count = 0
-  for (const event of textOf(bytes).split(/\r?\n\r?\n/)) {
+  for (const event of byteString(bytes).split(/\r?\n\r?\n/)) {
     if (event === '') continue
     count += 1
     const id = /^id: ?(.*)$/m.exec(event)?.[1]
@@ -73,7 +73,7 @@
 }
 
 /** Maps each byte to one character: ids are ASCII, and other bytes need not be decoded. */
-function textOf (bytes: Uint8Array): string {
+function byteString (bytes: Uint8Array): string {
   let text = ''
   for (const byte of bytes) text += String.fromCharCode(byte)
   return text
--- a/packages/core/src/lib/routing/attempts/fleet-size.ts
+++ b/packages/core/src/lib/routing/attempts/fleet-size.ts
@@ -10,14 +10,14 @@
  */
 
 /** More entries than any deployment has; a higher count is rejected as an error of the reporting agent. */
-export const MOST_ENTRIES = 10_000
+export const MAX_ENTRIES = 10_000
 /** Assumed number of entries until an agent reports: that of the largest supported deployment and a few more. */
 export const ASSUMED_ENTRIES = 400
 /**
  * A count is kept for at least this long and at most twice as long, in milliseconds: longer than usual network partitions between
  * zones, so that an entry that is partitioned from others does not use their share.
  */
-const MEMORY = 60_000
+const COUNT_LIFETIME = 60_000
 
 /** The agents of one availability zone, as an entry sees them. */
 export interface ZoneOfAgents {
@@ -29,16 +29,16 @@
 }
 
 /** The counts reported by one agent: the largest of the current period and of the period before. */
-interface Told {
+interface AgentCounts {
   readonly availabilityZone: string
-  now: number
-  before: number
+  current: number
+  previous: number
 }
 
 /** Estimates the number of entries in a deployment. */
 export class FleetSize {
-  private readonly _told = new Map<string, Told>()
-  private _since: number | undefined
+  private readonly _counts = new Map<string, AgentCounts>()
+  private _periodStart: number | undefined
 
   /**
    * @param _zones Returns the availability zones that have agents.
@@ -53,11 +53,11 @@
    * if (!fleet.heard('hall-1', '10.0.0.7:7700', 0.8, now)) log.warn('entries-miscounted')
    */
   heard (availabilityZone: string, agent: string, count: number, now: number): boolean {
-    if (!(count > 0 && count <= MOST_ENTRIES)) return false
-    this._turn(now)
-    const told = this._told.get(agent) ?? { availabilityZone, now: 0, before: 0 }
-    told.now = Math.max(told.now, count)
-    this._told.set(agent, told)
+    if (!(count > 0 && count <= MAX_ENTRIES)) return false
+    this._rotate(now)
+    const counts = this._counts.get(agent) ?? { availabilityZone, current: 0, previous: 0 }
+    counts.current = Math.max(counts.current, count)
+    this._counts.set(agent, counts)
     return true
   }
 
@@ -67,36 +67,36 @@
    * other zones, whose reports are missing, so the sum is scaled up; the other zones are assumed to have as many entries.
    */
   estimate (now: number): number | undefined {
-    this._turn(now)
+    this._rotate(now)
     const zones = this._zones()
-    const heard = zones.flatMap(zone => {
-      const mean = this._meanOf(zone.availabilityZone)
+    const reporting = zones.flatMap(zone => {
+      const mean = this._meanCountOf(zone.availabilityZone)
       return mean === undefined ? [] : [{ ...zone, mean }]
     })
-    const counted = heard.reduce((sum, { mean, listed }) => sum + mean * listed, 0)
-    const shareHeard = followedOf(heard) / Math.max(1, followedOf(zones))
-    return shareHeard === 0 ? undefined : Math.ceil(counted / shareHeard * zones.length / heard.length - ROUNDING)
+    const counted = reporting.reduce((sum, { mean, listed }) => sum + mean * listed, 0)
+    const reportingShare = followedOf(reporting) / Math.max(1, followedOf(zones))
+    return reportingShare === 0 ? undefined : Math.ceil(counted / reportingShare * zones.length / reporting.length - ROUNDING_TOLERANCE)
   }
 
-  private _meanOf (availabilityZone: string): number | undefined {
-    const counts = [...this._told.values()].flatMap(told => told.availabilityZone === availabilityZone ? [Math.max(told.now, told.before)] : [])
+  private _meanCountOf (availabilityZone: string): number | undefined {
+    const counts = [...this._counts.values()].flatMap(agent => agent.availabilityZone === availabilityZone ? [Math.max(agent.current, agent.previous)] : [])
     return counts.length === 0 ? undefined : counts.reduce((sum, count) => sum + count, 0) / counts.length
   }
 
-  private _turn (now: number): void {
-    this._since ??= now
-    if (now - this._since < MEMORY) return
-    const all = now - this._since >= 2 * MEMORY
-    for (const [agent, told] of this._told) {
-      told.before = all ? 0 : told.now
-      told.now = 0
-      if (told.before === 0) this._told.delete(agent)
+  private _rotate (now: number): void {
+    this._periodStart ??= now
+    if (now - this._periodStart < COUNT_LIFETIME) return
+    const expired = now - this._periodStart >= 2 * COUNT_LIFETIME
+    for (const [agent, counts] of this._counts) {
+      counts.previous = expired ? 0 : counts.current
+      counts.current = 0
+      if (counts.previous === 0) this._counts.delete(agent)
     }
-    this._since = now
+    this._periodStart = now
   }
 }
 
 function followedOf (zones: readonly ZoneOfAgents[]): number { return zones.reduce((sum, { followed }) => sum + followed, 0) }
 
 /** Tolerance for the floating-point error of the summed shares. */
-const ROUNDING = 1e-6
+const ROUNDING_TOLERANCE = 1e-6
--- a/packages/core/src/lib/routing/attempts/retry-allowance.ts
+++ b/packages/core/src/lib/routing/attempts/retry-allowance.ts
@@ -34,7 +34,7 @@
  * The share of the capacity that is reserved for resuming streams: their callers already have a part of the answer, and without a
  * retry the engine's work so far is lost.
  */
-const KEPT_FOR_BEGUN = 0.25
+const RESERVED_SHARE = 0.25
 /**
  * The share of the fixed number that may be saved up; the rest is earned over the window. In the `retries` benchmark (6 to 98 entries,
  * endpoints that reject 45% of requests, three seeds), saving all of it serves 0.65 of the requests, and 0.57 if nine in ten entries
@@ -42,28 +42,28 @@
  */
 const SAVED_SHARE = 0.5
 /** The least bucket capacity: an entry that cannot save up one whole retry can never make any. */
-const LEAST_CAPACITY = 1
+const MIN_CAPACITY = 1
 
 /** The retry budget of one entry for one service. */
 export class RetryAllowance {
-  private _credit = 0
+  private _balance = 0
 
   /**
    * @param _terms The limits that operators set.
    * @param _entries Returns the number of entries that share the limits, or `undefined` if it is unknown.
-   * @param _earnedUpTo The creation time.
+   * @param _updatedAt The creation time.
    */
-  constructor (private readonly _terms: RetryTerms, private readonly _entries: (now: number) => number | undefined, private _earnedUpTo: number) {}
+  constructor (private readonly _terms: RetryTerms, private readonly _entries: (now: number) => number | undefined, private _updatedAt: number) {}
 
   /** The most retries that can be saved up. */
   capacity (now: number): number {
-    return Math.max(LEAST_CAPACITY, SAVED_SHARE * this._part(now))
+    return Math.max(MIN_CAPACITY, SAVED_SHARE * this._shareOfSlack(now))
   }
 
   /** Records a received request. */
   requested (now: number): void {
-    this._earn(now)
-    this._credit = Math.min(this.capacity(now), this._credit + USED_SHARE * this._terms.ratio)
+    this._update(now)
+    this._balance = Math.min(this.capacity(now), this._balance + USED_SHARE * this._terms.ratio)
   }
 
   /**
@@ -73,22 +73,22 @@
    * if (!allowance.trySpend('begin', now)) giveUp()
    */
   trySpend (purpose: RetryPurpose, now: number): boolean {
-    this._earn(now)
+    this._update(now)
     const capacity = this.capacity(now)
-    const kept = purpose === 'begin' ? KEPT_FOR_BEGUN * (capacity - LEAST_CAPACITY) : 0
-    if (this._credit < 1 + kept) return false
-    this._credit -= 1
+    const reserved = purpose === 'begin' ? RESERVED_SHARE * (capacity - MIN_CAPACITY) : 0
+    if (this._balance < 1 + reserved) return false
+    this._balance -= 1
     return true
   }
 
   /** This entry's share of the fixed number. */
-  private _part (now: number): number { return USED_SHARE * this._terms.slack / (this._entries(now) ?? ASSUMED_ENTRIES) }
+  private _shareOfSlack (now: number): number { return USED_SHARE * this._terms.slack / (this._entries(now) ?? ASSUMED_ENTRIES) }
 
   /** Adds what was earned since the last call. Also lowers the balance if the capacity shrank because more entries are known. */
-  private _earn (now: number): void {
-    const elapsed = Math.min(this._terms.window, now - this._earnedUpTo)
-    const earned = (1 - SAVED_SHARE) * this._part(now) * elapsed / this._terms.window
-    this._earnedUpTo = now
-    this._credit = Math.min(this.capacity(now), this._credit + earned)
+  private _update (now: number): void {
+    const elapsed = Math.min(this._terms.window, now - this._updatedAt)
+    const earned = (1 - SAVED_SHARE) * this._shareOfSlack(now) * elapsed / this._terms.window
+    this._updatedAt = now
+    this._balance = Math.min(this.capacity(now), this._balance + earned)
   }
 }
--- a/packages/core/src/lib/routing/attempts/suspect-requests.ts
+++ b/packages/core/src/lib/routing/attempts/suspect-requests.ts
@@ -43,10 +43,10 @@
  * nothing: of 77 requests that broke off with an endpoint, one had crashed it. Two losses in a row happened to 12 of them, so
  * their callers may send the request once more.
  */
-const LOSSES_UNTIL_NO_FURTHER = 2
-const LOSSES_UNTIL_HELD_BACK = 3
+const NO_RETRY_LOSSES = 2
+const QUARANTINE_LOSSES = 3
 /** The most losses stored for a request; more would not change how it is handled. */
-const MOST_LOSSES = 8
+const MAX_LOSSES = 8
 /**
  * How long a loss counts, in milliseconds. Quarantining a harmless request rejects a body that its caller sends for the fourth time;
  * releasing a harmful one too early costs three more endpoints.
@@ -56,23 +56,23 @@
  * A live endpoint is heard within this time, in milliseconds: its other streams send an event about every 75 ms, and its agent reports
  * at least twice a second. A loss is shared with other processes only after this time.
  */
-const SIGN_OF_LIFE_WITHIN = 700
+const LIVENESS_TIMEOUT = 700
 /** Data received within this time after a loss may have been sent before it, in milliseconds, and does not show that the endpoint lives. */
-const ON_ITS_WAY = 50
+const MAX_IN_FLIGHT_TIME = 50
 /**
  * A request is not restricted for this long after an answer, in milliseconds: many callers may send the same request, and all
  * endpoints that run it may fail together for another reason.
  */
 const ANSWERED_LIFETIME = 30_000
 /** Memory bounds: the requests of half a minute at an entry of the largest supported fleet, and the requests with losses. */
-const MOST_ANSWERED = 4_096
-const MOST_ACCUSED = 512
+const MAX_ANSWERED = 4_096
+const MAX_SUSPECTS = 512
 
 /** The most losses, and the most answers, in one message: more at a time identify no single request, and a longer message is rejected. */
-const MOST_TOLD = 512
+const MAX_REPORTS = 512
 
 /** A loss that this process observed itself and that is retracted if the endpoint is heard again in time. */
-interface FreshLoss {
+interface UnconfirmedLoss {
   readonly fingerprint: string
   readonly start: string
   readonly at: number
@@ -83,18 +83,18 @@
   /** The time at which each incarnation of an endpoint was lost, by fingerprint. */
   private readonly _losses = new Map<string, Map<string, number>>()
   private readonly _answeredAt = new Map<string, number>()
-  private _fresh: FreshLoss[] = []
+  private _unconfirmed: UnconfirmedLoss[] = []
 
   /** Records that the connection to an endpoint was lost while it ran a request. */
   lost (fingerprint: string, start: string, now: number): void {
-    if (this._add(fingerprint, start, now)) this._fresh.push({ fingerprint, start, at: now })
+    if (this._add(fingerprint, start, now)) this._unconfirmed.push({ fingerprint, start, at: now })
   }
 
   /** Records that an endpoint was alive at a time, so that only the connection was lost before; retracts the losses. */
   lived (start: string, at: number): void {
-    if (this._fresh.length === 0) return
-    const takenBack = this._fresh.filter(loss => loss.start === start && loss.at + ON_ITS_WAY <= at)
-    for (const { fingerprint } of takenBack) this._remove(fingerprint, start)
+    if (this._unconfirmed.length === 0) return
+    const retracted = this._unconfirmed.filter(loss => loss.start === start && loss.at + MAX_IN_FLIGHT_TIME <= at)
+    for (const { fingerprint } of retracted) this._remove(fingerprint, start)
   }
 
   /**
@@ -108,10 +108,10 @@
     this._answeredAt.delete(fingerprint)
     this._answeredAt.set(fingerprint, at)
     for (const oldest of this._answeredAt.keys()) {
-      if (this._answeredAt.size <= MOST_ANSWERED) break
+      if (this._answeredAt.size <= MAX_ANSWERED) break
       this._answeredAt.delete(oldest)
     }
-    return this._forgetBefore(fingerprint, at) >= LOSSES_UNTIL_NO_FURTHER
+    return this._dropBefore(fingerprint, at) >= NO_RETRY_LOSSES
   }
 
   /**
@@ -122,9 +122,9 @@
    */
   standing (fingerprint: string, now: number): Standing {
     const losses = this.lossesOf(fingerprint, now).length
-    if (losses < LOSSES_UNTIL_NO_FURTHER) return 'clear'
+    if (losses < NO_RETRY_LOSSES) return 'clear'
     if (now - (this._answeredAt.get(fingerprint) ?? -Infinity) <= ANSWERED_LIFETIME) return 'clear'
-    return losses < LOSSES_UNTIL_HELD_BACK ? 'no-further-attempt' : 'held-back'
+    return losses < QUARANTINE_LOSSES ? 'no-further-attempt' : 'held-back'
   }
 
   /** The incarnations of endpoints that were lost while they ran a request. */
@@ -136,16 +136,16 @@
   /** The time until a request may be started again, in milliseconds. */
   heldBackFor (fingerprint: string, now: number): number {
     const times = [...this._losses.get(fingerprint)?.values() ?? []].sort((left, right) => right - left)
-    const decisive = times[LOSSES_UNTIL_HELD_BACK - 1]
-    return decisive === undefined ? 0 : Math.max(0, decisive + LOSS_LIFETIME - now)
+    const decidingLoss = times[QUARANTINE_LOSSES - 1]
+    return decidingLoss === undefined ? 0 : Math.max(0, decidingLoss + LOSS_LIFETIME - now)
   }
 
   /** Returns the losses that this process observed and that were not retracted in time, each once, to share them. */
   takeConfirmed (now: number): LossReport[] {
-    if (this._fresh.length === 0) return []
-    const confirmed = this._fresh.filter(({ at }) => now - at >= SIGN_OF_LIFE_WITHIN)
-    this._fresh = this._fresh.filter(({ at }) => now - at < SIGN_OF_LIFE_WITHIN)
-    return confirmed.slice(0, MOST_TOLD).map(({ fingerprint, start, at }) => ({ fingerprint, start, age: now - at }))
+    if (this._unconfirmed.length === 0) return []
+    const confirmed = this._unconfirmed.filter(({ at }) => now - at >= LIVENESS_TIMEOUT)
+    this._unconfirmed = this._unconfirmed.filter(({ at }) => now - at < LIVENESS_TIMEOUT)
+    return confirmed.slice(0, MAX_REPORTS).map(({ fingerprint, start, at }) => ({ fingerprint, start, age: now - at }))
   }
 
   /**
@@ -167,36 +167,36 @@
    *
    * @param least The least number of losses of a request.
    */
-  known (now: number, least = LOSSES_UNTIL_NO_FURTHER): LossReport[] {
+  known (now: number, least = NO_RETRY_LOSSES): LossReport[] {
     const reports: LossReport[] = []
     for (const [fingerprint, losses] of this._losses) {
-      const held = [...losses].filter(([start, at]) => now - at <= LOSS_LIFETIME && !this._isFresh(fingerprint, start))
+      const held = [...losses].filter(([start, at]) => now - at <= LOSS_LIFETIME && !this._isUnconfirmed(fingerprint, start))
       if (held.length >= least) reports.push(...held.map(([start, at]) => ({ fingerprint, start, age: now - at })))
     }
-    return reports.slice(0, MOST_TOLD)
+    return reports.slice(0, MAX_REPORTS)
   }
 
-  private _isFresh (fingerprint: string, start: string): boolean {
-    return this._fresh.some(loss => loss.fingerprint === fingerprint && loss.start === start)
+  private _isUnconfirmed (fingerprint: string, start: string): boolean {
+    return this._unconfirmed.some(loss => loss.fingerprint === fingerprint && loss.start === start)
   }
 
   private _add (fingerprint: string, start: string, at: number): boolean {
     if (at <= (this._answeredAt.get(fingerprint) ?? -Infinity)) return false
     const losses = this._losses.get(fingerprint) ?? this._newLosses(fingerprint, at)
-    if (losses.has(start) || losses.size >= MOST_LOSSES) return false
+    if (losses.has(start) || losses.size >= MAX_LOSSES) return false
     losses.set(start, at)
     return true
   }
 
   private _newLosses (fingerprint: string, now: number): Map<string, number> {
-    if (this._losses.size >= MOST_ACCUSED) this._forgetOne(now)
+    if (this._losses.size >= MAX_SUSPECTS) this._evictOne(now)
     const losses = new Map<string, number>()
     this._losses.set(fingerprint, losses)
     return losses
   }
 
   /** Drops expired losses, then the request with the fewest losses, the oldest of these. */
-  private _forgetOne (now: number): void {
+  private _evictOne (now: number): void {
     let [least, fewest] = ['', Infinity]
     for (const [fingerprint, losses] of this._losses) {
       for (const [start, at] of losses) if (now - at > LOSS_LIFETIME) losses.delete(start)
@@ -208,7 +208,7 @@
   }
 
   /** Drops the losses of a request up to a time and returns their number. */
-  private _forgetBefore (fingerprint: string, time: number): number {
+  private _dropBefore (fingerprint: string, time: number): number {
     const before = [...this._losses.get(fingerprint) ?? []].filter(([, at]) => at <= time)
     for (const [start] of before) this._remove(fingerprint, start)
     return before.length
@@ -217,13 +217,13 @@
   private _remove (fingerprint: string, start: string): void {
     const losses = this._losses.get(fingerprint)
     losses?.delete(start)
-    this._fresh = this._fresh.filter(loss => loss.fingerprint !== fingerprint || loss.start !== start)
+    this._unconfirmed = this._unconfirmed.filter(loss => loss.fingerprint !== fingerprint || loss.start !== start)
     if (losses?.size === 0) this._losses.delete(fingerprint)
   }
 }
 
 const FINGERPRINT = /^[0-9a-f]{16}$/
-const LONGEST_START = 200
+const MAX_START_LENGTH = 200
 
 /**
  * Validates the observations received from another process; returns `undefined` if they are malformed.
@@ -238,7 +238,7 @@
 }
 
 function isListOf<Item> (input: unknown, isItem: (item: unknown) => item is Item): input is Item[] {
-  return Array.isArray(input) && input.length <= MOST_TOLD && input.every(isItem)
+  return Array.isArray(input) && input.length <= MAX_REPORTS && input.every(isItem)
 }
 
 function isAnswerReport (input: unknown): input is AnswerReport {
@@ -250,5 +250,5 @@
 function isLossReport (input: unknown): input is LossReport {
   if (!isAnswerReport(input)) return false
   const { start } = input as Partial<Record<keyof LossReport, unknown>>
-  return typeof start === 'string' && start.length <= LONGEST_START
+  return typeof start === 'string' && start.length <= MAX_START_LENGTH
 }
--- a/packages/core/src/lib/routing/choice/choice-price.ts
+++ b/packages/core/src/lib/routing/choice/choice-price.ts
@@ -16,35 +16,35 @@
  * Penalties for leaving the availability zone and the region, in milliseconds. Traffic between regions costs about five times as
  * much as traffic between zones; an event stream has 4 KB.
  */
-const ZONE_PRICE = 10
-const REGION_PRICE = 20
+const ZONE_PENALTY = 10
+const REGION_PENALTY = 20
 /**
  * Up to this share of the mean objective, a sooner answer gains little: with objectives of 300 to 400 ms, no answer expected at 100
  * to 150 ms was late, 1% of those at 150 to 200 ms, and 4 to 9% of those at 200 to 250 ms. While the entry's own zone has an engine
- * expected within this share, the distance penalty is multiplied by `COMFORT_FACTOR`, which saves a sixth of the traffic between
+ * expected within this share, the distance penalty is multiplied by `SOON_ENOUGH_DISTANCE_FACTOR`, which saves a sixth of the traffic between
  * regions.
  */
-export const COMFORT_SHARE = 0.47
-const COMFORT_FACTOR = 3
+export const SOON_ENOUGH_SHARE = 0.47
+const SOON_ENOUGH_DISTANCE_FACTOR = 3
 /**
  * Penalty, in milliseconds, for each millisecond of work that an engine still has at the time of a planned version switch: for that
  * long it accepts no new requests while it finishes the work.
  */
-const CLOSING_PRICE = 1.5
+const CLOSING_PENALTY_FACTOR = 1.5
 /**
  * Penalty for an engine of a pool without a current load report, in milliseconds: about two prompts of typical size. Its agent may
  * only be unreachable so far, and without the penalty all entries would consider the engine idle.
  */
-const UNSEEN_PRICE = 100
+const NO_REPORT_PENALTY = 100
 /**
  * Safety factors on the expected time and on the round trip time for the latest start of a request: engines and links may be slowing
  * down, and the queue of a link whose bandwidth has dropped can double within a moment.
  */
-const BEGIN_FACTOR = 2
-const BEGIN_LINK_FACTOR = 6
+const EXPECTED_TIME_FACTOR = 2
+const ROUND_TRIP_FACTOR = 6
 
 /** The inputs of a cost, besides the candidate. */
-export interface PriceView {
+export interface CostInput {
   readonly place: Place
   readonly service: ServiceDescription
   readonly need: Need
@@ -59,10 +59,10 @@
  * @example
  * const costs = candidates.map(candidate => costOf(candidate, loadOf(candidate), view))
  */
-export function costOf (candidate: EndpointCandidate, load: EndpointLoad, { place, service, need, distanceFactor, now }: PriceView): number {
+export function costOf (candidate: EndpointCandidate, load: EndpointLoad, { place, service, need, distanceFactor, now }: CostInput): number {
   const unseen = service.pool !== undefined && load.report(now) === undefined
-  const distance = distanceFactor * distancePrice(candidate, place)
-  return candidate.expected + distance + closingPrice(candidate, load, service, need, now) + (unseen ? UNSEEN_PRICE : 0)
+  const distance = distanceFactor * distancePenalty(candidate, place)
+  return candidate.expected + distance + closingPenalty(candidate, load, service, need, now) + (unseen ? NO_REPORT_PENALTY : 0)
 }
 
 /**
@@ -73,8 +73,8 @@
  * const factor = distanceFactor(candidates, place, need)
  */
 export function distanceFactor (candidates: readonly EndpointCandidate[], place: Place, { usualObjective }: Need): number {
-  const comfortable = candidates.some(({ record, expected }) => record.availabilityZone === place.availabilityZone && expected < COMFORT_SHARE * usualObjective)
-  return comfortable ? COMFORT_FACTOR : 1
+  const soonEnough = candidates.some(({ record, expected }) => record.availabilityZone === place.availabilityZone && expected < SOON_ENOUGH_SHARE * usualObjective)
+  return soonEnough ? SOON_ENOUGH_DISTANCE_FACTOR : 1
 }
 
 /**
@@ -82,24 +82,24 @@
  * old: the round trip time is then unknown, and the link may have seconds of queue.
  *
  * @example
- * const candidates = expected.filter(candidate => !tooLate(candidate, need, now))
+ * const candidates = expected.filter(candidate => !mayStartTooLate(candidate, need, now))
  */
-export function tooLate ({ expected, version, roundTrip, reportAge }: EndpointCandidate, { mustBeginBy }: Need, now: number): boolean {
+export function mayStartTooLate ({ expected, version, roundTrip, reportAge }: EndpointCandidate, { mustBeginBy }: Need, now: number): boolean {
   const bound = mustBeginBy(version)
   if (bound === undefined) return false
-  return reportAge > REPORT_LIFETIME || now + BEGIN_FACTOR * expected + BEGIN_LINK_FACTOR * roundTrip > bound
+  return reportAge > REPORT_LIFETIME || now + EXPECTED_TIME_FACTOR * expected + ROUND_TRIP_FACTOR * roundTrip > bound
 }
 
-function distancePrice ({ record: { availabilityZone } }: EndpointCandidate, place: Place): number {
+function distancePenalty ({ record: { availabilityZone } }: EndpointCandidate, place: Place): number {
   if (availabilityZone === place.availabilityZone) return 0
-  return place.regionOf(availabilityZone) === place.regionOf(place.availabilityZone) ? ZONE_PRICE : REGION_PRICE
+  return place.regionOf(availabilityZone) === place.regionOf(place.availabilityZone) ? ZONE_PENALTY : REGION_PENALTY
 }
 
 /** The penalty for work that would delay a planned version switch. */
-function closingPrice ({ expected }: EndpointCandidate, load: EndpointLoad, { pool }: ServiceDescription, { answerTokens }: Need, now: number): number {
+function closingPenalty ({ expected }: EndpointCandidate, load: EndpointLoad, { pool }: ServiceDescription, { answerTokens }: Need, now: number): number {
   const closesAt = load.closesAt(now)
   if (closesAt === undefined || pool === undefined) return 0
   const tokens = answerTokens > 0 ? answerTokens : pool.usualAnswerTokens
   const ends = now + expected + tokens * stepTime(pool, load.report(now)?.running ?? 0)
-  return Math.max(0, ends - closesAt) * CLOSING_PRICE
+  return Math.max(0, ends - closesAt) * CLOSING_PENALTY_FACTOR
 }
--- a/packages/core/src/lib/routing/choice/endpoint-chooser.ts
+++ b/packages/core/src/lib/routing/choice/endpoint-chooser.ts
@@ -9,8 +9,8 @@
  */
 import { Ejection } from '../../ejection.js'
 import type { EndpointCandidate, Choice, Need, Place } from './endpoint-choice.js'
-import { COMFORT_SHARE, costOf, distanceFactor, tooLate } from './choice-price.js'
-import { readTime } from './engine-model.js'
+import { SOON_ENOUGH_SHARE, costOf, distanceFactor, mayStartTooLate } from './choice-price.js'
+import { prefillTime } from './engine-model.js'
 import { openGate, type EndpointGate, type SparedFor } from './endpoint-gate.js'
 import { EndpointLoad, type LoadReport } from './endpoint-load.js'
 import type { Opening } from '../attempts/early-refusal.js'
@@ -21,9 +21,9 @@
 import { UsualTime } from './usual-time.js'
 
 /** The picked candidate, and the estimated extra wait from requests that other entries have sent there since, in milliseconds. */
-interface Picked {
+interface PickedCandidate {
   readonly candidate: EndpointCandidate
-  readonly byOthers: number
+  readonly waitFromOthers: number
 }
 
 /** What the result of an attempt shows about its endpoint. */
@@ -36,7 +36,7 @@
  * How long an endpoint is skipped, in milliseconds. A full or switching endpoint is retried soon; an unreachable one is skipped
  * for the time that a process takes to restart.
  */
-const avoidances: Record<Avoidance, number> = { refused: 100, unreachable: 2_000, 'wrong-instance': 3_000, 'wrong-version': 150 }
+const skipTimes: Record<Avoidance, number> = { refused: 100, unreachable: 2_000, 'wrong-instance': 3_000, 'wrong-version': 150 }
 /**
  * The mean age of an entry's view of an engine, in milliseconds: its agent polls it twenty times a second, and requests that are in
  * flight or were sent just before a poll are not reported yet.
@@ -45,17 +45,17 @@
 /** The assumed number of slots of a plain endpoint that does not publish it. */
 const ASSUMED_SLOTS = 8
 
-interface Known {
+interface EndpointState {
   readonly load: EndpointLoad
-  avoidUntil: number
+  skippedUntil: number
 }
 
 /** Chooses among the endpoints of one service, for one entry. */
 export class EndpointChooser {
   /** The state of each incarnation of an endpoint: see `startOf`. */
-  private readonly _known = new Map<string, Known>()
+  private readonly _states = new Map<string, EndpointState>()
   private readonly _ejection = new Ejection()
-  private readonly _rate = new RequestRate()
+  private readonly _sentRate = new RequestRate()
   private _records: readonly EndpointRecord[] = []
   private _listed: ReadonlySet<string> = new Set()
   private _followed: readonly EndpointRecord[] = []
@@ -63,10 +63,10 @@
   private readonly _plainTime = new UsualTime()
 
   /**
-   * @param _draw Returns random numbers in [0, 1).
+   * @param _random Returns random numbers in [0, 1).
    * @param _gate The restrictions that endpoints place on requests to them.
    */
-  constructor (private readonly _place: Place, private readonly _draw: () => number, private readonly _gate: EndpointGate = openGate) {}
+  constructor (private readonly _place: Place, private readonly _random: () => number, private readonly _gate: EndpointGate = openGate) {}
 
   get records (): readonly EndpointRecord[] { return this._records }
 
@@ -81,50 +81,50 @@
     this._others = records.filter(record => !isFollowed(record))
     this._listed = new Set(records.map(startOf))
     this._ejection.retain(this._listed)
-    for (const [start, { load }] of this._known) if (!this._listed.has(start) && load.outstanding === 0) this._known.delete(start)
+    for (const [start, { load }] of this._states) if (!this._listed.has(start) && load.outstanding === 0) this._states.delete(start)
   }
 
   /** The rate at which this entry sends requests to the service, in requests per millisecond. */
-  sentRate (now: number): number { return this._rate.perMillisecond(now) }
+  sentRate (now: number): number { return this._sentRate.perMillisecond(now) }
 
   /** The load of an endpoint. */
-  load (start: string): EndpointLoad { return this._entry(start).load }
+  load (start: string): EndpointLoad { return this._stateOfStart(start).load }
 
   heard (start: string, report: LoadReport, now: number): void {
-    if (this._listed.has(start)) this._entry(start).load.heard(report, now)
+    if (this._listed.has(start)) this._stateOfStart(start).load.heard(report, now)
   }
 
   /** Records the start or the end of a round trip measurement. */
   measured (start: string, step: 'begun' | 'ended', now: number): void {
     if (!this._listed.has(start)) return
-    const { load } = this._entry(start)
-    if (step === 'begun') load.pinged(now)
-    else load.ponged(now)
+    const { load } = this._stateOfStart(start)
+    if (step === 'begun') load.pingStarted(now)
+    else load.pingEnded(now)
   }
 
   /** Skips an endpoint temporarily. */
   avoid (start: string, why: Avoidance, now: number): void {
-    this._entry(start).avoidUntil = now + avoidances[why]
+    this._stateOfStart(start).skippedUntil = now + skipTimes[why]
   }
 
   /** Records a request that was sent to the chosen endpoint. */
   sent (choice: Choice, request: string, promptTokens: number, now: number): void {
-    this._rate.sent(now)
+    this._sentRate.sent(now)
     const start = startOf(choice.record)
-    this._entry(start).load.sent(request, promptTokens, now)
+    this._stateOfStart(start).load.sent(request, promptTokens, now)
     this._ejection.chosen(start)
     this._gate.sent(start, now)
   }
 
   /** Records the response time of a plain request, in milliseconds. */
   plainTook (start: string, milliseconds: number, now: number): void {
-    this._entry(start).load.plainTook(milliseconds, this._plainTime.value(now), now)
+    this._stateOfStart(start).load.plainTook(milliseconds, this._plainTime.value(now), now)
     this._plainTime.took(milliseconds, now)
   }
 
   /** Records the end of a request and what it shows about the endpoint's health. */
   ended (start: string, request: string, health: EndpointHealth, now: number): void {
-    this._entry(start).load.ended(request)
+    this._stateOfStart(start).load.ended(request)
     if (health === 'good') this._ejection.succeeded(start)
     else if (health === 'bad') this._ejection.failed(start, now)
     else this._ejection.ended(start)
@@ -141,22 +141,22 @@
   }
 
   private _chooseAmong (records: readonly EndpointRecord[], service: ServiceDescription, need: Need, now: number): Choice | undefined {
-    const open = records.filter(record => this._open(record, service, need, now))
+    const open = records.filter(record => this._isOpen(record, service, need, now))
     const usable = new Set(this._ejection.usable(open.map(startOf), now))
     const inTime = open.filter(record => usable.has(startOf(record)))
-      .map(record => this._expect(record, service, need, now, open.length))
-      .filter(choice => !tooLate(choice, need, now))
-    const choices = this._dueFirst(inTime, need, now)
+      .map(record => this._candidateOf(record, service, need, now, open.length))
+      .filter(choice => !mayStartTooLate(choice, need, now))
+    const choices = this._preferDue(inTime, need, now)
     const view = { place: this._place, service, need, distanceFactor: distanceFactor(choices, this._place, need), now }
-    const costs = choices.map(choice => costOf(choice, this._entryOf(choice.record).load, view))
+    const costs = choices.map(choice => costOf(choice, this._stateOf(choice.record).load, view))
     const picked = this._pick(choices, costs, service, now)
-    return picked === undefined ? undefined : this._choice(picked, service, need, now)
+    return picked === undefined ? undefined : this._choiceOf(picked, service, need, now)
   }
 
   /** Prefers rate-limited endpoints for which this entry holds a permit that would lapse, if they are expected to answer soon enough for any caller. */
-  private _dueFirst (choices: readonly EndpointCandidate[], { usualObjective }: Need, now: number): readonly EndpointCandidate[] {
+  private _preferDue (choices: readonly EndpointCandidate[], { usualObjective }: Need, now: number): readonly EndpointCandidate[] {
     if (this._gate.quiet) return choices
-    const due = choices.filter(({ record, expected }) => this._gate.isDue(startOf(record), now) && expected < COMFORT_SHARE * usualObjective)
+    const due = choices.filter(({ record, expected }) => this._gate.isDue(startOf(record), now) && expected < SOON_ENOUGH_SHARE * usualObjective)
     return due.length > 0 ? due : choices
   }
 
@@ -167,20 +167,20 @@
    * const milliseconds = retryAfter({ patience, objective }, Math.random(), chooser.opening(service, need, now))
    */
   opening (service: ServiceDescription, need: Need, now: number): Opening {
-    const takers = this._records.filter(record => this._takes(record, service, { ...need, tried: new Set() }, now))
-    if (service.pool === undefined) return this._openingOf(takers, now) ?? { type: 'open' }
-    const heard = this._records.filter(record => this._entryOf(record).load.report(now) !== undefined)
-    if (heard.length === 0) return { type: 'silent' }
-    const times = heard.flatMap(record => this._entryOf(record).load.opensAt(now) ?? [])
-    const opening = this._openingOf(takers.filter(record => heard.includes(record)), now)
+    const capable = this._records.filter(record => this._canTake(record, service, { ...need, tried: new Set() }, now))
+    if (service.pool === undefined) return this._openingOf(capable, now) ?? { type: 'open' }
+    const reporting = this._records.filter(record => this._stateOf(record).load.report(now) !== undefined)
+    if (reporting.length === 0) return { type: 'silent' }
+    const times = reporting.flatMap(record => this._stateOf(record).load.opensAt(now) ?? [])
+    const opening = this._openingOf(capable.filter(record => reporting.includes(record)), now)
     if (opening !== undefined) return opening
     return times.length === 0 ? { type: 'unknown' } : { type: 'expected', in: Math.max(0, Math.min(...times) - now) }
   }
 
   /** When the gate next allows a request to one of the given endpoints; `undefined` if the list is empty. */
-  private _openingOf (takers: readonly EndpointRecord[], now: number): Opening | undefined {
-    if (takers.length === 0) return undefined
-    const soonest = Math.min(...takers.map(record => this._gate.opensIn(startOf(record), now)))
+  private _openingOf (capable: readonly EndpointRecord[], now: number): Opening | undefined {
+    if (capable.length === 0) return undefined
+    const soonest = Math.min(...capable.map(record => this._gate.opensIn(startOf(record), now)))
     if (soonest === 0) return { type: 'open' }
     return soonest === Infinity ? { type: 'unknown' } : { type: 'expected', in: soonest }
   }
@@ -200,18 +200,18 @@
    * Picks an engine of a pool at random, because all entries act on the same load reports, and adds the requests of other entries to
    * the expected time. For a plain service it picks the cheapest endpoint.
    */
-  private _pick (choices: readonly EndpointCandidate[], costs: readonly number[], { pool }: ServiceDescription, now: number): Picked | undefined {
-    if (pool === undefined) return pickedAt(choices, costs.indexOf(Math.min(...costs)), 0)
-    const even = { costs, step: readTime(pool, pool.usualPromptTokens), requests: this._sentByOthers(now) }
-    const index = chooseEvenly(even, this._draw())
-    return pickedAt(choices, index, Math.max(0, levelOf(even) - (costs[index] ?? 0)))
+  private _pick (choices: readonly EndpointCandidate[], costs: readonly number[], { pool }: ServiceDescription, now: number): PickedCandidate | undefined {
+    if (pool === undefined) return pickAt(choices, costs.indexOf(Math.min(...costs)), 0)
+    const even = { costs, step: prefillTime(pool, pool.usualPromptTokens), requests: this._sentByOthers(now) }
+    const index = chooseEvenly(even, this._random())
+    return pickAt(choices, index, Math.max(0, levelOf(even) - (costs[index] ?? 0)))
   }
 
-  private _choice ({ candidate, byOthers }: Picked, { pool }: ServiceDescription, { promptTokens }: Need, now: number): Choice {
-    const expected = candidate.expected + byOthers
+  private _choiceOf ({ candidate, waitFromOthers }: PickedCandidate, { pool }: ServiceDescription, { promptTokens }: Need, now: number): Choice {
+    const expected = candidate.expected + waitFromOthers
     if (pool === undefined || promptTokens <= pool.usualPromptTokens) return { ...candidate, expected, expectedOfUsual: expected }
-    const usual = this._entryOf(candidate.record).load.expectedFirstEvent(pool, pool.usualPromptTokens, now)
-    return { ...candidate, expected, expectedOfUsual: usual + byOthers }
+    const usual = this._stateOf(candidate.record).load.expectedFirstEvent(pool, pool.usualPromptTokens, now)
+    return { ...candidate, expected, expectedOfUsual: usual + waitFromOthers }
   }
 
   /**
@@ -221,52 +221,52 @@
    */
   private _sentByOthers (now: number): number {
     let all = 0
-    for (const { load } of this._known.values()) all += load.report(now)?.sentRate ?? 0
+    for (const { load } of this._states.values()) all += load.report(now)?.sentRate ?? 0
     return Math.max(0, all - this.sentRate(now)) * VIEW_AGE
   }
 
   /** The number of followed engines that have a current load report. */
-  heardCount (now: number): number { return this._followed.filter(record => this._entryOf(record).load.report(now) !== undefined).length }
+  heardCount (now: number): number { return this._followed.filter(record => this._stateOf(record).load.report(now) !== undefined).length }
 
   /** The version that an endpoint serves, from its current load report or else from its record. */
   versionOf (record: EndpointRecord, model: string, now: number): number {
     const listed = record.models.find(held => held.model === model)?.version ?? 0
-    return this._entryOf(record).load.report(now)?.version ?? listed
+    return this._stateOf(record).load.report(now)?.version ?? listed
   }
 
-  private _open (record: EndpointRecord, service: ServiceDescription, need: Need, now: number): boolean {
-    return this._takes(record, service, need, now) && (this._gate.quiet || this._gate.sparedFor(startOf(record), now) === undefined)
+  private _isOpen (record: EndpointRecord, service: ServiceDescription, need: Need, now: number): boolean {
+    return this._canTake(record, service, need, now) && (this._gate.quiet || this._gate.sparedFor(startOf(record), now) === undefined)
   }
 
   /** Whether an endpoint could take a request, regardless of the gate. */
-  private _takes (record: EndpointRecord, service: ServiceDescription, need: Need, now: number): boolean {
+  private _canTake (record: EndpointRecord, service: ServiceDescription, need: Need, now: number): boolean {
     if (record.draining || need.tried.has(startOf(record))) return false
-    const known = this._entryOf(record)
-    if (known.avoidUntil > now || known.load.outstanding >= service.maxConnections) return false
+    const known = this._stateOf(record)
+    if (known.skippedUntil > now || known.load.outstanding >= service.maxConnections) return false
     if (service.pool === undefined || need.model === '') return true
     const version = this.versionOf(record, need.model, now)
     if (version === 0 || version < need.leastVersion) return false
     return known.load.report(now)?.accepting !== false
   }
 
-  private _expect (record: EndpointRecord, service: ServiceDescription, need: Need, now: number, candidates: number): EndpointCandidate {
-    const { load } = this._entryOf(record)
+  private _candidateOf (record: EndpointRecord, service: ServiceDescription, need: Need, now: number, candidates: number): EndpointCandidate {
+    const { load } = this._stateOf(record)
     const slots = record.slots > 0 ? record.slots : ASSUMED_SLOTS
     const expected = service.pool === undefined ? load.expectedPlainAnswer(slots, this._plainTime.value(now), now) : load.expectedFirstEvent(service.pool, need.promptTokens, now)
     const version = service.pool === undefined ? 0 : this.versionOf(record, need.model, now)
     return { record, expected, version, reportAge: load.reportAge(now), roundTrip: load.longestRoundTrip(now), candidates }
   }
 
-  private _entryOf (record: EndpointRecord): Known { return this._entry(startOf(record)) }
+  private _stateOf (record: EndpointRecord): EndpointState { return this._stateOfStart(startOf(record)) }
 
-  private _entry (start: string): Known {
-    const known = this._known.get(start) ?? { load: new EndpointLoad(), avoidUntil: -Infinity }
-    this._known.set(start, known)
+  private _stateOfStart (start: string): EndpointState {
+    const known = this._states.get(start) ?? { load: new EndpointLoad(), skippedUntil: -Infinity }
+    this._states.set(start, known)
     return known
   }
 }
 
-function pickedAt (candidates: readonly EndpointCandidate[], index: number, byOthers: number): Picked | undefined {
+function pickAt (candidates: readonly EndpointCandidate[], index: number, waitFromOthers: number): PickedCandidate | undefined {
   const candidate = candidates[index]
-  return candidate === undefined ? undefined : { candidate, byOthers }
+  return candidate === undefined ? undefined : { candidate, waitFromOthers }
 }
--- a/packages/core/src/lib/routing/choice/endpoint-load.ts
+++ b/packages/core/src/lib/routing/choice/endpoint-load.ts
@@ -38,7 +38,7 @@
 }
 
 /** A request of this entry in flight at the endpoint. */
-interface Sent {
+interface RequestInFlight {
   readonly promptTokens: number
   readonly sentAt: number
   begun: boolean
@@ -52,7 +52,7 @@
 /** A report expires after this time, in milliseconds: ten reports of the agent are missing by then. */
 export const REPORT_LIFETIME = 1_000
 /** Requests sent less than this time before a report are assumed not to be counted in it, in milliseconds: a few network delays. */
-const REPORT_BLIND_TIME = 5
+const REPORT_DELAY = 5
 /**
  * Without reports, this many entries, each sending as much as this one, are assumed to share the endpoint. The true number is
  * unknown; most endpoints of a zone are shared by a few entries of that zone.
@@ -60,12 +60,12 @@
 const ASSUMED_ENTRIES = 3
 /** Weight of the newest sample in the exponentially weighted moving average of the slowness. */
 const SLOWNESS_SMOOTHING = 0.3
-const LEAST_SLOWNESS = 0.7
-const GREATEST_SLOWNESS = 20
+const MIN_SLOWNESS = 0.7
+const MAX_SLOWNESS = 20
 /** Without new samples, the slowness decays towards 1 with this half-life, in milliseconds. */
 const SLOWNESS_HALF_LIFE = 2_000
 /** The half-life of the longest measured round trip time, in milliseconds: a few times the queue of a link with reduced bandwidth. */
-const PEAK_HALF_LIFE = 2_000
+const ROUND_TRIP_HALF_LIFE = 2_000
 /**
  * Without new answers, the measured time of a plain endpoint decays towards its service's mean with this half-life, in
  * milliseconds: an endpoint so slow that requests go elsewhere would otherwise never be tried again.
@@ -74,16 +74,16 @@
 
 /** The load of one endpoint, as seen by one entry. */
 export class EndpointLoad {
-  private readonly _sent = new Map<string, Sent>()
+  private readonly _sent = new Map<string, RequestInFlight>()
   private _report: LoadReport | undefined
-  private _heardAt = -Infinity
+  private _reportedAt = -Infinity
   private _endedSinceReport = 0
   /** The last measured round trip time, in milliseconds, and the start of the measurement in progress. */
   private _roundTrip = 0
-  private _pingedAt: number | undefined
+  private _pingStartedAt: number | undefined
   /** The longest recent round trip time, and when it was measured. */
-  private _peak = 0
-  private _peakAt = 0
+  private _longestRoundTrip = 0
+  private _longestRoundTripAt = 0
   private _slowness = 1
   private _slownessAt = 0
   private _plainTime: number | undefined
@@ -94,55 +94,55 @@
 
   /** The endpoint's last report; `undefined` if it has expired. */
   report (now: number): LoadReport | undefined {
-    return now - this._heardAt <= REPORT_LIFETIME ? this._report : undefined
+    return now - this._reportedAt <= REPORT_LIFETIME ? this._report : undefined
   }
 
   /** When the engine stops accepting requests; `undefined` if no switch is planned. */
   closesAt (now: number): number | undefined {
     const closesIn = this.report(now)?.closesIn
-    return closesIn === undefined ? undefined : this._heardAt + closesIn
+    return closesIn === undefined ? undefined : this._reportedAt + closesIn
   }
 
   /** When the engine accepts requests on its next version; `undefined` if unknown. */
   opensAt (now: number): number | undefined {
     const opensIn = this.report(now)?.opensIn
-    return opensIn === undefined ? undefined : this._heardAt + opensIn
+    return opensIn === undefined ? undefined : this._reportedAt + opensIn
   }
 
   /** The age of the last report in milliseconds; infinite if there was none. */
-  reportAge (now: number): number { return now - this._heardAt }
+  reportAge (now: number): number { return now - this._reportedAt }
 
   heard (report: LoadReport, now: number): void {
     this._report = report
-    this._heardAt = now
+    this._reportedAt = now
     this._endedSinceReport = 0
   }
 
   /** Starts a round trip measurement, unless one is in progress. */
-  pinged (now: number): void { this._pingedAt ??= now }
+  pingStarted (now: number): void { this._pingStartedAt ??= now }
 
   /** Ends the measurement, also when it was abandoned because the connection was lost. */
-  ponged (now: number): void {
-    if (this._pingedAt === undefined) return
-    this._roundTrip = now - this._pingedAt
-    this._pingedAt = undefined
-    if (this._roundTrip < this._fadedPeak(now)) return
-    this._peak = this._roundTrip
-    this._peakAt = now
+  pingEnded (now: number): void {
+    if (this._pingStartedAt === undefined) return
+    this._roundTrip = now - this._pingStartedAt
+    this._pingStartedAt = undefined
+    if (this._roundTrip < this._decayedLongestRoundTrip(now)) return
+    this._longestRoundTrip = this._roundTrip
+    this._longestRoundTripAt = now
   }
 
   /**
    * The longest round trip time of the last seconds, with decay, in milliseconds. The queue of a slow link can build up and clear
    * within one measurement, so the last one alone is not enough where a request must not be late.
    */
-  longestRoundTrip (now: number): number { return Math.max(this.roundTrip(now), this._fadedPeak(now)) }
+  longestRoundTrip (now: number): number { return Math.max(this.roundTrip(now), this._decayedLongestRoundTrip(now)) }
 
   /**
    * The round trip time, in milliseconds: the last measurement, or the duration so far of the one in progress if that is longer. This
    * shows at once that a link carries chunks of weights or has lost bandwidth.
    */
   roundTrip (now: number): number {
-    return Math.max(this._roundTrip, this._pingedAt === undefined ? 0 : now - this._pingedAt)
+    return Math.max(this._roundTrip, this._pingStartedAt === undefined ? 0 : now - this._pingStartedAt)
   }
 
   sent (request: string, promptTokens: number, now: number): void {
@@ -158,7 +158,7 @@
     const sent = this._sent.get(request)
     if (sent === undefined || sent.begun) return
     sent.begun = true
-    if (predicted !== undefined && predicted > 0) this._observe((now - sent.sentAt) / predicted, now)
+    if (predicted !== undefined && predicted > 0) this._addSlowness((now - sent.sentAt) / predicted, now)
   }
 
   /**
@@ -167,7 +167,7 @@
    * @param usual The mean response time of the service; 0 if unknown.
    */
   plainTook (milliseconds: number, usual: number, now: number): void {
-    const before = this._fadedPlainTime(usual, now) || milliseconds
+    const before = this._decayedPlainTime(usual, now) || milliseconds
     this._plainTime = before + SLOWNESS_SMOOTHING * (milliseconds - before)
     this._plainTimeAt = now
   }
@@ -203,16 +203,16 @@
    */
   expectedPlainAnswer (slots: number, usual: number, now: number): number {
     const waiting = Math.max(0, this._sent.size + 1 - slots)
-    return this._fadedPlainTime(usual, now) * (1 + waiting / Math.max(1, slots))
+    return this._decayedPlainTime(usual, now) * (1 + waiting / Math.max(1, slots))
   }
 
-  private _fadedPlainTime (usual: number, now: number): number {
+  private _decayedPlainTime (usual: number, now: number): number {
     if (this._plainTime === undefined) return usual
     return usual + (this._plainTime - usual) * decay(now - this._plainTimeAt, PLAIN_TIME_HALF_LIFE)
   }
 
   /** The unread prompt tokens in the report, less those that the engine has read since. */
-  private _unread ({ unreadTokens = 0 }: LoadReport, pool: PoolDescription, now: number): number {
+  private _unreadTokens ({ unreadTokens = 0 }: LoadReport, pool: PoolDescription, now: number): number {
     return Math.max(0, unreadTokens - this.reportAge(now) * readRate(pool))
   }
 
@@ -220,14 +220,14 @@
     let sentSince = 0
     let tokensSince = 0
     for (const { promptTokens, sentAt, begun } of this._sent.values()) {
-      if (begun || sentAt < this._heardAt - REPORT_BLIND_TIME) continue
+      if (begun || sentAt < this._reportedAt - REPORT_DELAY) continue
       sentSince += 1
       tokensSince += promptTokens
     }
     return {
       running: Math.max(0, report.running - this._endedSinceReport),
       waiting: report.waiting + sentSince,
-      waitingTokens: report.waiting * pool.usualPromptTokens + tokensSince + this._unread(report, pool, now)
+      waitingTokens: report.waiting * pool.usualPromptTokens + tokensSince + this._unreadTokens(report, pool, now)
     }
   }
 
@@ -245,12 +245,12 @@
     return { running: Math.min(pool.slots, running * ASSUMED_ENTRIES), waiting: waiting * ASSUMED_ENTRIES, waitingTokens: waitingTokens * ASSUMED_ENTRIES }
   }
 
-  private _fadedPeak (now: number): number {
-    return this._peak * decay(now - this._peakAt, PEAK_HALF_LIFE)
+  private _decayedLongestRoundTrip (now: number): number {
+    return this._longestRoundTrip * decay(now - this._longestRoundTripAt, ROUND_TRIP_HALF_LIFE)
   }
 
-  private _observe (ratio: number, now: number): void {
-    const bounded = Math.min(GREATEST_SLOWNESS, Math.max(LEAST_SLOWNESS, ratio))
+  private _addSlowness (ratio: number, now: number): void {
+    const bounded = Math.min(MAX_SLOWNESS, Math.max(MIN_SLOWNESS, ratio))
     this._slowness = this.slowness(now) + SLOWNESS_SMOOTHING * (bounded - this.slowness(now))
     this._slownessAt = now
   }
--- a/packages/core/src/lib/routing/choice/engine-model.ts
+++ b/packages/core/src/lib/routing/choice/engine-model.ts
@@ -20,7 +20,7 @@
 }
 
 /** The assumed prefill rate of a pool that is unknown or does not describe it, in prompt tokens per millisecond. */
-export const ASSUMED_READ_RATE = 10
+export const ASSUMED_PREFILL_RATE = 10
 
 /**
  * The time of one decoding step, in milliseconds.
@@ -35,17 +35,17 @@
 
 /** The time from the first to the last token of a request of typical size, in milliseconds. */
 export function usualWriteTime (pool: PoolDescription, running: number): number {
-  const prompts = running * readTime(pool, pool.usualPromptTokens)
+  const prompts = running * prefillTime(pool, pool.usualPromptTokens)
   return pool.usualAnswerTokens * stepTime(pool, running) + prompts
 }
 
 /** The prefill rate of an engine, in prompt tokens per millisecond; an assumed rate if its pool is unknown. */
 export function readRate (pool: PoolDescription | undefined): number {
-  return pool !== undefined && pool.promptTokensPerMillisecond > 0 ? pool.promptTokensPerMillisecond : ASSUMED_READ_RATE
+  return pool !== undefined && pool.promptTokensPerMillisecond > 0 ? pool.promptTokensPerMillisecond : ASSUMED_PREFILL_RATE
 }
 
 /** The time to prefill the given number of prompt tokens, in milliseconds. */
-export function readTime (pool: PoolDescription, tokens: number): number { return tokens / readRate(pool) }
+export function prefillTime (pool: PoolDescription, tokens: number): number { return tokens / readRate(pool) }
 
 /**
  * The time to first token of a request that is sent now, in milliseconds, at the speed that the pool describes.
@@ -59,7 +59,7 @@
   const writePerPass = work.running > 0 ? pool.stride * stepTime(pool, work.running) : 0
   // On average a request arrives in the middle of a pass, and its first event is sent at the end of the pass that it joins.
   const passTime = (passes + 0.5) * writePerPass + pool.stride * stepTime(pool, work.running + 1)
-  return readTime(pool, tokens) + passTime + slotWait(pool, work)
+  return prefillTime(pool, tokens) + passTime + slotWait(pool, work)
 }
 
 /** The time until a slot is free for a request at the end of the queue, in milliseconds. */
--- a/packages/core/src/lib/routing/choice/even-choice.ts
+++ b/packages/core/src/lib/routing/choice/even-choice.ts
@@ -27,16 +27,16 @@
  */
 export function levelOf ({ costs, step, requests }: EvenChoice): number {
   const sorted = [...costs].sort((left, right) => left - right)
-  let room = requests * step
+  let remaining = requests * step
   let level = sorted[0] ?? 0
   for (let filled = 1; filled < sorted.length; filled++) {
     const next = sorted[filled] ?? level
     const needed = (next - level) * filled
-    if (needed >= room) return level + room / filled
-    room -= needed
+    if (needed >= remaining) return level + remaining / filled
+    remaining -= needed
     level = next
   }
-  return level + room / Math.max(1, sorted.length)
+  return level + remaining / Math.max(1, sorted.length)
 }
 
 /**
@@ -49,12 +49,12 @@
  */
 export function chooseEvenly (choice: EvenChoice, draw: number): number {
   const level = levelOf(choice)
-  const odds = choice.costs.map(cost => Math.max(0, level - cost))
-  const total = odds.reduce((sum, part) => sum + part, 0)
-  let left = draw * total
-  for (const [index, part] of odds.entries()) {
-    left -= part
-    if (left < 0) return index
+  const weights = choice.costs.map(cost => Math.max(0, level - cost))
+  const total = weights.reduce((sum, part) => sum + part, 0)
+  let remainder = draw * total
+  for (const [index, part] of weights.entries()) {
+    remainder -= part
+    if (remainder < 0) return index
   }
   return choice.costs.indexOf(Math.min(...choice.costs))
 }
--- a/packages/core/src/lib/routing/choice/followed-engines.ts
+++ b/packages/core/src/lib/routing/choice/followed-engines.ts
@@ -12,7 +12,7 @@
 import { hash32 } from '../../rendezvous.js'
 
 /** An engine, identified by its agent. */
-export interface EngineAt {
+export interface EngineLocation {
   readonly agent: string
   readonly availabilityZone: string
 }
@@ -20,8 +20,8 @@
 /** The largest number of engines of which an entry follows all. */
 export const FOLLOW_ALL_UP_TO = 24
 /** The number of engines followed in larger deployments, and how many of them may be in the entry's own zone. */
-const MOST_FOLLOWED = 20
-const MOST_NEAR = 12
+const MAX_FOLLOWED = 20
+const MAX_FOLLOWED_IN_ZONE = 12
 
 /**
  * The agents that an entry follows, selected by rendezvous hashing of the entry's and the agents' names: the selection is the same
@@ -32,19 +32,19 @@
  * @example
  * const agents = enginesToFollow('entry-7', 'hall-1', engines)
  */
-export function enginesToFollow (self: string, zone: string, engines: readonly EngineAt[]): ReadonlySet<string> {
+export function enginesToFollow (self: string, zone: string, engines: readonly EngineLocation[]): ReadonlySet<string> {
   if (engines.length <= FOLLOW_ALL_UP_TO) return new Set(engines.map(({ agent }) => agent))
   const byZone = groupByZone(engines)
   const rank = (agents: readonly string[]): string[] => agents
     .map(agent => ({ agent, weight: hash32(`${self} ${agent}`) }))
     .sort((left, right) => right.weight - left.weight)
     .map(({ agent }) => agent)
-  const near = rank(byZone.get(zone) ?? []).slice(0, MOST_NEAR)
+  const ownZone = rank(byZone.get(zone) ?? []).slice(0, MAX_FOLLOWED_IN_ZONE)
   const otherZones = [...byZone].filter(([name]) => name !== zone).map(([, agents]) => rank(agents))
-  return new Set([...near, ...dealt(otherZones, MOST_FOLLOWED - near.length)])
+  return new Set([...ownZone, ...roundRobin(otherZones, MAX_FOLLOWED - ownZone.length)])
 }
 
-function groupByZone (engines: readonly EngineAt[]): Map<string, string[]> {
+function groupByZone (engines: readonly EngineLocation[]): Map<string, string[]> {
   const groups = new Map<string, string[]>()
   for (const { agent, availabilityZone } of engines) {
     const group = groups.get(availabilityZone) ?? []
@@ -55,7 +55,7 @@
 }
 
 /** Takes one item of each list in turn (round robin), up to `count` items. */
-function dealt (lists: readonly (readonly string[])[], count: number): string[] {
+function roundRobin (lists: readonly (readonly string[])[], count: number): string[] {
   const taken: string[] = []
   const longest = Math.max(0, ...lists.map(list => list.length))
   for (let round = 0; round < longest; round += 1) taken.push(...lists.flatMap(list => list.slice(round, round + 1)))
--- a/packages/core/src/lib/routing/choice/request-rate.ts
+++ b/packages/core/src/lib/routing/choice/request-rate.ts
@@ -12,12 +12,12 @@
 /** An exponentially decaying rate. */
 export class RequestRate {
   private _count = 0
-  private _at = 0
+  private _countedAt = 0
 
   /** Counts a request that was sent. */
   sent (now: number): void {
-    this._count = this._faded(now) + 1
-    this._at = now
+    this._count = this._decayedCount(now) + 1
+    this._countedAt = now
   }
 
   /**
@@ -26,9 +26,9 @@
    * @example
    * const expected = rate.perMillisecond(now) * 100 // in the next tenth of a second
    */
-  perMillisecond (now: number): number { return this._faded(now) * Math.LN2 / HALF_LIFE }
+  perMillisecond (now: number): number { return this._decayedCount(now) * Math.LN2 / HALF_LIFE }
 
-  private _faded (now: number): number {
-    return this._count * decay(now - this._at, HALF_LIFE)
+  private _decayedCount (now: number): number {
+    return this._count * decay(now - this._countedAt, HALF_LIFE)
   }
 }
--- a/packages/core/src/lib/routing/choice/unread-tokens.ts
+++ b/packages/core/src/lib/routing/choice/unread-tokens.ts
@@ -18,7 +18,7 @@
 
 /** Estimates the unread tokens of one engine. */
 export class UnreadTokens {
-  private _before: ContextReading = { running: 0, contextTokens: 0 }
+  private _previous: ContextReading = { running: 0, contextTokens: 0 }
   private _readAt: number | undefined
   private _unread = 0
 
@@ -32,16 +32,16 @@
    */
   observe (reading: ContextReading, readRate: number, now: number): number {
     const elapsed = this._readAt === undefined ? 0 : Math.max(0, now - this._readAt)
-    this._unread = Math.max(0, this._unread - elapsed * readRate) + this._admitted(reading)
+    this._unread = Math.max(0, this._unread - elapsed * readRate) + this._newlyAdmitted(reading)
     if (reading.running === 0) this._unread = 0
-    this._before = reading
+    this._previous = reading
     this._readAt = now
     return Math.min(this._unread, reading.contextTokens)
   }
 
   /** Prompt tokens admitted since the last reading. Requests that ended are assumed to have held the mean context; growth by generated tokens is small compared with prompts. */
-  private _admitted ({ running, contextTokens }: ContextReading): number {
-    const before = this._before
+  private _newlyAdmitted ({ running, contextTokens }: ContextReading): number {
+    const before = this._previous
     const ended = Math.max(0, before.running - running)
     const released = before.running === 0 ? 0 : ended * before.contextTokens / before.running
     return Math.max(0, contextTokens - before.contextTokens + released)
--- a/packages/core/src/lib/routing/choice/usual-time.ts
+++ b/packages/core/src/lib/routing/choice/usual-time.ts
@@ -17,11 +17,11 @@
 /** A moving average that decays while there are no measurements. */
 export class UsualTime {
   private _mean = 0
-  private _at = 0
+  private _updatedAt = 0
 
   /** The mean, in milliseconds; 0 if unknown. */
   value (now: number): number {
-    return this._mean * decay(now - this._at, HALF_LIFE)
+    return this._mean * decay(now - this._updatedAt, HALF_LIFE)
   }
 
   /**
@@ -33,6 +33,6 @@
   took (milliseconds: number, now: number): void {
     const before = this.value(now)
     this._mean = before === 0 ? milliseconds : before + SMOOTHING * (milliseconds - before)
-    this._at = now
+    this._updatedAt = now
   }
 }
--- a/packages/core/src/lib/routing/limits/endpoint-absences.ts
+++ b/packages/core/src/lib/routing/limits/endpoint-absences.ts
@@ -11,17 +11,17 @@
 import type { EndpointGate, SparedFor } from '../choice/endpoint-gate.js'
 
 /** The longest accepted pause, in milliseconds: one hour is more than an overloaded endpoint can need. */
-const LONGEST_REST = 3_600_000
+const MAX_REST = 3_600_000
 /** Memory bound: more incarnations of endpoints than any deployment lists. */
-const MOST_REMEMBERED = 1_024
+const MAX_ENDPOINTS = 1_024
 
 /**
  * Whether a pause that an endpoint asks for, in milliseconds, is plausible; others are ignored.
  *
  * @example
- * isRest(3_000) // true
+ * isPlausibleRest(3_000) // true
  */
-export function isRest (milliseconds: number): boolean { return milliseconds >= 0 && milliseconds <= LONGEST_REST }
+export function isPlausibleRest (milliseconds: number): boolean { return milliseconds >= 0 && milliseconds <= MAX_REST }
 
 /** The endpoints that are leaving or paused, as announced to one entry. */
 export class EndpointAbsences implements Pick<EndpointGate, 'quiet' | 'sparedFor' | 'opensIn'> {
@@ -37,7 +37,7 @@
    *
    * @returns Whether this was unknown before.
    */
-  leaves (start: string): boolean {
+  recordLeaving (start: string): boolean {
     if (this._leaving.has(start)) return false
     this._leaving.add(start)
     dropOldest(this._leaving)
@@ -50,11 +50,11 @@
    *
    * @returns Whether the endpoint was not paused before.
    */
-  rests (start: string, milliseconds: number, now: number): boolean {
+  recordRest (start: string, milliseconds: number, now: number): boolean {
     const until = now + milliseconds
     const known = this._restsUntil.get(start) ?? -Infinity
     if (until <= known) return false
-    for (const [other, over] of this._restsUntil) if (over <= now) this._restsUntil.delete(other)
+    for (const [other, end] of this._restsUntil) if (end <= now) this._restsUntil.delete(other)
     this._restsUntil.set(start, until)
     dropOldest(this._restsUntil)
     return known <= now
@@ -62,20 +62,20 @@
 
   sparedFor (start: string, now: number): SparedFor | undefined {
     if (this._leaving.has(start)) return 'leaving'
-    return this._restOf(start, now) > 0 ? 'resting' : undefined
+    return this._remainingRest(start, now) > 0 ? 'resting' : undefined
   }
 
-  opensIn (start: string, now: number): number { return this._leaving.has(start) ? Infinity : this._restOf(start, now) }
+  opensIn (start: string, now: number): number { return this._leaving.has(start) ? Infinity : this._remainingRest(start, now) }
 
   /** The remaining pause of an endpoint, in milliseconds. */
-  private _restOf (start: string, now: number): number {
+  private _remainingRest (start: string, now: number): number {
     return Math.max(0, (this._restsUntil.get(start) ?? -Infinity) - now)
   }
 }
 
-function dropOldest (remembered: Pick<Set<string>, 'size' | 'delete'> & { keys (): Iterable<string> }): void {
-  for (const oldest of remembered.keys()) {
-    if (remembered.size <= MOST_REMEMBERED) return
-    remembered.delete(oldest)
+function dropOldest (stored: Pick<Set<string>, 'size' | 'delete'> & { keys (): Iterable<string> }): void {
+  for (const oldest of stored.keys()) {
+    if (stored.size <= MAX_ENDPOINTS) return
+    stored.delete(oldest)
   }
 }
--- a/packages/core/src/lib/routing/limits/endpoint-limits.ts
+++ b/packages/core/src/lib/routing/limits/endpoint-limits.ts
@@ -26,9 +26,9 @@
 
   /**
    * @param _entries Returns the number of entries that share the limits, or `undefined` if it is unknown.
-   * @param _draw Returns random numbers in [0, 1).
+   * @param _random Returns random numbers in [0, 1).
    */
-  constructor (private readonly _entries: (now: number) => number | undefined, private readonly _draw: () => number) {}
+  constructor (private readonly _entries: (now: number) => number | undefined, private readonly _random: () => number) {}
 
   /**
    * Records the limit announced in an answer to this entry.
@@ -38,12 +38,12 @@
    * const change = limits.heard(start, { limit: 1.1, askedAt: sentAt, heardAt: now }, now)
    */
   heard (start: string, statement: LimitStatement, now: number): LimitChange | undefined {
-    return this._book.heard(start, statement, now) ? this._changed(start, now) : undefined
+    return this._book.heard(start, statement, now) ? this._applyChange(start, now) : undefined
   }
 
   /** Adds the limits that another process reports and returns the changes. */
   told (news: LimitNews, now: number): LimitChange[] {
-    return this._book.told(news, now).map(({ start }) => this._changed(start, now))
+    return this._book.told(news, now).map(({ start }) => this._applyChange(start, now))
   }
 
   /** Returns this process's statements about endpoints whose reported limit differs from the one here, to send back to the reporter. */
@@ -69,7 +69,7 @@
     if (!this.quiet) this._shareOf(start, now)?.sent(now)
   }
 
-  opensIn (start: string, now: number): number { return this._shareOf(start, now)?.nextIn(now) ?? 0 }
+  opensIn (start: string, now: number): number { return this._shareOf(start, now)?.nextPermitIn(now) ?? 0 }
 
   /** This entry's share of a limit; `undefined` if there is no limit or it has expired. */
   private _shareOf (start: string, now: number): LimitShare | undefined {
@@ -78,15 +78,15 @@
   }
 
   /** Drops the shares of expired limits, such as those of endpoints that are gone and no longer looked up. */
-  private _dropLapsed (now: number): void {
+  private _dropExpired (now: number): void {
     for (const start of this._shares.keys()) this._shareOf(start, now)
   }
 
-  private _changed (start: string, now: number): LimitChange {
-    this._dropLapsed(now)
+  private _applyChange (start: string, now: number): LimitChange {
+    this._dropExpired(now)
     const limit = this._book.limitOf(start, now)
     if (limit === undefined) return { start, limit, share: undefined }
-    const share = this._shares.get(start) ?? new LimitShare(limit, this._entries, this._draw(), now)
+    const share = this._shares.get(start) ?? new LimitShare(limit, this._entries, this._random(), now)
     share.change(limit, now)
     this._shares.set(start, share)
     return { start, limit, share: share.rate(now) * MILLISECONDS_PER_SECOND }
--- a/packages/core/src/lib/routing/limits/endpoint-notices.ts
+++ b/packages/core/src/lib/routing/limits/endpoint-notices.ts
@@ -8,9 +8,9 @@
  * gets no requests, whatever its rate limit.
  */
 import type { EndpointGate, SparedFor } from '../choice/endpoint-gate.js'
-import { EndpointAbsences, isRest } from './endpoint-absences.js'
+import { EndpointAbsences, isPlausibleRest } from './endpoint-absences.js'
 import type { EndpointLimits, LimitChange } from './endpoint-limits.js'
-import { isLimit } from './limit-book.js'
+import { isPlausibleLimit } from './limit-book.js'
 
 /** The notice that an endpoint attaches to an answer of any kind. */
 export interface EndpointNotice {
@@ -51,9 +51,9 @@
    */
   heard (start: string, { limit, leaving, rest }: EndpointNotice, askedAt: number, now: number): NoticeChange[] {
     const changes: (NoticeChange | undefined)[] = [
-      leaving && this._absences.leaves(start) ? { type: 'leaving', start } : undefined,
-      rest === undefined ? undefined : this._heardRest(start, rest, now),
-      this._heardLimit(start, limit, askedAt, now)
+      leaving && this._absences.recordLeaving(start) ? { type: 'leaving', start } : undefined,
+      rest === undefined ? undefined : this._applyRest(start, rest, now),
+      this._applyLimit(start, limit, askedAt, now)
     ]
     return changes.filter(change => change !== undefined)
   }
@@ -74,14 +74,14 @@
     return Math.max(this._absences.opensIn(start, now), this.limits.opensIn(start, now))
   }
 
-  private _heardRest (start: string, rest: number | 'unreadable', now: number): NoticeChange | undefined {
-    if (rest === 'unreadable' || !isRest(rest)) return { type: 'refused', start, what: 'rest', value: String(rest) }
-    return rest > 0 && this._absences.rests(start, rest, now) ? { type: 'resting', start, rest } : undefined
+  private _applyRest (start: string, rest: number | 'unreadable', now: number): NoticeChange | undefined {
+    if (rest === 'unreadable' || !isPlausibleRest(rest)) return { type: 'refused', start, what: 'rest', value: String(rest) }
+    return rest > 0 && this._absences.recordRest(start, rest, now) ? { type: 'resting', start, rest } : undefined
   }
 
-  private _heardLimit (start: string, limit: EndpointNotice['limit'], askedAt: number, now: number): NoticeChange | undefined {
+  private _applyLimit (start: string, limit: EndpointNotice['limit'], askedAt: number, now: number): NoticeChange | undefined {
     if (limit === 'unsaid') return undefined
-    if (limit === 'unreadable' || (limit !== undefined && !isLimit(limit))) return { type: 'refused', start, what: 'limit', value: String(limit) }
+    if (limit === 'unreadable' || (limit !== undefined && !isPlausibleLimit(limit))) return { type: 'refused', start, what: 'limit', value: String(limit) }
     const change = this.limits.heard(start, { limit, askedAt, heardAt: now }, now)
     return change === undefined ? undefined : { type: 'limit', change }
   }
--- a/packages/core/src/lib/routing/limits/limit-book.ts
+++ b/packages/core/src/lib/routing/limits/limit-book.ts
@@ -32,25 +32,25 @@
 export type LimitNews = readonly LimitReport[]
 
 /** The highest accepted limit, in requests per second: no fleet could exceed it, so a higher value is an error. */
-const GREATEST_LIMIT = 100_000
+const MAX_LIMIT = 100_000
 /** How long a statement is kept, in milliseconds: longer than the interval between permits of an entry in the largest fleet. */
 const STATEMENT_LIFETIME = 600_000
 /**
  * The longest delivery time of a report, in milliseconds, which is added to its age. Without it, a statement became younger with each
  * process that forwarded it, and two statements replaced each other endlessly.
  */
-const LONGEST_WAY = 1_000
+const MAX_DELIVERY_TIME = 1_000
 /** Bound of memory and of the reports in one message: more endpoints than any pool has. */
-const MOST_STATEMENTS = 1_024
-const LONGEST_START = 200
+const MAX_STATEMENTS = 1_024
+const MAX_START_LENGTH = 200
 
 /**
  * Whether an announced limit is plausible; others are ignored, and the previous limit remains in force.
  *
  * @example
- * isLimit(1.1) // true
+ * isPlausibleLimit(1.1) // true
  */
-export function isLimit (limit: number): boolean { return limit >= 0 && limit <= GREATEST_LIMIT }
+export function isPlausibleLimit (limit: number): boolean { return limit >= 0 && limit <= MAX_LIMIT }
 
 /** The rate limit statements known to one process. */
 export class LimitBook {
@@ -74,12 +74,12 @@
     const before = this.limitOf(start, now)
     // Most endpoints never announce a limit; no statements of these are stored.
     if (known === undefined && statement.limit === undefined) return false
-    const held = known === undefined ? statement : newer(known, statement)
-    if (held === known) return false
+    const kept = known === undefined ? statement : laterOf(known, statement)
+    if (kept === known) return false
     this._statements.delete(start)
-    this._statements.set(start, held)
+    this._statements.set(start, kept)
     for (const oldest of this._statements.keys()) {
-      if (this._statements.size <= MOST_STATEMENTS) break
+      if (this._statements.size <= MAX_STATEMENTS) break
       this._statements.delete(oldest)
     }
     return this.limitOf(start, now) !== before
@@ -92,7 +92,7 @@
    */
   told (news: LimitNews, now: number): LimitNews {
     return news.filter(({ start, limit, askedAge, heardAge }) => {
-      return this.heard(start, { limit: limit ?? undefined, askedAt: now - askedAge - LONGEST_WAY, heardAt: now - heardAge }, now)
+      return this.heard(start, { limit: limit ?? undefined, askedAt: now - askedAge - MAX_DELIVERY_TIME, heardAt: now - heardAge }, now)
     })
   }
 
@@ -118,10 +118,10 @@
 }
 
 /** Returns the later of two statements, or the lower limit if their order cannot be determined. */
-function newer (known: LimitStatement, told: LimitStatement): LimitStatement {
-  if (told.askedAt >= known.heardAt) return told
-  if (told.heardAt <= known.askedAt) return known
-  return (told.limit ?? Infinity) < (known.limit ?? Infinity) ? told : known
+function laterOf (known: LimitStatement, received: LimitStatement): LimitStatement {
+  if (received.askedAt >= known.heardAt) return received
+  if (received.heardAt <= known.askedAt) return known
+  return (received.limit ?? Infinity) < (known.limit ?? Infinity) ? received : known
 }
 
 /**
@@ -131,13 +131,13 @@
  * const news = readLimitNews([{ start: 'engine-7', limit: 1.1, askedAge: 130, heardAge: 20 }])
  */
 export function readLimitNews (input: unknown): LimitNews | undefined {
-  return Array.isArray(input) && input.length <= MOST_STATEMENTS && input.every(isLimitReport) ? input : undefined
+  return Array.isArray(input) && input.length <= MAX_STATEMENTS && input.every(isLimitReport) ? input : undefined
 }
 
 function isLimitReport (input: unknown): input is LimitReport {
   if (typeof input !== 'object' || input === null) return false
   const { start, limit, askedAge, heardAge } = input as Partial<Record<keyof LimitReport, unknown>>
-  if (typeof start !== 'string' || start.length > LONGEST_START) return false
-  if (limit !== null && !(typeof limit === 'number' && isLimit(limit))) return false
+  if (typeof start !== 'string' || start.length > MAX_START_LENGTH) return false
+  if (limit !== null && !(typeof limit === 'number' && isPlausibleLimit(limit))) return false
   return typeof askedAge === 'number' && typeof heardAge === 'number' && heardAge >= 0 && askedAge >= heardAge && Number.isFinite(askedAge)
 }
--- a/packages/core/src/test/lib/routing/attempts/fleet-size_test.ts
+++ b/packages/core/src/test/lib/routing/attempts/fleet-size_test.ts
@@ -5,7 +5,7 @@
  */
 import assert from 'node:assert/strict'
 import { describe, it } from 'node:test'
-import { FleetSize, MOST_ENTRIES } from '../../../../lib/routing/attempts/fleet-size.js'
+import { FleetSize, MAX_ENTRIES } from '../../../../lib/routing/attempts/fleet-size.js'
 
 const MINUTE = 60_000
 
@@ -38,7 +38,7 @@
     })
   }
 
-  for (const count of [0, -1, Number.NaN, Infinity, MOST_ENTRIES + 1, 'many']) {
+  for (const count of [0, -1, Number.NaN, Infinity, MAX_ENTRIES + 1, 'many']) {
     it(`rejects a count of ${count}`, () => {
       const fleet = new FleetSize(() => all)
       assert.equal(fleet.heard('a', 'agent', count as number, 0), false)
--- a/packages/core/src/test/lib/routing/choice/followed-engines_test.ts
+++ b/packages/core/src/test/lib/routing/choice/followed-engines_test.ts
@@ -5,22 +5,22 @@
  */
 import assert from 'node:assert/strict'
 import { describe, it } from 'node:test'
-import { enginesToFollow, type EngineAt } from '../../../../lib/routing/choice/followed-engines.js'
+import { enginesToFollow, type EngineLocation } from '../../../../lib/routing/choice/followed-engines.js'
 
 const zones = ['a', 'b', 'c', 'd', 'e']
 
-function engines (perZone: number, names = zones): EngineAt[] {
+function engines (perZone: number, names = zones): EngineLocation[] {
   return names.flatMap(availabilityZone => Array.from({ length: perZone }, (_, index) => ({ agent: `${availabilityZone}-${index}`, availabilityZone })))
 }
 
 /** The number of engines of each zone that an entry in zone a follows. */
-function perZone (list: readonly EngineAt[]): number[] {
+function perZone (list: readonly EngineLocation[]): number[] {
   const followed = enginesToFollow('entry-1', 'a', list)
   return zones.map(zone => list.filter(({ agent, availabilityZone }) => availabilityZone === zone && followed.has(agent)).length)
 }
 
 describe('enginesToFollow', () => {
-  const cases: [name: string, list: EngineAt[], expected: number[]][] = [
+  const cases: [name: string, list: EngineLocation[], expected: number[]][] = [
     ['all engines of a small deployment', engines(3), [3, 3, 3, 3, 3]],
     ['twelve of its own zone and two of each other zone', engines(17), [12, 2, 2, 2, 2]],
     ['more of each other zone if there are fewer zones', engines(12, ['a', 'b', 'c']), [12, 4, 4, 0, 0]],
--- a/packages/core/src/test/lib/routing/limits/endpoint-notices_test.ts
+++ b/packages/core/src/test/lib/routing/limits/endpoint-notices_test.ts
@@ -9,14 +9,14 @@
 import { EndpointNotices, type EndpointNotice, type NoticeChange } from '../../../../lib/routing/limits/endpoint-notices.js'
 
 const start = 'engine-7@1700'
-const nothing: EndpointNotice = { limit: undefined, leaving: false, rest: undefined }
+const emptyNotice: EndpointNotice = { limit: undefined, leaving: false, rest: undefined }
 
-function fresh (): EndpointNotices { return new EndpointNotices(new EndpointLimits(() => 6, () => 0.5)) }
+function createNotices (): EndpointNotices { return new EndpointNotices(new EndpointLimits(() => 6, () => 0.5)) }
 
 /** The types of the changes caused by notices that arrive one second apart. */
-function changes (...notices: Partial<EndpointNotice>[]): NoticeChange['type'][] {
-  const heard = fresh()
-  return notices.flatMap((notice, second) => heard.heard(start, { ...nothing, ...notice }, second * 1_000, second * 1_000 + 10).map(({ type }) => type))
+function changes (...received: Partial<EndpointNotice>[]): NoticeChange['type'][] {
+  const notices = createNotices()
+  return received.flatMap((notice, second) => notices.heard(start, { ...emptyNotice, ...notice }, second * 1_000, second * 1_000 + 10).map(({ type }) => type))
 }
 
 describe('EndpointNotices', () => {
@@ -43,40 +43,40 @@
   ]
   for (const [name, notice, at, reason, opensIn] of spared) {
     it(`restricts ${name}`, () => {
-      const notices = fresh()
-      notices.heard(start, { ...nothing, ...notice }, 0, 10)
+      const notices = createNotices()
+      notices.heard(start, { ...emptyNotice, ...notice }, 0, 10)
       assert.deepEqual([notices.sparedFor(start, at), Math.round(notices.opensIn(start, at))], [reason, opensIn])
       assert.equal(notices.isDue(start, at), reason === undefined && notice.limit !== undefined)
     })
   }
 
   it('does not apply the notice of one incarnation of an endpoint to another', () => {
-    const notices = fresh()
+    const notices = createNotices()
     notices.heard(start, { limit: 0, leaving: true, rest: 9_000 }, 0, 10)
     assert.equal(notices.sparedFor('engine-7@1800', 20), undefined)
   })
 
   it('is quiet until an endpoint has a restriction', () => {
-    const notices = fresh()
+    const notices = createNotices()
     const before = notices.quiet
-    notices.heard(start, { ...nothing, rest: 100 }, 0, 10)
+    notices.heard(start, { ...emptyNotice, rest: 100 }, 0, 10)
     assert.deepEqual([before, notices.quiet], [true, false])
   })
 
   it('sends requests to an overloaded endpoint only until the first notice of a pause arrives', () => {
-    const notices = fresh()
+    const notices = createNotices()
     let sent = 0
     for (let now = 0; now < 3_000; now += 5) {
       if (notices.sparedFor(start, now) !== undefined) continue
       sent += 1
-      if (now >= 20) notices.heard(start, { ...nothing, rest: 3_000 }, now - 20, now)
+      if (now >= 20) notices.heard(start, { ...emptyNotice, rest: 3_000 }, now - 20, now)
     }
     assert.equal(sent, 5)
   })
 
   it('stores a bounded number of leaving endpoints', () => {
-    const notices = fresh()
-    for (let index = 0; index < 3_000; index += 1) notices.heard(`engine-${index}`, { ...nothing, leaving: true }, 0, index)
+    const notices = createNotices()
+    for (let index = 0; index < 3_000; index += 1) notices.heard(`engine-${index}`, { ...emptyNotice, leaving: true }, 0, index)
     assert.deepEqual([notices.sparedFor('engine-0', 3_000), notices.sparedFor('engine-2999', 3_000)], [undefined, 'leaving'])
   })
 })
--- a/packages/core/src/test/lib/routing/limits/limit-book_test.ts
+++ b/packages/core/src/test/lib/routing/limits/limit-book_test.ts
@@ -5,10 +5,10 @@
  */
 import assert from 'node:assert/strict'
 import { describe, it } from 'node:test'
-import { isLimit, LimitBook, readLimitNews, type LimitStatement } from '../../../../lib/routing/limits/limit-book.js'
+import { isPlausibleLimit, LimitBook, readLimitNews, type LimitStatement } from '../../../../lib/routing/limits/limit-book.js'
 
 const start = 'engine-7@1700'
-const named: LimitStatement = { limit: 1.1, askedAt: 100, heardAt: 200 }
+const announced: LimitStatement = { limit: 1.1, askedAt: 100, heardAt: 200 }
 
 /** The limit after some statements, each added when it is received. */
 function limitAfter (...statements: LimitStatement[]): number | undefined {
@@ -20,21 +20,21 @@
 describe('LimitBook', () => {
   const cases: [name: string, limit: number | undefined, expected: number | undefined][] = [
     ['no limit for an endpoint that announces none', limitAfter({ limit: undefined, askedAt: 0, heardAt: 10 }), undefined],
-    ['the announced limit', limitAfter(named), 1.1],
-    ['a limit of 0', limitAfter({ ...named, limit: 0 }), 0],
-    ['a lower limit, whenever its request was sent', limitAfter(named, { limit: 0.5, askedAt: 90, heardAt: 210 }), 0.5],
-    ['a higher limit from a request sent after the limit was received', limitAfter(named, { limit: 3, askedAt: 201, heardAt: 300 }), 3],
-    ['the limit, if a higher one may have been announced before it', limitAfter(named, { limit: 3, askedAt: 150, heardAt: 300 }), 1.1],
-    ['no limit once the answer to a later request announces none', limitAfter(named, { limit: undefined, askedAt: 201, heardAt: 300 }), undefined],
-    ['the limit, if an answer without one may have been made before it', limitAfter(named, { limit: undefined, askedAt: 150, heardAt: 900 }), 1.1],
-    ['no limit after its end, if an older answer with it arrives late', limitAfter(named, { limit: undefined, askedAt: 201, heardAt: 300 }, { limit: 1.1, askedAt: 120, heardAt: 200 }), undefined],
-    ['a limit announced again after its end', limitAfter(named, { limit: undefined, askedAt: 201, heardAt: 300 }, { limit: 2, askedAt: 301, heardAt: 400 }), 2]
+    ['the announced limit', limitAfter(announced), 1.1],
+    ['a limit of 0', limitAfter({ ...announced, limit: 0 }), 0],
+    ['a lower limit, whenever its request was sent', limitAfter(announced, { limit: 0.5, askedAt: 90, heardAt: 210 }), 0.5],
+    ['a higher limit from a request sent after the limit was received', limitAfter(announced, { limit: 3, askedAt: 201, heardAt: 300 }), 3],
+    ['the limit, if a higher one may have been announced before it', limitAfter(announced, { limit: 3, askedAt: 150, heardAt: 300 }), 1.1],
+    ['no limit once the answer to a later request announces none', limitAfter(announced, { limit: undefined, askedAt: 201, heardAt: 300 }), undefined],
+    ['the limit, if an answer without one may have been made before it', limitAfter(announced, { limit: undefined, askedAt: 150, heardAt: 900 }), 1.1],
+    ['no limit after its end, if an older answer with it arrives late', limitAfter(announced, { limit: undefined, askedAt: 201, heardAt: 300 }, { limit: 1.1, askedAt: 120, heardAt: 200 }), undefined],
+    ['a limit announced again after its end', limitAfter(announced, { limit: undefined, askedAt: 201, heardAt: 300 }, { limit: 2, askedAt: 301, heardAt: 400 }), 2]
   ]
   for (const [name, limit, expected] of cases) it(`holds ${name}`, () => assert.equal(limit, expected))
 
   it('shares limits and their end with other processes, as ages instead of times', () => {
     const [first, second] = [new LimitBook(), new LimitBook()]
-    first.heard(start, named, 200)
+    first.heard(start, announced, 200)
     assert.equal(second.told(first.known(700), 90_700).length, 1)
     assert.deepEqual([second.limitOf(start, 90_700), second.told(first.known(800), 90_800)], [1.1, []])
     first.heard(start, { limit: undefined, askedAt: 1_900, heardAt: 1_950 }, 1_950)
@@ -44,8 +44,8 @@
 
   it('is corrected by a process with a later statement', () => {
     const [first, second] = [new LimitBook(), new LimitBook()]
-    first.heard(start, named, 200)
-    second.heard(start, named, 200)
+    first.heard(start, announced, 200)
+    second.heard(start, announced, 200)
     second.heard(start, { limit: undefined, askedAt: 1_250, heardAt: 1_300 }, 1_300)
     first.told(second.corrections(first.known(1_400), 1_400), 1_400)
     assert.deepEqual([first.limitOf(start, 1_400), second.corrections(first.known(1_400), 1_400)], [undefined, []])
@@ -69,17 +69,17 @@
 
   it('drops statements after ten minutes', () => {
     const book = new LimitBook()
-    book.heard(start, named, 200)
+    book.heard(start, announced, 200)
     assert.deepEqual([book.limitOf(start, 700_000), book.known(700_000)], [undefined, []])
   })
 
   it('stores statements of a bounded number of endpoints', () => {
     const book = new LimitBook()
-    for (let index = 0; index < 2_000; index += 1) book.heard(`engine-${index}`, named, 200)
+    for (let index = 0; index < 2_000; index += 1) book.heard(`engine-${index}`, announced, 200)
     assert.equal(book.known(300).length, 1_024)
   })
 
-  for (const limit of [-1, Number.NaN, Infinity, 1e9]) it(`rejects a limit of ${limit}`, () => assert.equal(isLimit(limit), false))
+  for (const limit of [-1, Number.NaN, Infinity, 1e9]) it(`rejects a limit of ${limit}`, () => assert.equal(isPlausibleLimit(limit), false))
 
   const report = { start, limit: 1.1, askedAge: 30, heardAge: 20 }
   const unreadable: [name: string, input: unknown][] = [
--- a/packages/core/src/test/lib/routing/limits/limit-share_test.ts
+++ b/packages/core/src/test/lib/routing/limits/limit-share_test.ts
@@ -10,7 +10,7 @@
 import { describe, it } from 'node:test'
 import { LimitShare, usedShare } from '../../../../lib/routing/limits/limit-share.js'
 
-const STRETCH = 4_000
+const WINDOW = 4_000
 const TICK = 20
 
 /** A deterministic pseudo-random sequence (Park and Miller). */
@@ -38,8 +38,8 @@
   return times
 }
 
-function mostInStretch (times: readonly number[]): number {
-  return Math.max(0, ...times.map((from, index) => times.slice(index).filter(at => at < from + STRETCH).length))
+function mostInWindow (times: readonly number[]): number {
+  return Math.max(0, ...times.map((from, index) => times.slice(index).filter(at => at < from + WINDOW).length))
 }
 
 const loads: Record<string, (now: number) => boolean> = {
@@ -52,8 +52,8 @@
     for (const limit of [0, 0.3, 1.1, 1.7, 5, 20]) {
       for (const [load, wanted] of Object.entries(loads)) {
         it(`keeps ${entries} entries within ${limit} requests per second, ${load}`, () => {
-          const allowed = 1.5 * limit * STRETCH / 1_000 + 5
-          const most = Math.max(...[1, 2, 3].map(seed => mostInStretch(arrivals(entries, limit, seed, wanted))))
+          const allowed = 1.5 * limit * WINDOW / 1_000 + 5
+          const most = Math.max(...[1, 2, 3].map(seed => mostInWindow(arrivals(entries, limit, seed, wanted))))
           assert.ok(most <= allowed, `${most} in 4 s, ${allowed} allowed`)
         })
       }
@@ -87,7 +87,7 @@
 
   it('returns the time until the next permit', () => {
     const share = new LimitShare(1, () => 2, 0.5, 0)
-    const wait = share.nextIn(0)
+    const wait = share.nextPermitIn(0)
     assert.deepEqual([share.maySend(wait - 1), share.maySend(wait + 1)], [false, true])
   })
 
