--- a/packages/core/src/test/lib/routing/limits/endpoint-notices_test.ts
+++ b/packages/core/src/test/lib/routing/limits/endpoint-notices_test.ts
@@ -42,7 +42,7 @@
     ['a paused endpoint with a permit', { limit: 1, rest: 5_000 }, 3_200, 'resting', 1_810]
   ]
   for (const [name, notice, at, reason, opensIn] of spared) {
-    it(`restricts ${name}`, () => {
+    it(`returns the restriction of ${name}`, () => {
       const notices = createNotices()
       notices.heard(start, { ...emptyNotice, ...notice }, 0, 10)
       assert.deepEqual([notices.sparedFor(start, at), Math.round(notices.opensIn(start, at))], [reason, opensIn])
