--- a/packages/core/src/lib/routing/choice/endpoint-chooser.ts
+++ b/packages/core/src/lib/routing/choice/endpoint-chooser.ts
@@ -118,7 +118,7 @@
 
   /** Records the response time of a plain request, in milliseconds. */
   plainTook (start: string, milliseconds: number, now: number): void {
-    this._stateOfStart(start).load.plainTook(milliseconds, this._plainTime.value(now), now)
+    this._stateOfStart(start).load.recordPlainAnswer(milliseconds, this._plainTime.value(now), now)
     this._plainTime.took(milliseconds, now)
   }
 
--- a/packages/core/src/lib/routing/choice/endpoint-load.ts
+++ b/packages/core/src/lib/routing/choice/endpoint-load.ts
@@ -166,7 +166,7 @@
    *
    * @param usual The mean response time of the service; 0 if unknown.
    */
-  plainTook (milliseconds: number, usual: number, now: number): void {
+  recordPlainAnswer (milliseconds: number, usual: number, now: number): void {
     const before = this._decayedPlainTime(usual, now) || milliseconds
     this._plainTime = before + SLOWNESS_SMOOTHING * (milliseconds - before)
     this._plainTimeAt = now
