--- a/packages/core/src/lib/routing/attempts/retry-allowance.ts
+++ b/packages/core/src/lib/routing/attempts/retry-allowance.ts
@@ -70,7 +70,7 @@
    * Takes one retry from the budget; returns `false` if too little is left.
    *
    * @example
-   * if (!allowance.trySpend('begin', now)) giveUp()
+   * if (!allowance.trySpend('begin', now)) fail()
    */
   trySpend (purpose: RetryPurpose, now: number): boolean {
     this._update(now)
--- a/packages/core/src/lib/routing/attempts/suspect-requests.ts
+++ b/packages/core/src/lib/routing/attempts/suspect-requests.ts
@@ -5,7 +5,7 @@
  */
 /**
  * Detects requests that may crash the endpoints that run them, and quarantines them. It guards against one request that crashes
- * every endpoint that starts it and is resent repeatedly with new ids through any entry, while each crash breaks off about 15 others.
+ * every endpoint that starts it and is resent repeatedly with new ids through any entry, while each crash interrupts about 15 others.
  *
  * A request is identified by its fingerprint. Each incarnation of an endpoint that was lost while it ran the request counts against
  * the request, and so against every other request that ran there. Harmless requests are cleared: they are not lost repeatedly, their
@@ -40,7 +40,7 @@
 
 /**
  * The number of lost endpoints from which a request is no longer retried, and from which it is no longer started. A single loss proves
- * nothing: of 77 requests that broke off with an endpoint, one had crashed it. Two losses in a row happened to 12 of them, so
+ * nothing: of 77 requests interrupted by the loss of an endpoint, one had crashed it. Two losses in a row happened to 12 of them, so
  * their callers may send the request once more.
  */
 const NO_RETRY_LOSSES = 2
--- a/packages/core/src/lib/routing/choice/choice-price.ts
+++ b/packages/core/src/lib/routing/choice/choice-price.ts
@@ -21,8 +21,8 @@
 /**
  * Up to this share of the mean objective, a sooner answer gains little: with objectives of 300 to 400 ms, no answer expected at 100
  * to 150 ms was late, 1% of those at 150 to 200 ms, and 4 to 9% of those at 200 to 250 ms. While the entry's own zone has an engine
- * expected within this share, the distance penalty is multiplied by `SOON_ENOUGH_DISTANCE_FACTOR`, which saves a sixth of the traffic between
- * regions.
+ * expected within this share, the distance penalty is multiplied by `SOON_ENOUGH_DISTANCE_FACTOR`, which saves a sixth of the
+ * traffic between regions.
  */
 export const SOON_ENOUGH_SHARE = 0.47
 const SOON_ENOUGH_DISTANCE_FACTOR = 3
@@ -57,7 +57,7 @@
  * The total cost of a candidate, in milliseconds: its expected time and all penalties.
  *
  * @example
- * const costs = candidates.map(candidate => costOf(candidate, loadOf(candidate), view))
+ * const costs = candidates.map(candidate => costOf(candidate, loadOf(candidate), input))
  */
 export function costOf (candidate: EndpointCandidate, load: EndpointLoad, { place, service, need, distanceFactor, now }: CostInput): number {
   const unseen = service.pool !== undefined && load.report(now) === undefined
--- a/packages/core/src/lib/routing/choice/endpoint-chooser.ts
+++ b/packages/core/src/lib/routing/choice/endpoint-chooser.ts
@@ -153,7 +153,7 @@
     return picked === undefined ? undefined : this._choiceOf(picked, service, need, now)
   }
 
-  /** Prefers rate-limited endpoints for which this entry holds a permit that would lapse, if they are expected to answer soon enough for any caller. */
+  /** Prefers rate-limited endpoints for which this entry holds a permit that would lapse, if they are expected to answer soon enough. */
   private _preferDue (choices: readonly EndpointCandidate[], { usualObjective }: Need, now: number): readonly EndpointCandidate[] {
     if (this._gate.quiet) return choices
     const due = choices.filter(({ record, expected }) => this._gate.isDue(startOf(record), now) && expected < SOON_ENOUGH_SHARE * usualObjective)
--- a/packages/core/src/lib/routing/choice/endpoint-load.ts
+++ b/packages/core/src/lib/routing/choice/endpoint-load.ts
@@ -27,7 +27,10 @@
   readonly closesIn?: number | undefined
   /** Milliseconds until the engine accepts requests on its next version; absent if unknown. */
   readonly opensIn?: number | undefined
-  /** The rate of requests to this engine from the entries that receive its reports, in requests per millisecond, if each entry sends equally to all engines that it follows; absent if not reported. */
+  /**
+   * The rate of requests to this engine from the entries that receive its reports, in requests per millisecond, if each entry sends
+   * equally to all engines that it follows; absent if not reported.
+   */
   readonly sentRate?: number | undefined
   /** The start of the engine's incarnation that the report describes; absent if the engine does not publish it. See `EndpointRecord`. */
   readonly born?: number | undefined
--- a/packages/core/src/lib/routing/choice/load-news.ts
+++ b/packages/core/src/lib/routing/choice/load-news.ts
@@ -38,7 +38,7 @@
  * Whether a new report must be sent, compared with what receivers expect from the last one.
  *
  * @example
- * if (isLoadNews(load, { told, age: 100, readRate: 20, slots: 16 })) tell(load)
+ * if (isLoadNews(load, { told, age: 100, readRate: 20, slots: 16 })) send(load)
  */
 export function isLoadNews (load: LoadReport, { told, age, readRate, slots }: LoadComparison): boolean {
   if (load.born !== told.born || load.version !== told.version || load.accepting !== told.accepting || load.waiting !== told.waiting) return true
--- a/packages/core/src/lib/routing/choice/unread-tokens.ts
+++ b/packages/core/src/lib/routing/choice/unread-tokens.ts
@@ -39,7 +39,10 @@
     return Math.min(this._unread, reading.contextTokens)
   }
 
-  /** Prompt tokens admitted since the last reading. Requests that ended are assumed to have held the mean context; growth by generated tokens is small compared with prompts. */
+  /**
+   * Prompt tokens admitted since the last reading. Requests that ended are assumed to have held the mean context. Generated tokens
+   * are counted as well, but they are few compared with prompts.
+   */
   private _newlyAdmitted ({ running, contextTokens }: ContextReading): number {
     const before = this._previous
     const ended = Math.max(0, before.running - running)
--- a/packages/core/src/lib/routing/limits/limit-book.ts
+++ b/packages/core/src/lib/routing/limits/limit-book.ts
@@ -67,7 +67,7 @@
    *
    * @returns Whether the limit changed.
    * @example
-   * if (book.heard(start, { limit: 1.1, askedAt, heardAt: now }, now)) tellOthers()
+   * if (book.heard(start, { limit: 1.1, askedAt, heardAt: now }, now)) notifyPeers()
    */
   heard (start: string, statement: LimitStatement, now: number): boolean {
     const known = this._statements.get(start)
--- a/packages/core/src/test/lib/routing/attempts/suspect-requests_test.ts
+++ b/packages/core/src/test/lib/routing/attempts/suspect-requests_test.ts
@@ -4,7 +4,7 @@
  * SPDX-License-Identifier: BSD-3-Clause
  */
 // Guards against a request that crashes engines repeatedly: one crashed engines 26 to 29 times in a pool of 16 within 10 s, 40 to 115 ms
-// after each start, and each crash broke off 9 to 19 other requests. Of 77 requests broken off this way, 12 were broken off twice in a
+// after each start, and each crash interrupted 9 to 19 other requests. Of 77 requests interrupted this way, 12 were interrupted twice in a
 // row, and one was the cause. The tests replay the events at one entry: losses, heartbeats, answers, and reports from other processes.
 import assert from 'node:assert/strict'
 import { describe, it } from 'node:test'
@@ -111,7 +111,7 @@
   const answer = { fingerprint: fatal, age: 1 }
   const cases: [name: string, input: unknown, readable: boolean][] = [
     ['losses and answers', { losses: [loss], answers: [answer] }, true],
-    ['nothing', undefined, false],
+    ['undefined', undefined, false],
     ['a list', [loss], false],
     ['losses alone', { losses: [loss] }, false],
     ['a list with an invalid item', { losses: [loss, 7], answers: [] }, false],
--- a/packages/core/src/test/lib/routing/limits/limit-share_test.ts
+++ b/packages/core/src/test/lib/routing/limits/limit-share_test.ts
@@ -63,7 +63,7 @@
   // Few entries use almost the whole limit; many small shares that coincide by chance need a margin.
   const parts: [entries: number, limit: number, least: number][] = [[6, 1.1, 0.9], [6, 5, 0.4], [24, 1.1, 0.4], [98, 1.1, 0.4], [98, 20, 0.4], [380, 5, 0.4]]
   for (const [entries, limit, least] of parts) {
-    it(`uses at least ${least} of ${limit} requests per second with ${entries} entries`, () => {
+    it(`uses at least a share of ${least} of ${limit} requests per second with ${entries} entries`, () => {
       const used = arrivals(entries, limit, 5, () => true).length / 60 / limit
       assert.ok(used >= least, `used share: ${used.toFixed(2)}`)
     })
