--- a/packages/core/src/lib/routing/attempts/event-splitter.ts
+++ b/packages/core/src/lib/routing/attempts/event-splitter.ts
@@ -4,14 +4,14 @@
  * SPDX-License-Identifier: BSD-3-Clause
  */
 /**
- * Cuts an event stream into whole events and reads their ids, so that only whole events reach the caller and a broken
- * stream can go on elsewhere after the last of them.
+ * Splits an event stream into complete events and reads their ids, so that only complete events are forwarded and a broken
+ * stream can be resumed at another endpoint after the last of them.
  */
 
-/** A run of whole events. */
+/** One or more consecutive complete events. */
 export interface WholeEvents {
   readonly bytes: Uint8Array
-  /** The id of the last event with one; nothing when none has. */
+  /** The id of the last event that has one; `undefined` if none has. */
   readonly lastId: string | undefined
   readonly count: number
 }
@@ -19,32 +19,31 @@
 const NEWLINE = 10
 const CARRIAGE_RETURN = 13
 
-/** The state of one stream. */
+/** Splits one stream. */
 export class EventSplitter {
-  private _rest: Uint8Array = new Uint8Array(0)
+  private _incomplete: Uint8Array = new Uint8Array(0)
 
-  /** Bytes of an event that is not whole yet. */
-  get pending (): number { return this._rest.length }
+  /** The number of buffered bytes of an incomplete event. */
+  get pending (): number { return this._incomplete.length }
 
   /**
-   * Takes bytes and returns the events that they complete.
+   * Adds bytes and returns the events that they complete, or `undefined` if no event is complete yet.
    *
-   * @returns Nothing when no event is complete yet.
    * @example
    * const events = splitter.push(bytes)
    * if (events !== undefined) response.write(events.bytes)
    */
   push (bytes: Uint8Array): WholeEvents | undefined {
-    const all = this._rest.length === 0 ? bytes : joined(this._rest, bytes)
+    const all = this._incomplete.length === 0 ? bytes : concatenate(this._incomplete, bytes)
     const end = endOfLastEvent(all)
-    this._rest = all.subarray(end)
+    this._incomplete = all.subarray(end)
     if (end === 0) return undefined
     const whole = all.subarray(0, end)
-    return { bytes: whole, ...describe(whole) }
+    return { bytes: whole, ...lastIdAndCount(whole) }
   }
 }
 
-function joined (left: Uint8Array, right: Uint8Array): Uint8Array {
+function concatenate (left: Uint8Array, right: Uint8Array): Uint8Array {
   const all = new Uint8Array(left.length + right.length)
   all.set(left, 0)
   all.set(right, left.length)
@@ -61,10 +60,10 @@
   return 0
 }
 
-function describe (bytes: Uint8Array): { lastId: string | undefined, count: number } {
+function lastIdAndCount (bytes: Uint8Array): { lastId: string | undefined, count: number } {
   let lastId: string | undefined
   let count = 0
-  for (const event of textOf(bytes).split(/\r?\n\r?\n/)) {
+  for (const event of byteString(bytes).split(/\r?\n\r?\n/)) {
     if (event === '') continue
     count += 1
     const id = /^id: ?(.*)$/m.exec(event)?.[1]
@@ -73,8 +72,8 @@
   return { lastId, count }
 }
 
-/** Ids are ASCII; other bytes only need to keep their places. */
-function textOf (bytes: Uint8Array): string {
+/** Maps each byte to one character: ids are ASCII, and other bytes need not be decoded. */
+function byteString (bytes: Uint8Array): string {
   let text = ''
   for (const byte of bytes) text += String.fromCharCode(byte)
   return text
--- a/packages/core/src/lib/routing/choice/even-choice.ts
+++ b/packages/core/src/lib/routing/choice/even-choice.ts
@@ -4,43 +4,44 @@
  * SPDX-License-Identifier: BSD-3-Clause
  */
 /**
- * Choosing among endpoints when other choosers hold the same, slightly old view: if all took the best one, it would be
- * the worst a moment later. Each draws at random instead, with the odds that spread the requests which all of them
- * send together so that every endpoint ends up equally loaded.
+ * Randomised choice among endpoints by several choosers that share the same slightly stale view: if all took the cheapest
+ * endpoint, it would be overloaded a moment later (herding). Each chooser draws at random instead, with weights that spread the
+ * requests of all choosers so that every endpoint ends up equally loaded.
  */
 
-/** What the odds rest on. */
+/** The inputs of the random weights. */
 export interface EvenChoice {
-  /** The cost of each endpoint as it was last seen, in milliseconds. */
+  /** The last known cost of each endpoint, in milliseconds. */
   readonly costs: readonly number[]
-  /** What one more request adds to the cost of its endpoint, in milliseconds. */
+  /** The cost that one more request adds to its endpoint, in milliseconds. */
   readonly step: number
-  /** Requests that the other choosers have sent since this view was made; 0 or more. */
+  /** The number of requests that other choosers have sent since this view was taken; 0 or more. */
   readonly requests: number
 }
 
 /**
- * The cost up to which the requests fill the endpoints, the cheapest first.
+ * The common cost level that results when the requests fill the endpoints, the cheapest first (water filling).
  *
  * @example
  * levelOf({ costs: [100, 140], step: 40, requests: 3 }) // 180: two more on the first, one on the second
  */
 export function levelOf ({ costs, step, requests }: EvenChoice): number {
   const sorted = [...costs].sort((left, right) => left - right)
-  let room = requests * step
+  let remaining = requests * step
   let level = sorted[0] ?? 0
   for (let filled = 1; filled < sorted.length; filled++) {
     const next = sorted[filled] ?? level
     const needed = (next - level) * filled
-    if (needed >= room) return level + room / filled
-    room -= needed
+    if (needed >= remaining) return level + remaining / filled
+    remaining -= needed
     level = next
   }
-  return level + room / Math.max(1, sorted.length)
+  return level + remaining / Math.max(1, sorted.length)
 }
 
 /**
- * Draws the index of an endpoint; one at or above the level is never drawn. Without others it is the cheapest.
+ * Draws the index of an endpoint, with weights proportional to the distance below the level. An endpoint at or above the level is
+ * never drawn. Returns the cheapest endpoint if no other chooser has sent requests.
  *
  * @param draw A random number in [0, 1).
  * @example
@@ -48,12 +49,12 @@
  */
 export function chooseEvenly (choice: EvenChoice, draw: number): number {
   const level = levelOf(choice)
-  const odds = choice.costs.map(cost => Math.max(0, level - cost))
-  const total = odds.reduce((sum, part) => sum + part, 0)
-  let left = draw * total
-  for (const [index, part] of odds.entries()) {
-    left -= part
-    if (left < 0) return index
+  const weights = choice.costs.map(cost => Math.max(0, level - cost))
+  const total = weights.reduce((sum, part) => sum + part, 0)
+  let remainder = draw * total
+  for (const [index, part] of weights.entries()) {
+    remainder -= part
+    if (remainder < 0) return index
   }
   return choice.costs.indexOf(Math.min(...choice.costs))
 }
