--- a/packages/core/src/lib/routing/published/endpoint-record.ts
+++ b/packages/core/src/lib/routing/published/endpoint-record.ts
@@ -3,7 +3,7 @@
  * Copyright 2026 the drumdrift contributors
  * SPDX-License-Identifier: BSD-3-Clause
  */
-/** An endpoint as its platform lists it, and the names by which what is known of it is kept. */
+/** The endpoint entry that a platform lists, and the keys under which state about an endpoint is kept. */
 
 /** A model and one of its numbered versions. */
 export interface ModelVersion {
@@ -11,30 +11,30 @@
   readonly version: number
 }
 
-/** What is listed of one endpoint. */
+/** The listed entry of one endpoint. */
 export interface EndpointRecord {
-  /** Names the endpoint. It may start again under the same id. */
+  /** Identifies the endpoint. A restarted endpoint may keep its id. */
   readonly id: string
   /**
-   * When it started, by its own clock, in milliseconds; nothing where that is not told. It tells the starts of one id apart and is
-   * compared with nothing else.
+   * Start time by the endpoint's own clock, in milliseconds; `undefined` if it is not reported. It distinguishes restarts of the same
+   * id and must not be compared with other clocks.
    */
   readonly born?: number | undefined
-  /** Counts what this start has written of itself; nothing where that is not told. */
+  /** Number of times that the endpoint has written its entry since it started; `undefined` if it is not reported. */
   readonly writings?: number | undefined
   readonly service: string
   readonly address: string
   readonly availabilityZone: string
   readonly slots: number
-  /** Whether it takes no new work. */
+  /** Whether it accepts no new requests. */
   readonly draining: boolean
-  /** Versions that it had loaded when it wrote this; it may be seconds old. */
+  /** Versions that were loaded when the entry was written, which may be seconds ago. */
   readonly models: readonly ModelVersion[]
 }
 
 /**
- * Names one start of an endpoint. An endpoint that starts again holds and knows nothing of before, so whatever is learnt of one
- * (load, health, what was tried there) is kept by this and not by its id.
+ * Returns the key of one start of an endpoint. A restarted endpoint has lost its previous state, so state about it (load, health,
+ * attempts) is kept under this key rather than under its id.
  *
  * @example
  * startOf({ ...record, id: 'engine-7', born: 1_700_000_000_000 }) // 'engine-7@1700000000000'
@@ -44,7 +44,7 @@
 }
 
 /**
- * The id of the endpoint that a start is one of.
+ * Returns the endpoint id that a start's key contains.
  *
  * @example
  * endpointOf('engine-7@1700000000000') // 'engine-7'
@@ -52,7 +52,7 @@
 export function endpointOf (start: string): string { return start.replace(/@\d+$/, '') }
 
 /**
- * Whether something is told of an earlier start than another thing of the same endpoint. Without a time nothing can be said.
+ * Whether one start time of an endpoint is earlier than another. Returns false if either is unknown.
  *
  * @example
  * if (isEarlierStart(record.born, held.born)) ignore(record)
@@ -61,12 +61,11 @@
   return born !== undefined && than !== undefined && born < than
 }
 
-/** A start of an endpoint, and how often it had written; nothing where that is not known. */
+/** A start of an endpoint, and how often it had written its entry, as far as they are known. */
 export type LastWriting = Partial<Pick<EndpointRecord, 'born' | 'writings'>>
 
 /**
- * How much later a start of an endpoint wrote one thing than another, in writings. Nothing can be said of different starts, or without
- * counts.
+ * Returns by how many writings `other` is later than `one`, or `undefined` if they belong to different starts or a count is missing.
  *
  * @example
  * const isEarlier = (writingsBetween(held.record, record) ?? 0) < 0
@@ -77,7 +76,7 @@
 }
 
 /**
- * Whether two records say the same of an endpoint, however often it has written.
+ * Whether two records are equal except for their count of writings.
  *
  * @example
  * if (!isSameListing(held.record, record)) rebuildChoices()
--- a/packages/core/src/lib/routing/published/held-endpoints.ts
+++ b/packages/core/src/lib/routing/published/held-endpoints.ts
@@ -3,17 +3,17 @@
  * Copyright 2026 the drumdrift contributors
  * SPDX-License-Identifier: BSD-3-Clause
  */
-/** The endpoints that a process holds, by id and by address. At an address there is one at a time. */
+/** The endpoints that a process knows, indexed by id and by address. An address belongs to one endpoint at a time. */
 import type { EndpointRecord } from './endpoint-record.js'
 
-/** One endpoint as it was published last. */
+/** The latest published entry of one endpoint. */
 export interface HeldEndpoint {
   readonly record: EndpointRecord
-  /** 0 for what was carried over from an earlier epoch of the store. */
+  /** 0 if the entry was carried over from an earlier epoch of the store. */
   readonly revision: number
-  /** Whether it was heard in an earlier epoch. */
+  /** Whether the entry was received in an earlier epoch. */
   readonly carried: boolean
-  /** Set while the entry is missing after an outage of the store, until when it is still taken as alive. */
+  /** Set while the entry is missing after an outage of the store: the time until which the endpoint is still treated as listed. */
   lapsesAt: number | undefined
 }
 
@@ -24,19 +24,19 @@
 
   get (id: string): HeldEndpoint | undefined { return this._byId.get(id) }
 
-  /** All of them; they may be taken away while they are gone through. */
+  /** Iterates over all endpoints; they may be removed during the iteration. */
   values (): IterableIterator<HeldEndpoint> { return this._byId.values() }
 
-  /** The endpoint at an address. */
+  /** Returns the endpoint that owns an address. */
   at (address: string): HeldEndpoint | undefined {
     const id = this._idAt.get(address)
     return id === undefined ? undefined : this._byId.get(id)
   }
 
   /**
-   * Holds an endpoint in place of what was held of the same id.
+   * Stores an endpoint, replacing the entry of the same id.
    *
-   * @param claimsAddress Whether it takes its address from whatever was held there.
+   * @param claimsAddress Whether it becomes the owner of its address, replacing the current owner.
    */
   hold (endpoint: HeldEndpoint, claimsAddress: boolean): void {
     const { id, address } = endpoint.record
@@ -46,18 +46,18 @@
     if (claimsAddress) this._idAt.set(address, id)
   }
 
-  /** The store begins another epoch. */
+  /** Carries all entries over into a new epoch of the store, at revision 0. */
   carryOver (): void {
     for (const [id, held] of this._byId) this._byId.set(id, { ...held, revision: 0, carried: true })
   }
 
-  /** The store has nothing newer of an endpoint up to a revision; nothing happens when it is not held. */
+  /** Records that the store has no newer entry of an endpoint up to a revision. Does nothing if the endpoint is unknown. */
   confirm (id: string, revision: number): void {
     const held = this._byId.get(id)
     if (held !== undefined) this._byId.set(id, { ...held, revision, lapsesAt: undefined })
   }
 
-  /** Takes an endpoint away; nothing happens when it is not held. */
+  /** Removes an endpoint. Does nothing if the endpoint is unknown. */
   drop (id: string): void {
     const held = this._byId.get(id)
     if (held === undefined) return
--- a/packages/core/src/lib/routing/published/lapse-grace.ts
+++ b/packages/core/src/lib/routing/published/lapse-grace.ts
@@ -4,45 +4,48 @@
  * SPDX-License-Identifier: BSD-3-Clause
  */
 /**
- * Whether an endpoint whose entry is missing has left, or its entry only lapsed while the platform's store was away. In the
- * second case it writes its entry again soon, and is kept meanwhile.
+ * Decides whether an endpoint whose entry is missing has left, or whether the entry only expired while the platform's store was
+ * unavailable. In the second case the endpoint soon writes its entry again, and is kept until then.
  */
 
 /**
- * After an outage of the store, endpoints whose entries lapsed meanwhile write them again within about two seconds, as
- * the platform's operators say; half a second is added for the way of that news. In milliseconds.
+ * How long endpoints with missing entries are kept after an outage of the store, in milliseconds. According to the platform's
+ * operators, endpoints write expired entries again within about two seconds; half a second is added for propagation.
  */
 const GRACE = 2_500
-/** Endpoints that a restored store lacks write themselves again with their next heartbeat, in milliseconds. */
+/** Time in which endpoints that a restored store lacks write their entries again, with their next heartbeat, in milliseconds. */
 const REWRITE_TIME = 1_500
-/** When few are missing, in milliseconds: with an outage of the store itself most entries lapse, so these have left. */
+/**
+ * Grace period if few endpoints are missing, in milliseconds. In an outage of the store itself most entries expire, so a few missing
+ * endpoints have left.
+ */
 const FEW_GRACE = 500
-/** Less than this share of the endpoints are few. */
+/** Missing endpoints count as few below this share of all endpoints. */
 const FEW = 0.5
 
-/** The grace of one process after it could not reach the store. */
+/** The grace period of one process after it lost its connection to the store. */
 export class LapseGrace {
   /** Infinite while the store cannot be reached. */
   private _until = 0
-  /** From when it is decided whether few or most are missing. */
+  /** Time from which it is decided whether few or most endpoints are missing. */
   private _decideAt = 0
-  /** Removals up to this revision may be lapses. */
+  /** Removals up to this revision may be expired entries. */
   private _upTo = 0
-  /** Until when the store may lack endpoints that it listed before it was restored from an older copy. */
+  /** Time until which the store may lack endpoints that it listed before it was restored from an older copy. */
   private _rewrittenBy = 0
-  /** Removals up to this revision may be of that kind. */
+  /** Removals up to this revision may be due to the restored copy. */
   private _restoredUpTo = 0
 
-  /** The store cannot be reached: entries that vanish now may have lapsed only because of that. */
+  /** Records that the store cannot be reached: entries that disappear from now on may only have expired. */
   lost (): void {
     this._until = Infinity
     this._upTo = Infinity
   }
 
   /**
-   * The store answers again.
+   * Records that the store answers again.
    *
-   * @param upTo Its revision then: what went up to it may have lapsed, what goes later is gone.
+   * @param upTo The store's current revision: removals up to it may be expired entries, later ones are real.
    */
   regained (now: number, upTo: number): void {
     if (this._until !== Infinity) return
@@ -51,19 +54,18 @@
     this._upTo = upTo
   }
 
-  /** The store has been restored from an older copy: endpoints that began since are missing in it, few as they may be. */
+  /** Records that the store was restored from an older copy, which lacks endpoints that started since, even if these are few. */
   restored (now: number): void {
     this._rewrittenBy = now + REWRITE_TIME
     this._restoredUpTo = Infinity
   }
 
-  /** All endpoints were read up to a revision: removals that are told later are no lack of the copy. */
+  /** Records that all endpoints were read up to a revision: later removals are not due to the restored copy. */
   readUpTo (revision: number): void { this._restoredUpTo = Math.min(this._restoredUpTo, revision) }
 
   /**
-   * Until when an endpoint whose entry is missing since a revision is kept.
+   * Returns the time until which an endpoint is kept whose entry is missing since a revision, or `undefined` if it has left.
    *
-   * @returns Nothing when it has left.
    * @example
    * const lapsesAt = grace.keptUntil(revision, now)
    */
@@ -72,10 +74,10 @@
     return now < this._until && revision <= this._upTo ? this._until : undefined
   }
 
-  /** Whether an endpoint that is kept until then is to go now. */
+  /** Whether the grace period of an endpoint that is kept until `lapsesAt` is over. */
   isOver (lapsesAt: number, now: number): boolean { return now >= Math.max(this._rewrittenBy, Math.min(lapsesAt, this._until)) }
 
-  /** Decides, once for each outage, whether few or most endpoints are missing. */
+  /** Decides once per outage whether few or most endpoints are missing, and ends the grace period if they are few. */
   decide (missing: number, all: number, now: number): void {
     if (this._until === Infinity || now < this._decideAt) return
     this._decideAt = Infinity
--- a/packages/core/src/lib/routing/published/named-versions.ts
+++ b/packages/core/src/lib/routing/published/named-versions.ts
@@ -3,29 +3,29 @@
  * Copyright 2026 the drumdrift contributors
  * SPDX-License-Identifier: BSD-3-Clause
  */
-/** The versions that were named of each model, and when this process heard of them. */
+/** The versions requested of each model, and when this process first received them. */
 import type { ModelVersion } from './endpoint-record.js'
 
-/** A wanted version, with the local time at which this process first heard of it. */
+/** A wanted version, with the local time at which this process first received it. */
 export interface WantedVersion extends ModelVersion {
-  /** Up to which the store names nothing newer; 0 for what was heard in an earlier epoch of it, or without a revision. */
+  /** Revision up to which the store has no newer version; 0 if it was received in an earlier epoch, or without a revision. */
   readonly revision: number
-  /** Nothing when it was there already when this process began to follow. */
+  /** `undefined` if the version was already wanted when this process began to follow the store. */
   readonly heardAt: number | undefined
 }
 
-/** Versions remembered of one model: those whose bounds may still be running. */
+/** Versions kept per model: those whose adoption deadline may still be ahead. */
 const MOST_NAMED = 8
 
-/** Named versions of all models. */
+/** Wanted versions of all models. */
 export class NamedVersions {
-  /** The newest last. */
+  /** By model, in ascending order of version. */
   private readonly _versions = new Map<string, WantedVersion[]>()
 
   /**
-   * Takes one.
+   * Adds a wanted version.
    *
-   * @returns Whether it is news.
+   * @returns Whether it is newer than every version known before.
    * @example
    * versions.take({ model: 'drafting', version: 2 }, 7, now)
    */
@@ -40,15 +40,15 @@
     return true
   }
 
-  /** The store begins another epoch. */
+  /** Carries all versions over into a new epoch of the store, at revision 0. */
   carryOver (): void {
     for (const [model, named] of this._versions) this._versions.set(model, named.map(version => ({ ...version, revision: 0 })))
   }
 
-  /** The newest of a model. */
+  /** Returns the newest version of a model. */
   newest (model: string): WantedVersion | undefined { return this._versions.get(model)?.at(-1) }
 
-  /** The newest of each model. */
+  /** Returns the newest version of each model. */
   newestOfAll (): WantedVersion[] { return [...this._versions.values()].flatMap(named => named.slice(-1)) }
 
   /** See `PublishedState.firstNewerAt`. */
--- a/packages/core/src/lib/routing/published/published-change.ts
+++ b/packages/core/src/lib/routing/published/published-change.ts
@@ -3,36 +3,36 @@
  * Copyright 2026 the drumdrift contributors
  * SPDX-License-Identifier: BSD-3-Clause
  */
-/** What is published, as processes take it from the platform's store and tell it to each other. */
+/** Changes of published state, as processes read them from the platform's store and exchange them with peers. */
 import type { EndpointRecord, ModelVersion } from './endpoint-record.js'
 import type { RoutingConfiguration } from './routing-configuration.js'
 
-/** Parts of what is published. */
+/** Topics of published state, which are followed separately. */
 export type PublishedTopic = 'configuration' | 'versions' | 'endpoints'
 export const publishedTopics: readonly PublishedTopic[] = ['configuration', 'versions', 'endpoints']
 
-/** One change of one item. */
+/** A change of one item. */
 export type PublishedChange =
   | { readonly type: 'configuration', readonly revision: number, readonly configuration: RoutingConfiguration }
-  /** `age`: milliseconds since the teller heard of it, in news between processes; nothing where that is not known. */
+  /** `age`: milliseconds since the sending peer first received the version; `undefined` if that is unknown. */
   | { readonly type: 'wanted-version', readonly revision: number, readonly wanted: ModelVersion, readonly age?: number | undefined }
   | { readonly type: 'endpoint', readonly revision: number, readonly record: EndpointRecord }
-  /** `certain`: it names no endpoint to use any more, whatever became of the store meanwhile; otherwise it may only have lapsed. */
+  /** `certain`: the endpoint must not be used any more, even if the store was unavailable; otherwise its entry may only have expired. */
   | { readonly type: 'endpoint-gone', readonly revision: number, readonly id: string, readonly certain?: boolean | undefined }
 
-/** How far a process has followed each topic: the store's revision up to which it has seen every change. */
+/** The store's revision, by topic, up to which a process has received every change. */
 export interface PublishedNote extends Readonly<Record<PublishedTopic, number>> {
-  /** A store that is restored from an older copy begins another epoch. Revisions are compared within one only. */
+  /** A store that is restored from an older copy begins a new epoch. Revisions are comparable only within an epoch. */
   readonly epoch: number
 }
 
-/** Changes on their way to a peer. */
+/** Changes that are sent to a peer. */
 export interface PublishedDelta {
   readonly upTo: PublishedNote
-  /** The revision of the newest thing that the teller holds of each topic; 0 for those that it was not asked for. */
+  /** The newest revision that the sender holds of each topic; 0 for topics that were not requested. */
   readonly held: PublishedNote
   readonly changes: readonly PublishedChange[]
-  /** Topics that `changes` holds in whole: what it lacks of them is gone. */
+  /** Topics of which `changes` is a complete snapshot: items that are missing from it have been removed. */
   readonly whole: readonly PublishedTopic[]
 }
 
@@ -43,5 +43,5 @@
   'endpoint-gone': 'endpoints'
 }
 
-/** The topic that a change belongs to. */
+/** Returns the topic of a change. */
 export function topicOf (change: PublishedChange): PublishedTopic { return topicsOfChanges[change.type] }
--- a/packages/core/src/lib/routing/published/published-state.ts
+++ b/packages/core/src/lib/routing/published/published-state.ts
@@ -4,13 +4,13 @@
  * SPDX-License-Identifier: BSD-3-Clause
  */
 /**
- * What the platform has published, as one process holds it: the configuration, the versions that are wanted, and the
- * list of endpoints. Changes come from the platform's store or from peers, in any order; each carries the store's
- * revision of its item, and an older one never replaces a newer one.
+ * One process's replica of the state that the platform publishes: the configuration, the wanted versions and the list of
+ * endpoints. Changes come from the platform's store or from peers, in any order. Each carries the store's revision of its item, and
+ * an older revision never replaces a newer one.
  *
- * When the store begins another epoch, what is held is carried over at revision 0, below everything that the new epoch tells. A
- * restored store tells older things too; those are known by the counts of their writers: the version of a configuration, the
- * version of a model, and how often an endpoint has written.
+ * When the store begins a new epoch, the replica is carried over at revision 0, below every revision of the new epoch. A restored
+ * store also returns outdated items. These are recognised by counters that their writers maintain: the version of a
+ * configuration, the version of a model, and the number of times that an endpoint has written its entry.
  */
 import { isEarlierStart, isSameListing, writingsBetween, type EndpointRecord } from './endpoint-record.js'
 import { HeldEndpoints, type HeldEndpoint } from './held-endpoints.js'
@@ -21,14 +21,14 @@
 import type { RoutingConfiguration } from './routing-configuration.js'
 
 /**
- * A version that a peer heard of longer ago counts from when this process hears of it, as after an outage, in milliseconds:
- * a few times the pause in which a relay does not watch the store.
+ * Largest age of a wanted version that is taken over from a peer, in milliseconds: a few times the interval in which a relay does not
+ * watch the store. If the peer received the version longer ago, as after an outage, its time counts from its receipt by this process.
  */
 const LONGEST_AGE = 1_000
 
 const NOTHING_SEEN: Readonly<Record<PublishedTopic, number>> = { configuration: 0, versions: 0, endpoints: 0 }
 
-/** The published state of one process. */
+/** The replica of the published state in one process. */
 export class PublishedState {
   private _configuration: { readonly revision: number, readonly configuration: RoutingConfiguration } | undefined
   private readonly _versions = new NamedVersions()
@@ -39,49 +39,49 @@
   private _edition = 0
   private _epoch = 0
   private _seen: Readonly<Record<PublishedTopic, number>> = NOTHING_SEEN
-  /** Topics that were followed in this epoch or an earlier one. */
+  /** Topics that have been followed in this epoch or an earlier one. */
   private readonly _known = new Set<PublishedTopic>()
 
   get configuration (): RoutingConfiguration | undefined { return this._configuration?.configuration }
   get configurationRevision (): number { return this._configuration?.revision ?? 0 }
   /** Whether both a configuration and the endpoints are known. */
   get complete (): boolean { return this._configuration !== undefined && this.knows('endpoints') }
-  /** The epoch of the store that is followed; 0 before the first. */
+  /** The epoch of the store that is followed; 0 before the first one. */
   get epoch (): number { return this._epoch }
-  /** How far each topic has been followed in this epoch. */
+  /** The revision up to which each topic has been followed in this epoch. */
   get note (): PublishedNote { return { epoch: this._epoch, ...this._seen } }
   /**
-   * The revision of the newest thing that is held of each topic. Two processes that hold the same have the same, however far
-   * they have followed.
+   * The newest revision that is held of each topic. It is equal in two processes that hold the same items, even if one has followed the
+   * store further.
    */
   get held (): PublishedNote {
     const versions = Math.max(0, ...this._versions.newestOfAll().map(({ revision }) => revision))
     return { epoch: this._epoch, configuration: this.configurationRevision, versions, endpoints: this._newestEndpoint }
   }
 
-  /** Whether a topic has been followed, in whichever epoch. */
+  /** Whether a topic has been followed in any epoch. */
   knows (topic: PublishedTopic): boolean { return this._known.has(topic) }
 
-  /** Rises with everything that this process would tell differently to a peer. */
+  /** Increases with every change that may affect the deltas sent to peers. */
   get edition (): number { return this._edition }
 
-  /** The wanted version of a model: the newest that was named. */
+  /** Returns the wanted version of a model, which is the newest one published. */
   wanted (model: string): WantedVersion | undefined { return this._versions.newest(model) }
 
   /**
-   * When a version above the given one was first named, by this process's clock; nothing when none was, or when it was
-   * named before this process began to follow. A newer version may be named while engines still switch to this one, and
-   * each has a bound of its own.
+   * Returns the local time at which a version above the given one was first received, or `undefined` if there is none or if it
+   * was published before this process began to follow the store. A newer version may be published while engines still switch to this
+   * one, and each version has a deadline of its own.
    */
   firstNewerAt (model: string, version: number): number | undefined {
     return this._versions.firstNewerAt(model, version)
   }
 
   /**
-   * The least version that may begin a request: the newest that was named longer ago than the bound.
+   * Returns the lowest version that may start a request: the newest one that was received at least `bound` ago.
    *
    * @param bound In milliseconds.
-   * @returns 0 when any version may.
+   * @returns 0 if any version may.
    * @example
    * const least = state.dueVersion('drafting', 8_000, now)
    */
@@ -89,13 +89,13 @@
     return this._versions.due(model, bound, now)
   }
 
-  /** Endpoints that are listed, those that drain included. */
+  /** Returns the listed endpoints, including draining ones. */
   endpoints (): EndpointRecord[] { return [...this._endpoints.values()].map(({ record }) => record) }
 
   /**
-   * Takes one change.
+   * Applies one change.
    *
-   * @returns The news that it makes: none when a newer state of its item is known, several when it implies others.
+   * @returns The effective changes: none if a newer state of the item is known, several if the change implies others.
    * @example
    * if (state.take({ type: 'endpoint', revision: 7, record }, now).length > 0) rebuildChoices()
    */
@@ -108,17 +108,17 @@
   }
 
   /**
-   * Takes everything that a topic holds: what is missing in it is gone.
+   * Applies a complete snapshot of a topic: items that are missing from it have been removed.
    *
-   * @param upTo The store's revision of the reading.
-   * @returns The changes that were news.
+   * @param upTo The store's revision of the snapshot.
+   * @returns The effective changes.
    */
   takeWhole (topic: PublishedTopic, changes: readonly PublishedChange[], upTo: number, now: number): PublishedChange[] {
     const news = changes.flatMap(change => this.take(change, now))
     if (topic === 'endpoints') {
       news.push(...this._takeMissing(changes, upTo, now))
       this._grace.readUpTo(upTo)
-      // What went before is not in the reading, and its removal was never heard: only the whole list tells it.
+      // Endpoints removed earlier are not in the snapshot, and their removals were never received, so peers need the complete list.
       this._newestEndpoint = Math.max(this._newestEndpoint, upTo)
       this._removals.forgetUpTo(upTo)
     }
@@ -126,7 +126,7 @@
     return news
   }
 
-  /** Every change of a topic up to a revision has been taken. */
+  /** Records that every change of a topic up to a revision has been applied. */
   followed (topic: PublishedTopic, upTo: number): void {
     if (upTo <= this._seen[topic]) return
     this._edition += 1
@@ -135,9 +135,9 @@
   }
 
   /**
-   * Begins to follow another epoch of the store. What is held stays until its writer says otherwise.
+   * Begins to follow a new epoch of the store. Held items stay until their writers update them.
    *
-   * @returns Whether the epoch is a later one; nothing happens otherwise.
+   * @returns Whether the epoch is later than the current one; otherwise the call has no effect.
    * @example
    * if (state.enter(answer.epoch, now)) log.warn('epoch-began', { epoch: state.epoch })
    */
@@ -155,17 +155,17 @@
     return true
   }
 
-  /** The store cannot be reached: entries that vanish now may have lapsed only because of that. */
+  /** Records that the store cannot be reached: entries that disappear from now on may only have expired. */
   storeLost (): void { this._grace.lost() }
 
   /**
-   * The store answers again.
+   * Records that the store answers again.
    *
-   * @param upTo Its revision then: what went up to it may have lapsed, what goes later is gone.
+   * @param upTo The store's current revision: removals up to it may be expired entries, later ones are real.
    */
   storeRegained (now: number, upTo: number): void { this._grace.regained(now, upTo) }
 
-  /** Takes away endpoints that stayed missing after an outage. Returns their removals. */
+  /** Removes endpoints whose entries are still missing at the end of the grace period. Returns their removals. */
   expire (now: number): PublishedChange[] {
     const endpoints = [...this._endpoints.values()]
     this._grace.decide(endpoints.filter(({ lapsesAt }) => lapsesAt !== undefined).length, endpoints.length, now)
@@ -179,9 +179,9 @@
   }
 
   /**
-   * What a peer lacks that has followed up to `note`.
+   * Returns the changes that a peer lacks which has followed the store up to `note`.
    *
-   * @param topics What it wants to know of; the delta says nothing of the others.
+   * @param topics The requested topics; the delta contains no others.
    * @example
    * const delta = state.since(note, performance.now(), ['versions'])
    */
@@ -197,7 +197,7 @@
   private _since (note: PublishedNote, now: number): Pick<PublishedDelta, 'changes' | 'whole'> {
     const whole = publishedTopics.filter(topic => note[topic] < this._seen[topic] && this._tellsWhole(topic, note))
     const changes: PublishedChange[] = []
-    // What was carried over is at revision 0, and belongs to the whole.
+    // Items carried over from an earlier epoch are at revision 0 and belong to a complete snapshot.
     const from = (topic: PublishedTopic): number => whole.includes(topic) ? -1 : note[topic]
     const held = this._configuration
     if (held !== undefined && held.revision > from('configuration')) changes.push({ type: 'configuration', ...held })
@@ -210,7 +210,7 @@
     return { changes, whole }
   }
 
-  /** Takes what a peer told, unless it follows an earlier epoch. Returns the changes that were news. */
+  /** Applies a peer's delta, unless the peer follows an earlier epoch. Returns the effective changes. */
   takeDelta (delta: PublishedDelta, now: number): PublishedChange[] {
     if (delta.upTo.epoch < this._epoch) return []
     this.enter(delta.upTo.epoch, now)
@@ -252,17 +252,17 @@
     'endpoint-gone': (change, now) => this._remove(change, now)
   }
 
-  /** Whether an endpoint of which nothing is known went before what has been followed: everything up to there has been heard. */
+  /** Whether an unknown endpoint was removed before the followed revision: every change up to that revision has been received. */
   private _hasGone (id: string, revision: number): boolean { return this._knownRevision(id) < 0 && revision <= this._seen.endpoints }
 
-  /** The revision of what is known of an endpoint; below all others where nothing is. */
+  /** Returns the newest known revision of an endpoint; -1, which is below all others, if the endpoint is unknown. */
   private _knownRevision (id: string): number {
     return Math.max(this._endpoints.get(id)?.revision ?? -1, this._removals.get(id)?.removal.revision ?? -1)
   }
 
   /**
-   * Whether a restored store lists an endpoint as it was before something that was heard of it in an earlier epoch. The revision does
-   * not tell that, but the endpoint counts what it writes.
+   * Whether a restored store lists an endpoint in an older state than the one received in an earlier epoch. Revisions of different
+   * epochs are not comparable, but the endpoint counts its writings.
    */
   private _isFromBefore (record: EndpointRecord): boolean {
     const held = this._endpoints.get(record.id)
@@ -273,27 +273,27 @@
     return successor?.carried === true || (writingsBetween(gone, record) ?? 1) <= 0
   }
 
-  /** The store has nothing newer of an endpoint at a revision than what was carried over. */
+  /** Records that the store has no newer state of an endpoint, at a revision, than the one carried over. */
   private _confirm (id: string, revision: number): false {
     this._endpoints.confirm(id, revision)
     this._removals.confirm(id, revision)
     return false
   }
 
-  /** Whether another start of an endpoint was listed at the same address later. */
+  /** Whether another endpoint was listed later at the same address. */
   private _isReplaced ({ id, address }: EndpointRecord, revision: number): boolean {
     const held = this._endpoints.at(address)
     return held !== undefined && held.record.id !== id && held.revision > revision
   }
 
-  /** An entry of a service that nobody configured takes no address away: it may have been written by anyone. */
+  /** Whether a service is configured. An entry of an unconfigured service may have been written by anyone, so it cannot claim an address. */
   private _isNamed (service: string): boolean {
     return this.configuration === undefined || this.configuration.services.some(({ name }) => name === service)
   }
 
   /**
-   * Takes away the earlier start at an address that a newer one has taken. It stays listed until three heartbeats are missing, and
-   * requests sent there meanwhile would be turned away by the newer one.
+   * Removes the previous endpoint at an address that a newer one has taken. Its entry stays listed until three heartbeats are missing,
+   * and the newer endpoint would reject requests meant for it until then.
    */
   private _replaced (earlier: HeldEndpoint | undefined, { revision, record }: Extract<PublishedChange, { type: 'endpoint' }>): PublishedChange[] {
     if (earlier === undefined || earlier.record.id === record.id || !this._isNamed(record.service)) return []
@@ -304,7 +304,7 @@
     return [gone]
   }
 
-  /** A peer that has nothing, or is behind the oldest removal that is kept, gets everything. */
+  /** Whether a peer needs a complete snapshot: it has nothing of the topic, or is behind the oldest removal that is kept. */
   private _tellsWhole (topic: PublishedTopic, note: PublishedNote): boolean {
     return note[topic] === 0 || (topic === 'endpoints' && note.endpoints < this._removals.forgottenUpTo)
   }
@@ -331,7 +331,7 @@
   }
 }
 
-/** Operators raise the version with each change; should they forget to, what is written last counts. */
+/** Operators increase the version with each change. If a change keeps the version, the configuration written last applies. */
 function isNewerDocument (configuration: RoutingConfiguration, than: RoutingConfiguration): boolean {
   if (configuration.version !== than.version) return configuration.version > than.version
   return JSON.stringify(configuration) !== JSON.stringify(than)
--- a/packages/core/src/lib/routing/published/relay-book.ts
+++ b/packages/core/src/lib/routing/published/relay-book.ts
@@ -4,19 +4,19 @@
  * SPDX-License-Identifier: BSD-3-Clause
  */
 /**
- * What one process knows of the relays: processes that read what is published from the platform's store and pass it on, so
- * that not every process takes its own copy over a link that a region shares.
+ * One process's view of the relays: processes that read the published state from the platform's store and pass it on, so that
+ * processes do not each fetch a copy over a link that their region shares.
  */
 import type { RelayNote } from '../../messages.js'
 import type { Place } from '../choice/endpoint-choice.js'
 import type { PublishedNote, PublishedTopic } from './published-change.js'
 
-/** A relay that told nothing for this time is not relied on, in milliseconds: three of its signs of life are missing. */
+/** A relay from which no note was received for this long is ignored, in milliseconds: it has missed three heartbeats. */
 const NOTE_LIFETIME = 1_500
 /**
- * How long a process waits for a nearer relay to hold what one further away does, in milliseconds: a relay takes a
- * configuration of 420 KB over 24 Mbit/s in 140. Without it all processes of a region would take their copies over its link after
- * a restart, since relays beside the store are always the first to hold them.
+ * How long a process waits for a nearer relay to catch up with a more distant one, in milliseconds. A relay receives a configuration
+ * of 420 KB over 24 Mbit/s in 140 ms. Without the wait, all processes of a region would fetch their copies over the region's link
+ * after a restart, since relays near the store are always the first to have them.
  */
 const NEAR_PATIENCE = 500
 
@@ -26,10 +26,10 @@
   readonly heardAt: number
 }
 
-/** The relays, as one process hears of them. */
+/** The relays known to one process, with the latest note of each. */
 export class RelayBook {
   private readonly _relays = new Map<string, Relay>()
-  /** Since when some relay holds more than this process. */
+  /** Time since which some relay has been ahead of this process. */
   private _aheadSince: number | undefined
 
   /**
@@ -38,23 +38,23 @@
    */
   constructor (private readonly _place: Place) {}
 
-  /** A relay told how far it knows published state. */
+  /** Records a note in which a relay reports the revisions that it holds. */
   heard (address: string, note: RelayNote, now: number): void {
     this._relays.set(address, { address, note, heardAt: now })
   }
 
-  /** The connection to a relay ended. */
+  /** Removes a relay whose connection ended. */
   lost (address: string): void { this._relays.delete(address) }
 
-  /** Whether some relay is known to follow the store now, in the epoch that this process follows or a later one. */
+  /** Whether some relay currently follows the store, in the epoch that this process follows or a later one. */
   confirmed (epoch: number, now: number): boolean { return this._live(now).some(({ note }) => note.fresh && note.held.epoch >= epoch) }
 
   /**
-   * The relay to take news from: the nearest that holds more than this process of one of some topics. Where a nearer one
-   * lives that does not hold it yet, nothing for a while.
+   * Returns the nearest relay that is ahead of this process in one of some topics. Returns `undefined` if there is none, and, for
+   * a limited time, while a nearer relay is live that is not ahead yet.
    *
    * @param held The revisions that this process holds.
-   * @param passedOver Relays that failed just now.
+   * @param passedOver Relays that failed recently.
    * @example
    * const address = book.ahead(state.held, ['versions'], new Set(), now)
    */
@@ -71,12 +71,12 @@
     return near ? better.address : undefined
   }
 
-  /** The nearest relay that follows the store now; nothing when there is none. */
+  /** Returns the nearest relay that currently follows the store, or `undefined` if there is none. */
   nearest (epoch: number, passedOver: ReadonlySet<string>, now: number): string | undefined {
     return this._usable(epoch, passedOver, now).find(({ note }) => note.fresh)?.address
   }
 
-  /** How far this process may count a topic as followed: a relay that holds no more says up to where nothing is new. */
+  /** Returns the revision up to which a topic counts as followed, by the relays that hold the same revision as this process. */
   followedBy (held: PublishedNote, topic: PublishedTopic, now: number): number {
     const same = this._live(now).filter(({ note }) => note.fresh && note.held.epoch === held.epoch && note.held[topic] === held[topic])
     return Math.max(0, ...same.map(({ note }) => note.followed[topic]))
@@ -86,12 +86,12 @@
     return [...this._relays.values()].filter(({ heardAt }) => now - heardAt <= NOTE_LIFETIME)
   }
 
-  /** Those that do not follow an earlier epoch, the nearest first. */
+  /** Returns the live relays that do not follow an earlier epoch, nearest first. */
   private _usable (epoch: number, passedOver: ReadonlySet<string>, now: number): Relay[] {
     return this._live(now).filter(({ address, note }) => note.held.epoch >= epoch && !passedOver.has(address)).sort((left, right) => this._distance(left) - this._distance(right))
   }
 
-  /** 0 in the own zone, 1 in the own region, 2 elsewhere. */
+  /** Returns 0 for the same availability zone, 1 for the same region and 2 for other regions. */
   private _distance ({ note: { availabilityZone } }: Relay): number {
     if (availabilityZone === this._place.availabilityZone) return 0
     return this._place.regionOf(availabilityZone) === this._place.regionOf(this._place.availabilityZone) ? 1 : 2
--- a/packages/core/src/lib/routing/published/removals.ts
+++ b/packages/core/src/lib/routing/published/removals.ts
@@ -3,10 +3,10 @@
  * Copyright 2026 the drumdrift contributors
  * SPDX-License-Identifier: BSD-3-Clause
  */
-/** Endpoints that have gone, so that older news of them is not believed, and peers that are behind can be told. */
+/** Removed endpoints. They are kept to reject outdated entries of them, and to send the removals to peers that are behind. */
 import type { LastWriting } from './endpoint-record.js'
 
-/** One removal. */
+/** The removal of an endpoint. */
 export interface Removal {
   readonly type: 'endpoint-gone'
   readonly id: string
@@ -14,35 +14,35 @@
   readonly certain?: boolean | undefined
 }
 
-/** A removal, and the newest start of the endpoint that was known when it went. */
+/** A removal, with the newest start of the endpoint that was known when it was removed. */
 export interface NotedRemoval extends LastWriting {
   readonly removal: Removal
-  /** Whether it was heard in an earlier epoch of the store; its revision is 0 then. */
+  /** Whether it was received in an earlier epoch of the store; its revision is then 0. */
   readonly carried: boolean
 }
 
-/** Removals kept to be told to peers. Beyond that, a peer that is further behind gets the whole list. */
+/** Number of removals kept for peers. A peer that is further behind gets the complete list of endpoints. */
 const MOST_REMOVALS = 512
 
-/** The newest removals, one of each endpoint. */
+/** The newest removals, at most one per endpoint. */
 export class Removals {
-  /** The oldest first. */
+  /** By endpoint id, oldest first. */
   private readonly _noted = new Map<string, NotedRemoval>()
   private _forgottenUpTo = 0
 
-  /** Removals up to this revision may have been forgotten; 0 for none. */
+  /** Revision up to which removals may be missing here; 0 if none are. */
   get forgottenUpTo (): number { return this._forgottenUpTo }
 
-  /** The removal of an endpoint; nothing for one that has not gone. */
+  /** Returns the removal of an endpoint, or `undefined` if it has not been removed. */
   get (id: string): NotedRemoval | undefined { return this._noted.get(id) }
 
-  /** Those after a revision. */
+  /** Returns the removals after a revision. */
   after (revision: number): Removal[] {
     return [...this._noted.values()].flatMap(({ removal }) => removal.revision > revision ? [removal] : [])
   }
 
   /**
-   * An endpoint has gone.
+   * Adds a removal, and discards the oldest ones above the limit.
    *
    * @example
    * removals.note({ type: 'endpoint-gone', id: 'engine-7', revision: 12 }, held.record)
@@ -56,21 +56,21 @@
     }
   }
 
-  /** The store begins another epoch. */
+  /** Carries all removals over into a new epoch of the store, at revision 0. */
   carryOver (): void {
     this._forgottenUpTo = 0
     for (const [id, noted] of this._noted) this._noted.set(id, { ...noted, removal: { ...noted.removal, revision: 0 }, carried: true })
   }
 
-  /** The store has nothing newer of an endpoint up to a revision; nothing happens when it has not gone. */
+  /** Records that the store has no newer state of an endpoint up to a revision. Does nothing if the endpoint has not been removed. */
   confirm (id: string, revision: number): void {
     const noted = this._noted.get(id)
     if (noted !== undefined) this._noted.set(id, { ...noted, removal: { ...noted.removal, revision } })
   }
 
-  /** Removals up to a revision were not all heard. */
+  /** Records that some removals up to a revision are missing here. */
   forgetUpTo (revision: number): void { this._forgottenUpTo = Math.max(this._forgottenUpTo, revision) }
 
-  /** An endpoint is back. */
+  /** Discards the removal of an endpoint that is listed again. */
   forget (id: string): void { this._noted.delete(id) }
 }
--- a/packages/core/src/lib/routing/published/routing-configuration.ts
+++ b/packages/core/src/lib/routing/published/routing-configuration.ts
@@ -4,69 +4,70 @@
  * SPDX-License-Identifier: BSD-3-Clause
  */
 /**
- * What operators configure for requests that go straight to endpoints: routes, services, organisations and limits.
+ * The operators' configuration of requests that are routed directly to endpoints: routes, services, organisations and limits.
  * All times are in milliseconds.
  */
 
-/** Whether a request may run again: `safe` ones may, `unsafe` ones may not, `streaming` ones only where resumable. */
+/** Whether a request may be retried once it may have run: `safe` ones may, `unsafe` ones may not, `streaming` ones only if resumable. */
 export type RouteKind = 'safe' | 'unsafe' | 'streaming'
 
-/** One of the services that a route is shared over. */
+/** One of the services that a route distributes its requests to. */
 export interface RouteTarget {
   readonly service: string
   /** Its share of the route's requests, relative to the other targets. */
   readonly weight: number
 }
 
-/** Requests of one host and path prefix. */
+/** The rules for requests of one host and path prefix. */
 export interface Route {
   readonly name: string
   readonly host: string
   /** Starts and ends with a slash. */
   readonly pathPrefix: string
   readonly kind: RouteKind
-  /** The longest that a request may be held before its final answer. */
+  /** Longest time that a request may take until its final response. */
   readonly timeout: number
-  /** The wanted time to the answer, or to the first event of a stream. */
+  /** Target time to the response, or to the first event of a stream. */
   readonly objective: number
-  /** The longest wanted pause between two events of a stream; 0 where none is named. */
+  /** Target for the longest pause between two events of a stream; 0 if none is set. */
   readonly gapObjective: number
   /** 0 is the most urgent. */
   readonly priority: number
-  /** Endpoints that one request may be sent to. */
+  /** Number of endpoints that one request may be sent to. */
   readonly maxAttempts: number
   /** Whether callers need no key. */
   readonly open: boolean
-  /** Whether a broken stream may go on at another endpoint. */
+  /** Whether an interrupted stream may be resumed at another endpoint. */
   readonly resumable: boolean
   readonly targets: readonly RouteTarget[]
 }
 
-/** A model that a pool's engines can hold. */
+/** A model that a pool's engines can load. */
 export interface PoolModel {
   readonly name: string
-  /** Time from the end of the old version's work to the first token of the new one. */
+  /** Time from the end of the old version's last request to the first token of the new version. */
   readonly warmUp: number
 }
 
-/** How the engines of a pool work, as their operator publishes it. */
+/** Performance characteristics of a pool's engines, as published by their operator. */
 export interface PoolDescription {
-  /** Requests that one engine runs at once. */
+  /** Requests that one engine runs concurrently. */
   readonly slots: number
-  /** Decoding steps that an engine plays before it admits new prompts. */
+  /** Decoding steps that an engine runs before it admits new prompts. */
   readonly stride: number
-  /** One decoding step without any request, in milliseconds. */
+  /** Base duration of a decoding step, in milliseconds. */
   readonly stepTime: number
-  /** Added to a step for each running request. */
+  /** Added duration of a step per running request. */
   readonly stepTimePerRequest: number
-  /** Added to a step for each 1,000 tokens of context. */
+  /** Added duration of a step per 1,000 tokens of context. */
   readonly stepTimePerThousandTokens: number
-  /** Prompt tokens read in a millisecond. */
+  /** Prompt tokens processed per millisecond (prefill). */
   readonly promptTokensPerMillisecond: number
-  /** Prompt tokens read with one decoding step at most; a pass beside requests that write has `stride` steps. */
+  /** Most prompt tokens processed per decoding step; a prefill pass that runs beside decoding requests has `stride` steps. */
   readonly promptTokensPerStep: number
-  /** Mean tokens of a prompt and of an answer. */
+  /** Mean tokens of a prompt. */
   readonly usualPromptTokens: number
+  /** Mean tokens of a response. */
   readonly usualAnswerTokens: number
   readonly models: readonly PoolModel[]
   /** Layers of the model, which are loaded from chunks. */
@@ -75,16 +76,16 @@
   readonly chunkBytes: number
 }
 
-/** A service that routes lead to. */
+/** A service that routes send requests to. */
 export interface ServiceDescription {
   readonly name: string
-  /** Connections that one endpoint takes from all callers together. */
+  /** Connections that one endpoint accepts from all callers together. */
   readonly maxConnections: number
   /** Present for model pools. */
   readonly pool?: PoolDescription | undefined
 }
 
-/** Where weights come from. */
+/** The origin of model weights. */
 export interface OriginDescription {
   readonly address: string
   readonly availabilityZone: string
@@ -92,26 +93,26 @@
   readonly maxConnections: number
 }
 
-/** Whose callers they are. */
+/** An organisation and the keys of its callers. */
 export interface OrganisationDescription {
   readonly name: string
   readonly keys: readonly string[]
-  /** Goes before the priority of the route. */
+  /** Overrides the priority of the route. */
   readonly priority?: number | undefined
 }
 
-/** Bounds on what callers send. */
+/** Limits on callers' connections and requests. */
 export interface CallerLimits {
   readonly headerBytes: number
   readonly bodyBytes: number
   readonly headerTimeout: number
-  /** How long a connection may rest between requests. */
+  /** How long a connection may be idle between requests. */
   readonly idleTimeout: number
 }
 
-/** Everything that operators configure, taken or refused as a whole. */
+/** The whole configuration of the operators, which is accepted or rejected as a unit. */
 export interface RoutingConfiguration {
-  /** The operators' own number of this configuration; it only rises. */
+  /** Version number assigned by the operators; it only increases. */
   readonly version: number
   readonly routes: readonly Route[]
   readonly services: readonly ServiceDescription[]
@@ -120,13 +121,13 @@
   readonly limits: CallerLimits
 }
 
-/** What a request was matched to. */
+/** The result of matching a request. */
 export type RouteMatch =
   | { readonly type: 'route', readonly route: Route, readonly organisation: OrganisationDescription | undefined }
   | { readonly type: 'unknown-route' }
   | { readonly type: 'unknown-key' }
 
-/** A configuration prepared for look-ups. */
+/** A configuration indexed for look-ups. */
 export class RouteTable {
   private readonly _byHost = new Map<string, Route[]>()
   private readonly _byKey = new Map<string, OrganisationDescription>()
@@ -143,15 +144,15 @@
     for (const service of configuration.services) this._services.set(service.name, service)
   }
 
-  /** A service's description. */
+  /** Returns the description of a service. */
   service (name: string): ServiceDescription | undefined { return this._services.get(name) }
 
   /**
-   * Finds the route with the longest prefix that begins the path, and the organisation that holds the key. Where no
-   * organisations are configured, no key is asked for.
+   * Finds the route with the longest matching path prefix, and the organisation that owns the key. If no organisations are
+   * configured, no key is required.
    *
    * @param path Without the query.
-   * @param key What the caller sent, or nothing.
+   * @param key The caller's key, if any.
    * @example
    * const match = table.match('plans.example', '/drafts/7', key)
    */
@@ -166,7 +167,7 @@
 }
 
 /**
- * Draws the service of a route by the weights of its targets.
+ * Picks a service of a route at random, in proportion to the weights of its targets.
  *
  * @param draw A number in [0, 1).
  * @example
--- a/packages/core/src/lib/routing/published/store-cursor.ts
+++ b/packages/core/src/lib/routing/published/store-cursor.ts
@@ -3,48 +3,51 @@
  * Copyright 2026 the drumdrift contributors
  * SPDX-License-Identifier: BSD-3-Clause
  */
-/** How a part of the store is followed: by watches from where they were left, or by a whole reading where its history does not reach there. */
+/**
+ * Tracks how a part of the store is followed: by watches that continue from the last revision, or by a full read if the store's
+ * history no longer reaches back to it.
+ */
 import type { PublishedTopic } from './published-change.js'
 import type { PublishedState } from './published-state.js'
 
-/** What is asked of the store. */
+/** A kind of call to the store. */
 export type StoreCall = 'watch' | 'read'
 
-/** What an answer of the store is, as far as following it goes. */
+/** The parts of the store's response that decide how following continues. */
 export interface StoreAnswerKind {
   readonly type: 'changes' | 'history-lost' | 'store-failure'
-  /** The store's epoch; nothing where it is not told. */
+  /** The store's epoch; `undefined` if the response does not contain it. */
   readonly epoch?: number | undefined
 }
 
-/** What is to become of an answer. */
+/** How to handle a response. */
 export type AnswerVerdict =
-  /** What it tells counts. */
+  /** Apply its changes. */
   | 'take'
-  /** What lies between it and what was followed is not to be had: everything is to be read. */
+  /** The changes since the followed revision are not available: a full read is required. */
   | 'read-whole'
-  /** It failed, or was given in an epoch before the one that is followed: what it tells may have been lost since. */
+  /** The call failed, or its response belongs to an earlier epoch than the followed one, so its changes may have been lost since. */
   | 'failed'
 
-/** Where one process stands in following some topics. */
+/** The position of one process in following some topics. */
 export class StoreCursor {
-  /** Whether the store's history does not reach to what was followed. */
+  /** Whether the store's history no longer reaches back to the followed revision. */
   private _lost = false
 
   constructor (private readonly _state: Pick<PublishedState, 'epoch' | 'note'>, private readonly _topics: readonly PublishedTopic[]) {}
 
-  /** The revision up to which every topic has been followed. */
+  /** The revision up to which all topics have been followed. */
   get followed (): number {
     const { note } = this._state
     return Math.min(...this._topics.map(topic => note[topic]))
   }
 
-  /** What is to be asked next. */
+  /** The next call to make. */
   get next (): StoreCall { return this._lost || this.followed === 0 ? 'read' : 'watch' }
 
   /**
-   * Judges the answer to a call, before it is taken. The revision of a watch means nothing in a later epoch, so what the watch tells may
-   * lack something.
+   * Decides how to handle the response to a call, before its changes are applied. The revision from which a watch started is not valid
+   * in a later epoch, so the changes of such a watch may be incomplete.
    *
    * @example
    * if (cursor.judge('watch', answer) === 'read-whole') log.warn('history-lost', { revision: cursor.followed })
@@ -58,6 +61,6 @@
     return 'take'
   }
 
-  /** Others have told everything up to what is followed now. */
+  /** Records that peers have supplied every change up to the followed revision. */
   caughtUp (): void { this._lost = false }
 }
--- a/packages/core/src/test/lib/routing/published/lapsed-endpoints_test.ts
+++ b/packages/core/src/test/lib/routing/published/lapsed-endpoints_test.ts
@@ -4,10 +4,10 @@
  * SPDX-License-Identifier: BSD-3-Clause
  */
 /*
- * An endpoint that had left was sent requests 3.1 s after its leaving had been acknowledged, with 3 s allowed, and in another run
- * 2.2 s where 2 are allowed: "endpoint-gone" came 2.5 s after "store-regained". Only this process had lost the store, or only its
- * watch had been cut, yet every entry that was missing afterwards counted as lapsed with an outage, and was kept for 2.5 s. When
- * the store itself is away for long, nearly all entries lapse with it.
+ * Guards against requests being sent to an endpoint that has left: they were sent 3.1 s after the acknowledgement of its departure
+ * (3 s are allowed), and 2.2 s in another run (2 s are allowed), because "endpoint-gone" followed "store-regained" by 2.5 s. If only
+ * this process loses the store, or only its watch is interrupted, a missing entry must not be kept for 2.5 s as if it had expired in
+ * an outage. In a long outage of the store itself, nearly all entries expire.
  */
 import assert from 'node:assert/strict'
 import { describe, it } from 'node:test'
@@ -20,12 +20,12 @@
   return { type: 'endpoint', revision, record: { id, service: 'desk', address: `${id}.example:80`, availabilityZone: 'koshi', slots: 4, draining: false, models: [] } }
 }
 
-describe('endpoints that are missing after the store was away', () => {
+describe('endpoints that are missing after the store was unavailable', () => {
   const cases: [name: string, missing: readonly string[], after: number, expected: readonly string[]][] = [
-    ['are kept at first when they are few', ['b'], 499, ALL],
-    ['are soon taken as gone when they are few', ['b'], 500, ['a', 'c', 'd', 'e']],
-    ['are kept for longer when they are most', ['a', 'b', 'c'], 2_499, ALL],
-    ['are taken as gone in the end when they are most', ['a', 'b', 'c'], 2_500, ['d', 'e']]
+    ['are kept until the short grace period ends if they are few', ['b'], 499, ALL],
+    ['are removed after the short grace period if they are few', ['b'], 500, ['a', 'c', 'd', 'e']],
+    ['are kept until the long grace period ends if they are the majority', ['a', 'b', 'c'], 2_499, ALL],
+    ['are removed after the long grace period if they are the majority', ['a', 'b', 'c'], 2_500, ['d', 'e']]
   ]
   for (const [name, missing, after, expected] of cases) {
     it(name, () => {
@@ -39,7 +39,7 @@
     })
   }
 
-  it('are kept for longer also once most of those that lapsed are back', () => {
+  it('are kept for the long grace period even if most of the expired entries are back before it ends', () => {
     const state = new PublishedState()
     state.takeWhole('endpoints', ALL.map((id, index) => listed(id, index + 1)), 5, 0)
     state.storeLost()
--- a/packages/core/src/test/lib/routing/published/published-state_test.ts
+++ b/packages/core/src/test/lib/routing/published/published-state_test.ts
@@ -37,12 +37,12 @@
   const orders: [name: string, changes: PublishedChange[], expected: string[]][] = [
     ['an endpoint', [listed('a', 1)], ['a']],
     ['its removal', [listed('a', 1), gone('a', 2)], []],
-    ['a removal that comes before what it removes', [gone('a', 2), listed('a', 1)], []],
-    ['a return after a removal', [listed('a', 1), gone('a', 2), listed('a', 3)], ['a']],
-    ['an older removal after a return', [listed('a', 3), gone('a', 2)], ['a']]
+    ['a removal received before the entry that it removes', [gone('a', 2), listed('a', 1)], []],
+    ['a new entry after a removal', [listed('a', 1), gone('a', 2), listed('a', 3)], ['a']],
+    ['an older removal after a new entry', [listed('a', 3), gone('a', 2)], ['a']]
   ]
   for (const [name, changes, expected] of orders) {
-    it(`takes ${name} by revision, not by order`, () => {
+    it(`applies ${name} by revision, not by order of receipt`, () => {
       const state = new PublishedState()
       for (const change of changes) state.take(change, 0)
       assert.deepEqual(ids(state), expected)
@@ -54,21 +54,21 @@
   const starts: [name: string, changes: PublishedChange[], expected: (number | undefined)[]][] = [
     ['a newer start in place of an older one', [bornAt(100, 1), bornAt(200, 2)], [200]],
     ['no older start in place of a newer one', [bornAt(200, 1), bornAt(100, 2)], [200]],
-    ['no older start after the newer one has gone', [bornAt(200, 1), gone('a', 2), bornAt(100, 3)], []],
-    ['a newer start after the older one has gone', [bornAt(100, 1), gone('a', 2), bornAt(200, 3)], [200]],
-    ['the same start again', [bornAt(100, 1), gone('a', 2), bornAt(100, 3)], [100]],
-    ['an older revision of a newer start not', [bornAt(100, 2), bornAt(200, 1)], [100]],
-    ['an entry that tells no start', [bornAt(100, 1), bornAt(undefined, 2)], [undefined]]
+    ['no older start after the newer one was removed', [bornAt(200, 1), gone('a', 2), bornAt(100, 3)], []],
+    ['a newer start after the older one was removed', [bornAt(100, 1), gone('a', 2), bornAt(200, 3)], [200]],
+    ['the same start again after its removal', [bornAt(100, 1), gone('a', 2), bornAt(100, 3)], [100]],
+    ['no older revision, even of a newer start', [bornAt(100, 2), bornAt(200, 1)], [100]],
+    ['an entry without a start time', [bornAt(100, 1), bornAt(undefined, 2)], [undefined]]
   ]
   for (const [name, changes, expected] of starts) {
-    it(`takes ${name}`, () => {
+    it(`applies ${name}`, () => {
       const state = new PublishedState()
       for (const change of changes) state.take(change, 0)
       assert.deepEqual(state.endpoints().map(({ born }) => born), expected)
     })
   }
 
-  it('lets go at once of an endpoint whose entry cannot be read, also while others may have lapsed, and tells peers so', () => {
+  it('applies a certain removal immediately even during an outage of the store, and forwards it to peers', () => {
     const state = new PublishedState()
     state.take(listed('a', 1), 0)
     state.take(listed('b', 2), 0)
@@ -81,7 +81,7 @@
     assert.deepEqual([ids(state), ids(peer)], [['b'], ['b']])
   })
 
-  it('keeps an address for its endpoint when an entry of a service that nobody configured claims it', () => {
+  it('keeps the owner of an address if an entry of an unconfigured service claims it', () => {
     const state = new PublishedState()
     const value: RoutingConfiguration = { version: 1, routes: [], services: [{ name: 'desk', maxConnections: 1 }], organisations: [], limits }
     state.take({ type: 'configuration', revision: 1, configuration: value }, 0)
@@ -92,7 +92,7 @@
     assert.ok(!ids(state).includes('a'))
   })
 
-  it('takes no endpoint back, and none away, by a reading that is older than what it holds', () => {
+  it('neither restores nor removes an endpoint by a snapshot that is older than its own state', () => {
     const state = new PublishedState()
     state.takeWhole('endpoints', [listed('a', 1), listed('b', 2)], 2, 0)
     state.takeWhole('endpoints', [listed('b', 2), listed('c', 4)], 5, 0)
@@ -100,28 +100,28 @@
     assert.deepEqual([ids(state), state.note.endpoints], [['b', 'c'], 5])
   })
 
-  it('takes no endpoint that it never knew from a reading that is older than what it has followed', () => {
+  it('adds no unknown endpoint from a snapshot that is older than the followed revision', () => {
     const state = new PublishedState()
     state.takeWhole('endpoints', [listed('b', 2)], 5, 0)
     state.takeWhole('endpoints', [listed('a', 1), listed('b', 2)], 3, 0)
     assert.deepEqual(ids(state), ['b'])
   })
 
-  it('never goes back to an older configuration', () => {
+  it('never reverts to an older configuration', () => {
     const state = new PublishedState()
     assert.deepEqual(state.take(configuration(7, 20), 0), [configuration(7, 20)])
     assert.deepEqual(state.take(configuration(4, 10), 0), [])
     assert.equal(state.configuration?.version, 7)
   })
 
-  it('keeps a draining mark against a late older entry', () => {
+  it('keeps an endpoint draining if an older entry is received late', () => {
     const state = new PublishedState()
     state.take(listed('a', 5, true), 0)
     state.take(listed('a', 4, false), 0)
     assert.equal(state.endpoints()[0]?.draining, true)
   })
 
-  it('takes what a whole reading lacks as gone, but not what is newer than the reading', () => {
+  it('removes endpoints that a snapshot lacks, except those newer than the snapshot', () => {
     const state = new PublishedState()
     state.take(listed('old', 1), 0)
     state.take(listed('new', 9), 0)
@@ -129,7 +129,7 @@
     assert.deepEqual(ids(state), ['a', 'new'])
   })
 
-  it('holds endpoints whose entries lapsed during an outage until the store has been back for a while', () => {
+  it('keeps endpoints whose entries expired during an outage until the grace period after it ends', () => {
     const state = new PublishedState()
     state.take(listed('a', 1), 0)
     state.take(listed('b', 2), 0)
@@ -144,7 +144,7 @@
     assert.deepEqual(ids(state), ['b'])
   })
 
-  it('removes at once what goes after the store has returned', () => {
+  it('immediately removes an endpoint that is removed after the store has recovered', () => {
     const state = new PublishedState()
     state.take(listed('a', 1), 0)
     state.storeLost()
@@ -153,67 +153,67 @@
     assert.deepEqual(ids(state), [])
   })
 
-  it('removes at once when the store was not away', () => {
+  it('immediately removes an endpoint if the store was available throughout', () => {
     const state = new PublishedState()
     state.take(listed('a', 1), 0)
     assert.deepEqual(state.take(gone('a', 2), 5), [gone('a', 2)])
   })
 
-  it('gives a peer what it lacks, removals included', () => {
-    const [teller, asker] = [new PublishedState(), new PublishedState()]
-    for (const state of [teller, asker]) {
+  it('sends a peer the changes that it lacks, including removals', () => {
+    const [sender, receiver] = [new PublishedState(), new PublishedState()]
+    for (const state of [sender, receiver]) {
       state.takeWhole('endpoints', [listed('a', 1), listed('b', 2)], 2, 0)
       state.takeWhole('configuration', [configuration(1, 1)], 2, 0)
       state.takeWhole('versions', [], 2, 0)
     }
-    for (const change of [gone('a', 3), listed('c', 4), configuration(2, 5), wanted(2, 6)]) teller.take(change, 0)
-    teller.followed('endpoints', 6)
-    teller.followed('configuration', 6)
-    teller.followed('versions', 6)
-    const news = asker.takeDelta(teller.since(asker.note, 0), 100)
-    assert.equal(news.length, 4)
-    assert.deepEqual(ids(asker), ['b', 'c'])
-    assert.equal(asker.configuration?.version, 2)
-    assert.equal(asker.wanted('m')?.version, 2)
-    assert.deepEqual(asker.takeDelta(teller.since(asker.note, 0), 100), [])
+    for (const change of [gone('a', 3), listed('c', 4), configuration(2, 5), wanted(2, 6)]) sender.take(change, 0)
+    sender.followed('endpoints', 6)
+    sender.followed('configuration', 6)
+    sender.followed('versions', 6)
+    const applied = receiver.takeDelta(sender.since(receiver.note, 0), 100)
+    assert.equal(applied.length, 4)
+    assert.deepEqual(ids(receiver), ['b', 'c'])
+    assert.equal(receiver.configuration?.version, 2)
+    assert.equal(receiver.wanted('m')?.version, 2)
+    assert.deepEqual(receiver.takeDelta(sender.since(receiver.note, 0), 100), [])
   })
 
-  it('tells a peer of an endpoint that went before it began to follow itself', () => {
-    const [teller, asker] = [new PublishedState(), new PublishedState()]
-    asker.takeWhole('endpoints', [listed('a', 1), listed('b', 2)], 7, 0)
-    teller.takeWhole('endpoints', [listed('b', 2)], 8, 0)
-    assert.ok(teller.held.endpoints > asker.held.endpoints)
-    asker.takeDelta(teller.since(asker.note, 0), 0)
-    assert.deepEqual([ids(asker), asker.held], [['b'], teller.held])
+  it('informs a peer of the removal of an endpoint that preceded its own first snapshot', () => {
+    const [sender, receiver] = [new PublishedState(), new PublishedState()]
+    receiver.takeWhole('endpoints', [listed('a', 1), listed('b', 2)], 7, 0)
+    sender.takeWhole('endpoints', [listed('b', 2)], 8, 0)
+    assert.ok(sender.held.endpoints > receiver.held.endpoints)
+    receiver.takeDelta(sender.since(receiver.note, 0), 0)
+    assert.deepEqual([ids(receiver), receiver.held], [['b'], sender.held])
   })
 
-  it('leaves a peer that has followed as far with nothing to ask for', () => {
-    const [teller, asker] = [new PublishedState(), new PublishedState()]
-    asker.takeWhole('endpoints', [listed('a', 1)], 6, 0)
-    teller.takeWhole('endpoints', [listed('a', 1)], 8, 0)
-    for (const state of [teller, asker]) state.followed('endpoints', 9)
-    asker.takeDelta(teller.since(asker.note, 0), 0)
-    assert.deepEqual(asker.held, teller.held)
+  it('holds the same revisions as a peer that has followed the store equally far', () => {
+    const [sender, receiver] = [new PublishedState(), new PublishedState()]
+    receiver.takeWhole('endpoints', [listed('a', 1)], 6, 0)
+    sender.takeWhole('endpoints', [listed('a', 1)], 8, 0)
+    for (const state of [sender, receiver]) state.followed('endpoints', 9)
+    receiver.takeDelta(sender.since(receiver.note, 0), 0)
+    assert.deepEqual(receiver.held, sender.held)
   })
 
-  it('gives everything to a peer that has nothing', () => {
-    const [teller, asker] = [new PublishedState(), new PublishedState()]
-    teller.takeWhole('endpoints', [listed('a', 1)], 3, 0)
-    teller.takeWhole('configuration', [configuration(1, 2)], 3, 0)
-    asker.takeDelta(teller.since(asker.note, 0), 0)
-    assert.equal(asker.complete, true)
+  it('sends a complete snapshot to a peer that has no state', () => {
+    const [sender, receiver] = [new PublishedState(), new PublishedState()]
+    sender.takeWhole('endpoints', [listed('a', 1)], 3, 0)
+    sender.takeWhole('configuration', [configuration(1, 2)], 3, 0)
+    receiver.takeDelta(sender.since(receiver.note, 0), 0)
+    assert.equal(receiver.complete, true)
   })
 })
 
-describe('PublishedState: an address that is used again', () => {
+describe('PublishedState: an address that is reused', () => {
   const [first, again, elsewhere] = [listedAt('h:80', 'first', 1), listedAt('h:80', 'again', 5), listedAt('i:80', 'other', 6)]
   const cases: [name: string, changes: PublishedChange[], expected: string[]][] = [
-    ['the newer start replaces the older', [first, again], ['again']],
-    ['in either order', [again, first], ['again']],
-    ['other addresses stay', [first, elsewhere, again], ['again', 'other']],
-    ['the older does not return with an entry read late', [first, again, listedAt('h:80', 'first', 3)], ['again']],
-    ['nor once the newer has gone', [first, again, gone('again', 7), listedAt('h:80', 'first', 3)], []],
-    ['a start that is listed later still replaces both', [first, again, listedAt('h:80', 'third', 8)], ['third']]
+    ['the newer endpoint replaces the older one', [first, again], ['again']],
+    ['the newer endpoint remains if the older entry is received last', [again, first], ['again']],
+    ['endpoints at other addresses are kept', [first, elsewhere, again], ['again', 'other']],
+    ['the older endpoint is not restored by an outdated entry', [first, again, listedAt('h:80', 'first', 3)], ['again']],
+    ['the older endpoint is not restored after the removal of the newer one', [first, again, gone('again', 7), listedAt('h:80', 'first', 3)], []],
+    ['a third endpoint replaces both', [first, again, listedAt('h:80', 'third', 8)], ['third']]
   ]
   for (const [name, changes, expected] of cases) {
     it(name, () => {
@@ -223,7 +223,7 @@
     })
   }
 
-  it('tells the removal as news, and to peers', () => {
+  it('reports the removal as an effective change and sends it to peers', () => {
     const [state, peer] = [new PublishedState(), new PublishedState()]
     state.takeWhole('endpoints', [first], 2, 0)
     peer.takeDelta(state.since(peer.note, 0), 0)
@@ -233,7 +233,7 @@
     assert.deepEqual(ids(peer), ['again'])
   })
 
-  it('holds during an outage of the store too, when lapsed entries are kept', () => {
+  it('replaces the older endpoint during an outage of the store too, when expired entries are kept', () => {
     const state = new PublishedState()
     state.take(first, 0)
     state.storeLost()
@@ -245,14 +245,14 @@
 describe('PublishedState.dueVersion', () => {
   const bound = 8_000
   const cases: [name: string, named: [version: number, at: number][], now: number, due: number, firstNewer: number | undefined][] = [
-    ['none named', [], 100_000, 0, undefined],
-    ['one just named', [[2, 1_000]], 8_999, 0, 1_000],
-    ['one whose bound has passed', [[2, 1_000]], 9_000, 2, 1_000],
-    ['a second one named before the first is everywhere', [[2, 1_000], [3, 3_000]], 9_500, 2, 1_000],
-    ['both bounds passed', [[2, 1_000], [3, 3_000]], 11_000, 3, 1_000]
+    ['no version published', [], 100_000, 0, undefined],
+    ['one version before its deadline', [[2, 1_000]], 8_999, 0, 1_000],
+    ['one version at its deadline', [[2, 1_000]], 9_000, 2, 1_000],
+    ['a second version published before the deadline of the first', [[2, 1_000], [3, 3_000]], 9_500, 2, 1_000],
+    ['two versions past their deadlines', [[2, 1_000], [3, 3_000]], 11_000, 3, 1_000]
   ]
   for (const [name, named, now, due, firstNewer] of cases) {
-    it(`holds each version to its own bound: ${name}`, () => {
+    it(`applies a separate deadline to each version: ${name}`, () => {
       const state = new PublishedState()
       state.followed('versions', 1)
       named.forEach(([version, at], index) => state.take(wanted(version, index + 2), at))
@@ -261,7 +261,7 @@
     })
   }
 
-  it('takes a version that was named before it began to follow as due', () => {
+  it('treats a version that was published before it began to follow the store as due', () => {
     const state = new PublishedState()
     state.takeWhole('versions', [wanted(4, 9)], 9, 500)
     assert.equal(state.dueVersion('m', bound, 501), 4)
--- a/packages/core/src/test/lib/routing/published/relay-book_test.ts
+++ b/packages/core/src/test/lib/routing/published/relay-book_test.ts
@@ -10,7 +10,7 @@
 import { RelayBook } from '../../../../lib/routing/published/relay-book.js'
 
 const place = { availabilityZone: 'koshi-a', regionOf: (zone: string) => zone.split('-')[0] ?? zone }
-const nobody = new Set<string>()
+const noRelays = new Set<string>()
 
 function held (configuration: number, epoch = 1): PublishedNote { return { epoch, configuration, versions: 1, endpoints: 1 } }
 
@@ -23,18 +23,18 @@
 
 describe('RelayBook', () => {
   const sources: [name: string, relays: readonly [string, RelayNote][], passedOver: readonly string[], after: number, expected: string | undefined][] = [
-    ['the own zone before the region', [['b', note('koshi-b', 2)], ['a', note('koshi-a', 2)]], [], 0, 'a'],
-    ['the region before others', [['c', note('bagmati-c', 2)], ['b', note('koshi-b', 2)]], [], 0, 'b'],
-    ['another region when nobody is nearer', [['c', note('bagmati-c', 2)]], [], 0, 'c'],
-    ['nobody while a nearer one may soon hold it', [['c', note('bagmati-c', 2)], ['a', note('koshi-a', 1)]], [], 0, undefined],
-    ['another region when the nearer one is late', [['c', note('bagmati-c', 2)], ['a', note('koshi-a', 1)]], [], 500, 'c'],
-    ['another region when the nearer one failed', [['c', note('bagmati-c', 2)], ['a', note('koshi-a', 1)]], ['a'], 0, 'c'],
-    ['nobody when nobody holds more', [['a', note('koshi-a', 1)]], [], 0, undefined],
-    ['one of a later epoch, however little it holds', [['a', later]], [], 0, 'a'],
-    ['none of an earlier epoch, however much it holds', [['a', earlier]], [], 0, undefined]
+    ['its availability zone rather than its region', [['b', note('koshi-b', 2)], ['a', note('koshi-a', 2)]], [], 0, 'a'],
+    ['its region rather than another', [['c', note('bagmati-c', 2)], ['b', note('koshi-b', 2)]], [], 0, 'b'],
+    ['another region if no relay is nearer', [['c', note('bagmati-c', 2)]], [], 0, 'c'],
+    ['no relay while a nearer one may soon catch up', [['c', note('bagmati-c', 2)], ['a', note('koshi-a', 1)]], [], 0, undefined],
+    ['another region if the nearer one does not catch up in time', [['c', note('bagmati-c', 2)], ['a', note('koshi-a', 1)]], [], 500, 'c'],
+    ['another region if the nearer one failed', [['c', note('bagmati-c', 2)], ['a', note('koshi-a', 1)]], ['a'], 0, 'c'],
+    ['no relay if none is ahead', [['a', note('koshi-a', 1)]], [], 0, undefined],
+    ['a relay of a later epoch, even at a lower revision', [['a', later]], [], 0, 'a'],
+    ['no relay of an earlier epoch, even at a higher revision', [['a', earlier]], [], 0, undefined]
   ]
   for (const [name, relays, passedOver, after, expected] of sources) {
-    it(`takes news from ${name}`, () => {
+    it(`fetches changes from ${name}`, () => {
       const book = new RelayBook(place)
       for (const [address, told] of relays) book.heard(address, told, 0)
       book.ahead(held(1), ['configuration'], new Set(passedOver), 0)
@@ -43,12 +43,12 @@
   }
 
   const confirmations: [name: string, change: (book: RelayBook) => void, at: number, expected: boolean][] = [
-    ['one that follows the store', book => book.heard('a', note('koshi-a', 1), 0), 100, true],
-    ['one of a later epoch', book => book.heard('a', later, 0), 100, true],
-    ['none of an earlier epoch', book => book.heard('a', earlier, 0), 100, false],
-    ['none that does not hear the store', book => book.heard('a', note('koshi-a', 1, false), 0), 100, false],
-    ['none that was not heard for long', book => book.heard('a', note('koshi-a', 1), 0), 1_501, false],
-    ['none whose connection ended', book => {
+    ['a relay that follows the store', book => book.heard('a', note('koshi-a', 1), 0), 100, true],
+    ['a relay of a later epoch', book => book.heard('a', later, 0), 100, true],
+    ['no relay of an earlier epoch', book => book.heard('a', earlier, 0), 100, false],
+    ['no relay that has lost the store', book => book.heard('a', note('koshi-a', 1, false), 0), 100, false],
+    ['no relay whose last note is too old', book => book.heard('a', note('koshi-a', 1), 0), 1_501, false],
+    ['no relay whose connection ended', book => {
       book.heard('a', note('koshi-a', 1), 0)
       book.lost('a')
     }, 100, false]
@@ -57,17 +57,17 @@
     it(`relies on ${name}`, () => {
       const book = new RelayBook(place)
       change(book)
-      assert.deepEqual([book.confirmed(1, at), book.nearest(1, nobody, at) !== undefined], [expected, expected])
+      assert.deepEqual([book.confirmed(1, at), book.nearest(1, noRelays, at) !== undefined], [expected, expected])
     })
   }
 
-  it('counts as followed what a relay that holds the same has followed, and nothing by one that holds more', () => {
+  it('takes over the followed revision of a relay that holds the same revision, and not of one that is ahead', () => {
     const book = new RelayBook(place)
     book.heard('a', note('koshi-a', 5), 0)
     assert.deepEqual([book.followedBy(held(5), 'configuration', 0), book.followedBy(held(4), 'configuration', 0)], [105, 0])
   })
 
-  it('counts nothing as followed by one of another epoch', () => {
+  it('does not take over the followed revision of a relay of another epoch', () => {
     const book = new RelayBook(place)
     for (const [address, told] of [['a', earlier], ['b', later]] as const) book.heard(address, told, 0)
     assert.deepEqual([book.followedBy(held(9), 'configuration', 0), book.followedBy(held(1), 'configuration', 0)], [0, 0])
--- a/packages/core/src/test/lib/routing/published/routing-configuration_test.ts
+++ b/packages/core/src/test/lib/routing/published/routing-configuration_test.ts
@@ -7,7 +7,7 @@
 import { describe, it } from 'node:test'
 import { RouteTable, targetOf, type Route, type RoutingConfiguration } from '../../../../lib/routing/published/routing-configuration.js'
 
-/** A route with everything that a case does not name. */
+/** Returns a route with defaults for the properties that are not given. */
 function route (part: Partial<Route>): Route {
   return {
     name: 'plans', host: 'halls.example', pathPrefix: '/plans/', kind: 'safe', timeout: 2_000, objective: 400, gapObjective: 0, priority: 1, maxAttempts: 2, open: false, resumable: false, targets: [{ service: 'desk', weight: 1 }], ...part
@@ -29,7 +29,7 @@
     ['the same path of another host', 'other.example', '/plans/7', 'key-1', 'other'],
     ['a path that only resembles the prefix', 'halls.example', '/plansx', 'key-1', 'unknown-route'],
     ['a host that has no routes', 'no.example', '/plans/7', 'key-1', 'unknown-route'],
-    ['a key that nobody holds', 'halls.example', '/plans/7', 'key-9', 'unknown-key'],
+    ['an unknown key', 'halls.example', '/plans/7', 'key-9', 'unknown-key'],
     ['no key', 'halls.example', '/plans/7', undefined, 'unknown-key'],
     ['no key on an open route', 'halls.example', '/open/7', undefined, 'open'],
     ['an unknown key on an unknown route', 'halls.example', '/none/', 'key-9', 'unknown-route']
@@ -41,12 +41,12 @@
     })
   }
 
-  it('asks for no key where no organisations are configured', () => {
+  it('requires no key if no organisations are configured', () => {
     const match = table(routes, []).match('halls.example', '/plans/7', undefined)
     assert.equal(match.type, 'route')
   })
 
-  it('names the organisation that holds the key', () => {
+  it('returns the organisation that owns the key', () => {
     const match = table(routes, [branch]).match('halls.example', '/open/7', 'key-2')
     assert.equal(match.type === 'route' && match.organisation?.name, 'branch')
   })
@@ -55,6 +55,6 @@
 describe('targetOf', () => {
   const shared = route({ targets: [{ service: 'a', weight: 90 }, { service: 'b', weight: 10 }] })
   const cases: [draw: number, expected: string][] = [[0, 'a'], [0.899, 'a'], [0.9, 'b'], [0.999, 'b']]
-  for (const [draw, expected] of cases) it(`draws ${expected} for ${draw}`, () => assert.equal(targetOf(shared, draw), expected))
-  it('draws nothing of a route without targets', () => assert.equal(targetOf(route({ targets: [] }), 0.5), ''))
+  for (const [draw, expected] of cases) it(`picks ${expected} for ${draw}`, () => assert.equal(targetOf(shared, draw), expected))
+  it('returns an empty name for a route without targets', () => assert.equal(targetOf(route({ targets: [] }), 0.5), ''))
 })
--- a/packages/core/src/test/lib/routing/published/store-epochs_test.ts
+++ b/packages/core/src/test/lib/routing/published/store-epochs_test.ts
@@ -3,7 +3,7 @@
  * Copyright 2026 the drumdrift contributors
  * SPDX-License-Identifier: BSD-3-Clause
  */
-/** A store that was restored from an older copy tells at low revisions what is new, and also what it had forgotten the end of. */
+/** A store that was restored from an older copy lists new items at low revisions, and also items whose removal it has lost. */
 import assert from 'node:assert/strict'
 import { describe, it } from 'node:test'
 import type { EndpointRecord } from '../../../../lib/routing/published/endpoint-record.js'
@@ -21,7 +21,7 @@
   return { type: 'endpoint', revision, record: { id, service: 'desk', address: `${id}:80`, availabilityZone: 'koshi', slots: 4, draining: false, models: [], writings: 1, ...part } }
 }
 
-/** A process in epoch 1 that has followed everything up to revision 30. */
+/** Returns the state of a process in epoch 1 that has followed all topics up to revision 30. */
 function following (changes: readonly PublishedChange[]): PublishedState {
   const state = new PublishedState()
   state.enter(1, 0)
@@ -32,36 +32,36 @@
   return state
 }
 
-/** The endpoints are read whole in epoch 2, at revision 22. */
+/** Applies a snapshot of the endpoints in epoch 2, at revision 22. */
 function restored (state: PublishedState, endpoints: readonly PublishedChange[]): void {
   state.enter(2, 1_000)
   state.takeWhole('endpoints', endpoints, 22, 1_000)
 }
 
-/** What is held, in a few words: the versions, and each endpoint with what it says. */
+/** Summarises the held state: the versions, and each endpoint with its draining state. */
 function summary (state: PublishedState): string {
   const endpoints = state.endpoints().map(({ id, draining }) => `${id}${draining ? ' drains' : ''}`).sort()
   return [state.configuration?.version, state.wanted('m')?.version, ...endpoints].join(', ')
 }
 
 describe('PublishedState in a later epoch of the store', () => {
-  const taken: [name: string, before: readonly PublishedChange[], after: readonly PublishedChange[], expected: string][] = [
-    ['keeps everything that it held', [], [], '20, 2, a, b'],
-    ['takes a newer configuration at a lower revision', [], [configuration(21, 3)], '21, 2, a, b'],
-    ['takes no older configuration', [], [configuration(18, 40)], '20, 2, a, b'],
-    ['takes a newer version at a lower revision', [], [wanted(3, 3)], '20, 3, a, b'],
-    ['takes no older version', [], [wanted(1, 40)], '20, 2, a, b'],
-    ['takes a drain at a lower revision', [], [listed('a', 3, { draining: true, writings: 2 })], '20, 2, a drains, b'],
-    ['takes an endpoint at a lower revision', [], [listed('c', 3)], '20, 2, a, b, c'],
-    ['keeps a drain of which the copy knows nothing', [listed('a', 31, { draining: true, writings: 2 })], [listed('a', 3)], '20, 2, a drains, b'],
-    ['keeps it when it is written again', [listed('a', 31, { draining: true, writings: 2 })], [listed('a', 3), listed('a', 23, { draining: true, writings: 3 })], '20, 2, a drains, b'],
-    ['keeps a removal of which the copy knows nothing', [gone('a', 31)], [listed('a', 3)], '20, 2, b'],
-    ['takes an endpoint back that has written since it went', [gone('a', 31)], [listed('a', 23, { writings: 2 })], '20, 2, a, b'],
-    ['takes an endpoint back that has started again', [gone('a', 31)], [listed('a', 23, { born: 7 })], '20, 2, a, b'],
-    ['takes an endpoint whose writings are not counted', [gone('a', 31)], [listed('a', 23, { writings: undefined })], '20, 2, a, b'],
-    ['keeps the successor at an address of which the copy knows nothing', [listed('c', 31, { address: 'a:80' })], [listed('a', 3, { writings: 9 })], '20, 2, b, c']
+  const cases: [name: string, before: readonly PublishedChange[], after: readonly PublishedChange[], expected: string][] = [
+    ['keeps its whole state', [], [], '20, 2, a, b'],
+    ['applies a newer configuration at a lower revision', [], [configuration(21, 3)], '21, 2, a, b'],
+    ['ignores an older configuration', [], [configuration(18, 40)], '20, 2, a, b'],
+    ['applies a newer version at a lower revision', [], [wanted(3, 3)], '20, 3, a, b'],
+    ['ignores an older version', [], [wanted(1, 40)], '20, 2, a, b'],
+    ['applies a drain at a lower revision', [], [listed('a', 3, { draining: true, writings: 2 })], '20, 2, a drains, b'],
+    ['adds an endpoint at a lower revision', [], [listed('c', 3)], '20, 2, a, b, c'],
+    ['keeps a drain that the copy lacks', [listed('a', 31, { draining: true, writings: 2 })], [listed('a', 3)], '20, 2, a drains, b'],
+    ['keeps a drain that the copy lacks and that is written again', [listed('a', 31, { draining: true, writings: 2 })], [listed('a', 3), listed('a', 23, { draining: true, writings: 3 })], '20, 2, a drains, b'],
+    ['keeps a removal that the copy lacks', [gone('a', 31)], [listed('a', 3)], '20, 2, b'],
+    ['restores a removed endpoint that has written its entry since', [gone('a', 31)], [listed('a', 23, { writings: 2 })], '20, 2, a, b'],
+    ['restores a removed endpoint that has restarted', [gone('a', 31)], [listed('a', 23, { born: 7 })], '20, 2, a, b'],
+    ['restores a removed endpoint without a count of writings', [gone('a', 31)], [listed('a', 23, { writings: undefined })], '20, 2, a, b'],
+    ['keeps the newer endpoint at an address if the copy lacks it', [listed('c', 31, { address: 'a:80' })], [listed('a', 3, { writings: 9 })], '20, 2, b, c']
   ]
-  for (const [name, before, after, expected] of taken) {
+  for (const [name, before, after, expected] of cases) {
     it(name, () => {
       const state = following(before)
       state.enter(2, 1_000)
@@ -70,7 +70,7 @@
     })
   }
 
-  it('goes on by revisions once the store has told something newer', () => {
+  it('compares revisions again once the store has supplied a newer entry', () => {
     const state = following([])
     restored(state, [listed('a', 5, { writings: 2 }), listed('b', 6)])
     state.take(listed('a', 24, { draining: true, writings: 3 }), 1_000)
@@ -78,14 +78,14 @@
     assert.equal(summary(state), '20, 2, a drains, b')
   })
 
-  it('makes no news of what is written again as it was', () => {
+  it('reports no change for items that are written again unchanged', () => {
     const state = following([])
     state.enter(2, 1_000)
-    const again = [configuration(20, 3), wanted(2, 4), listed('a', 5, { writings: 2 })]
-    assert.deepEqual(again.flatMap(change => state.take(change, 1_000)), [])
+    const rewritten = [configuration(20, 3), wanted(2, 4), listed('a', 5, { writings: 2 })]
+    assert.deepEqual(rewritten.flatMap(change => state.take(change, 1_000)), [])
   })
 
-  it('has followed nothing yet, and knows all that it knew', () => {
+  it('resets the followed revisions and keeps the known topics', () => {
     const state = following([])
     state.enter(2, 1_000)
     assert.deepEqual([state.note, state.held, state.complete, state.knows('versions')], [
@@ -94,9 +94,9 @@
   })
 
   const missing: [name: string, after: readonly PublishedChange[], at: number, expected: string][] = [
-    ['is kept while it may write itself again', [], 2_499, '20, 2, a, b'],
-    ['is taken as gone when it did not', [], 2_500, '20, 2, b'],
-    ['stays when it did', [listed('a', 23, { writings: 2 })], 2_500, '20, 2, a, b']
+    ['is kept while it may still write its entry again', [], 2_499, '20, 2, a, b'],
+    ['is removed if it did not write its entry again', [], 2_500, '20, 2, b'],
+    ['is kept if it wrote its entry again', [listed('a', 23, { writings: 2 })], 2_500, '20, 2, a, b']
   ]
   for (const [name, after, at, expected] of missing) {
     it(`an endpoint that the copy lacks ${name}`, () => {
@@ -108,7 +108,7 @@
     })
   }
 
-  it('lets go at once of an endpoint that goes after the copy was read', () => {
+  it('immediately removes an endpoint whose removal follows the snapshot of the copy', () => {
     const state = following([])
     restored(state, [listed('a', 5), listed('b', 6)])
     state.take(gone('a', 23), 1_100)
@@ -116,12 +116,12 @@
   })
 
   const orders: [name: string, epochs: readonly number[], expected: boolean[]][] = [
-    ['each later one', [1, 2, 3], [true, true, true]],
-    ['not the same again', [2, 2], [true, false]],
-    ['no earlier one', [3, 2], [true, false]]
+    ['each later epoch', [1, 2, 3], [true, true, true]],
+    ['the same epoch only once', [2, 2], [true, false]],
+    ['no earlier epoch', [3, 2], [true, false]]
   ]
   for (const [name, epochs, expected] of orders) {
-    it(`begins ${name}`, () => {
+    it(`enters ${name}`, () => {
       const state = new PublishedState()
       assert.deepEqual(epochs.map(epoch => state.enter(epoch, 0)), expected)
     })
@@ -135,49 +135,49 @@
     return state
   }
 
-  function tell (teller: PublishedState, asker: PublishedState): PublishedDelta {
-    const delta = teller.since(asker.note, 1_000)
-    asker.takeDelta(delta, 1_000)
+  function synchronise (sender: PublishedState, receiver: PublishedState): PublishedDelta {
+    const delta = sender.since(receiver.note, 1_000)
+    receiver.takeDelta(delta, 1_000)
     return delta
   }
 
-  it('take over the later epoch, with everything in it', () => {
-    const [teller, asker] = [following([]), following([])]
-    restored(teller, [listed('a', 5, { draining: true, writings: 2 }), listed('b', 6)])
-    teller.takeWhole('configuration', [configuration(24, 21)], 22, 1_000)
-    tell(teller, asker)
-    assert.deepEqual([summary(asker), asker.note], ['24, 2, a drains, b', { epoch: 2, configuration: 22, versions: 0, endpoints: 22 }])
+  it('adopt the later epoch with its whole state', () => {
+    const [sender, receiver] = [following([]), following([])]
+    restored(sender, [listed('a', 5, { draining: true, writings: 2 }), listed('b', 6)])
+    sender.takeWhole('configuration', [configuration(24, 21)], 22, 1_000)
+    synchronise(sender, receiver)
+    assert.deepEqual([summary(receiver), receiver.note], ['24, 2, a drains, b', { epoch: 2, configuration: 22, versions: 0, endpoints: 22 }])
   })
 
-  it('are told nothing by one that is in an earlier epoch', () => {
-    const [teller, asker] = [following([listed('c', 31)]), following([])]
-    restored(asker, [listed('a', 5), listed('b', 6)])
-    assert.deepEqual(tell(teller, asker).changes, [])
-    assert.equal(summary(asker), '20, 2, a, b')
+  it('receive no changes from a sender in an earlier epoch', () => {
+    const [sender, receiver] = [following([listed('c', 31)]), following([])]
+    restored(receiver, [listed('a', 5), listed('b', 6)])
+    assert.deepEqual(synchronise(sender, receiver).changes, [])
+    assert.equal(summary(receiver), '20, 2, a, b')
   })
 
-  it('ignore what was on its way from an earlier epoch', () => {
-    const [teller, asker] = [following([listed('c', 31), configuration(19, 40)]), following([])]
-    const delta = teller.since(asker.note, 0)
-    restored(asker, [listed('a', 5), listed('b', 6)])
-    assert.deepEqual([asker.takeDelta(delta, 1_000), summary(asker)], [[], '20, 2, a, b'])
+  it('ignore a delta in flight from an earlier epoch', () => {
+    const [sender, receiver] = [following([listed('c', 31), configuration(19, 40)]), following([])]
+    const delta = sender.since(receiver.note, 0)
+    restored(receiver, [listed('a', 5), listed('b', 6)])
+    assert.deepEqual([receiver.takeDelta(delta, 1_000), summary(receiver)], [[], '20, 2, a, b'])
   })
 
-  it('are told by one that knows more than the copy what it has carried over, also when they know nothing yet', () => {
-    const [teller, asker] = [following([listed('a', 31, { draining: true, writings: 2 })]), empty(2)]
-    restored(teller, [listed('a', 5), listed('b', 6)])
-    teller.takeWhole('configuration', [configuration(18, 21)], 22, 1_000)
-    teller.takeWhole('versions', [], 22, 1_000)
-    tell(teller, asker)
-    assert.equal(summary(asker), '20, 2, a drains, b')
+  it('receive the state that a sender carried over and that the copy lacks, even if they have no state yet', () => {
+    const [sender, receiver] = [following([listed('a', 31, { draining: true, writings: 2 })]), empty(2)]
+    restored(sender, [listed('a', 5), listed('b', 6)])
+    sender.takeWhole('configuration', [configuration(18, 21)], 22, 1_000)
+    sender.takeWhole('versions', [], 22, 1_000)
+    synchronise(sender, receiver)
+    assert.equal(summary(receiver), '20, 2, a drains, b')
   })
 
-  it('hold the same once one has told the other, whatever the copy lacked', () => {
-    const [teller, asker] = [following([]), following([])]
-    restored(teller, [listed('a', 5), listed('b', 6)])
-    teller.takeWhole('configuration', [configuration(18, 21)], 22, 1_000)
-    teller.takeWhole('versions', [wanted(1, 20)], 22, 1_000)
-    tell(teller, asker)
-    assert.deepEqual([asker.held, summary(asker)], [teller.held, '20, 2, a, b'])
+  it('hold the same state after a delta, whatever the copy lacked', () => {
+    const [sender, receiver] = [following([]), following([])]
+    restored(sender, [listed('a', 5), listed('b', 6)])
+    sender.takeWhole('configuration', [configuration(18, 21)], 22, 1_000)
+    sender.takeWhole('versions', [wanted(1, 20)], 22, 1_000)
+    synchronise(sender, receiver)
+    assert.deepEqual([receiver.held, summary(receiver)], [sender.held, '20, 2, a, b'])
   })
 })
