--- a/packages/core/src/lib/routing/decay.ts
+++ b/packages/core/src/lib/routing/decay.ts
@@ -3,13 +3,13 @@
  * Copyright 2026 the drumdrift contributors
  * SPDX-License-Identifier: BSD-3-Clause
  */
-/** What is left of a measurement that grows old. */
+/** Exponential decay of old measurements. */
 
 /**
- * The share of an old value that still counts, 0 to 1.
+ * Returns the weight of an old value, 0 to 1.
  *
- * @param elapsed Time since it was measured; negative counts as none.
- * @param halfLife In the same unit.
+ * @param elapsed Time since the measurement; negative values count as 0.
+ * @param halfLife Half-life in the same unit.
  * @example
  * const rate = count * decay(now - countedAt, 1_000)
  */
--- a/packages/core/src/lib/routing/weights/chunk-places.ts
+++ b/packages/core/src/lib/routing/weights/chunk-places.ts
@@ -4,37 +4,37 @@
  * SPDX-License-Identifier: BSD-3-Clause
  */
 /**
- * Whose turn it is to bring a chunk into the fleet, and into an availability zone. Every process computes the same
- * answer from the member list alone, so each chunk is read from the origin once and crosses to each zone once, and
- * nobody coordinates.
+ * Assigns each chunk to the member that reads it from the origin, and to the member that pulls it into each availability zone. Every
+ * process computes the same assignment from the member list alone, so each chunk is read from the origin once and crosses into each
+ * zone once, without coordination.
  */
 import type { ChunkMember } from '../../chunk-tree.js'
 import { rendezvousOrder } from '../../rendezvous.js'
 
-/** A member's turns for one chunk; 0 is first. */
+/** A member's ranks for one chunk; 0 is first. */
 export interface ChunkTurn {
-  /** Among the members of its zone. */
+  /** Rank among the members of its zone. */
   readonly inZone: number
-  /** Of its zone among all zones. */
+  /** Rank of its zone among all zones. */
   readonly ofZone: number
-  /** Among all members. */
+  /** Rank among all members. */
   readonly overall: number
 }
 
-/** The turns of one member over a member list. */
+/** The ranks of one member for all chunks, over a member list. */
 export class ChunkPlaces {
-  /** The members of each zone, in the order in which they take turns. */
+  /** The members of each zone, in rendezvous order. */
   private readonly _rings: readonly (readonly string[])[]
   private readonly _zoneIndex: number
   private readonly _position: number
   /**
-   * The member before this one in the ring of its zone; this one itself when it is alone. Each member is that of one other, so
-   * members that pull from theirs do not meet at the same one.
+   * The member before this one in the ring of its zone; this member itself if it is the only one. Each member is the predecessor of
+   * one other, so members that pull from their predecessors do not compete for the same peer.
    */
   readonly predecessor: string
 
   /**
-   * @param self Added to `members` when the list does not show it yet.
+   * @param self Added to `members` if the list does not contain it yet.
    */
   constructor (self: ChunkMember, members: readonly ChunkMember[]) {
     const zones = new Map<string, Set<string>>([[self.availabilityZone, new Set([self.instance])]])
@@ -52,7 +52,7 @@
   }
 
   /**
-   * The member's turns for a chunk. Zones and members rotate from chunk to chunk, so that all carry the same share.
+   * Returns the member's ranks for a chunk. Zones and members rotate from chunk to chunk, so that all get an equal share.
    *
    * @example
    * if (places.turn(7).overall === 0) readFromOrigin(7)
@@ -65,7 +65,7 @@
     return { inZone, ofZone, overall: ofZone + inZone * zoneCount }
   }
 
-  /** The member that reads a chunk from the origin: the one whose turn is the first of all. */
+  /** Returns the member that reads a chunk from the origin: the one with overall rank 0. */
   reader (chunk: number): string {
     const zoneCount = this._rings.length
     const ring = this._rings[(zoneCount - chunk % zoneCount) % zoneCount] ?? []
--- a/packages/core/src/lib/routing/weights/chunk-swarm.ts
+++ b/packages/core/src/lib/routing/weights/chunk-swarm.ts
@@ -4,9 +4,9 @@
  * SPDX-License-Identifier: BSD-3-Clause
  */
 /**
- * Brings the chunks of one version to one member by pulling: peers tell which chunks they hold, and the member asks for
- * a few at a time, so that its link never queues more than those. A chunk is read from the origin by the member whose
- * turn it is, and crosses into a zone by the one whose turn that is; others step in when that takes too long.
+ * Transfers the chunks of one version to one member by pulling. Peers announce the chunks that they hold, and the member requests a
+ * few at a time, which bounds the queue on its link. Each chunk is read from the origin by the member assigned to it, and is pulled
+ * into each zone by the member assigned there; other members take over if that takes too long.
  */
 import type { ChunkMember } from '../../chunk-tree.js'
 import type { Manifest } from '../../documents.js'
@@ -19,17 +19,17 @@
 
 interface Pull {
   readonly index: number
-  /** Nothing for the origin. */
+  /** The peer's instance; `undefined` if the chunk is read from the origin. */
   readonly peer: string | undefined
   readonly startedAt: number
   readonly deadline: number
 }
 
-/** Before the origin is asked again for a chunk that it failed to give, in milliseconds. */
+/** Delay before a chunk is requested again from the origin after a failure, in milliseconds. */
 const ORIGIN_RETRY = 150
-/** A pull that takes so many times the usual is asked of a second peer too, near the end of a transfer. */
+/** Near the end of a transfer, a pull that takes longer than this multiple of the median is hedged by a request to a second peer. */
 const HEDGE_FACTOR = 3
-/** Chunks missing at the end of a transfer for which hedging pays. */
+/** Pulls are hedged only while at most this many chunks are missing. */
 const HEDGE_MISSING = 8
 
 /** The transfer of one version to one member. */
@@ -38,9 +38,9 @@
   private readonly _peers: SwarmPeers
   private readonly _pulls = new Map<number, Pull>()
   private readonly _originRetryAt = new Map<number, number>()
-  /** When each chunk was first seen at a peer of another zone. */
+  /** Time at which each chunk was first available from a peer in another zone, but from none in the member's own zone. */
   private readonly _seenAbroadAt = new Map<number, number>()
-  /** Members that could not be reached lately: turns are not dealt to them. */
+  /** Members that are currently unreachable and get no chunks assigned. */
   private readonly _unreachable = new Set<string>()
   private _members: readonly ChunkMember[] = []
   private readonly _schedule: OriginSchedule
@@ -49,15 +49,15 @@
   private _nextAttempt = 1
   private _startedAt: number | undefined
   private _namedAt: number | undefined
-  /** When the origin last gave nothing to this member. */
+  /** Time of the last failed read from the origin by this member. */
   private _originFailedAt = -Infinity
   private _whole = false
   private _limit: SwarmLimit
   private _arrivedAt = -Infinity
 
   /**
-   * @param held Digests that are held already.
-   * @param _draw Random numbers in [0, 1), to spread members over chunks and peers.
+   * @param held Digests of the chunks that are already held.
+   * @param _draw Returns random numbers in [0, 1), to spread members over chunks and peers.
    */
   constructor (
     private readonly _self: ChunkMember,
@@ -77,21 +77,21 @@
     _manifest.chunks.forEach(({ digest }, index) => { if (!held.has(digest)) this._missing.add(index) })
   }
 
-  /** The share of chunks that are held, 0 to 1. */
+  /** The share of chunks that this member holds, 0 to 1. */
   get progress (): number { return 1 - this._missing.size / this._manifest.chunks.length }
 
-  /** The share of chunks that are held here or by some peer, 0 to 1. */
+  /** The share of chunks that this member or a peer holds, 0 to 1. */
   get known (): number {
     const unknown = [...this._missing].filter(index => !this._peers.hold(index))
     return 1 - unknown.length / this._manifest.chunks.length
   }
 
-  /** Chunks that nobody is known to hold, in their order. */
+  /** Returns the chunks that no member is known to hold, in ascending order. */
   private _unheld (now: number): number[] {
     return [...this._missing].filter(index => !this._peers.somewhere(index, now)).sort((left, right) => left - right)
   }
 
-  /** Chunks that some member holds, as far as is known here. */
+  /** Returns the chunks that some other member is known to hold. */
   elsewhere (now: number): number[] {
     return this._manifest.chunks.flatMap((_chunk, index) => this._peers.somewhere(index, now) ? [index] : [])
   }
@@ -101,37 +101,37 @@
     return this._peers.holdersOf(this._manifest.chunks.length)
   }
 
-  /** When a chunk came last; -Infinity for never. */
+  /** Time at which the last chunk was received; -Infinity if none was. */
   get arrivedAt (): number { return this._arrivedAt }
 
-  /** Bounds what is asked for at once below the policy; nothing for the policy's own bounds. */
+  /** Limits the concurrent requests further than the policy does; `undefined` restores the policy's own bounds. */
   limit (limit: SwarmLimit | undefined): void {
     const { peerWindow, originWindow } = this._policy
     this._limit = { peers: Math.min(peerWindow, limit?.peers ?? peerWindow), origin: Math.min(originWindow, limit?.origin ?? originWindow) }
   }
 
-  /** Sets when the version was named; without, it counts as named when the transfer began. */
+  /** Sets the time at which the version was published. The default is the start of the transfer. */
   namedAt (time: number): void { this._namedAt = time }
 
-  /** Takes a new member list. */
+  /** Replaces the member list. */
   setMembers (members: readonly ChunkMember[]): void {
     this._members = members
     this._deal()
     this._peers.add(members)
   }
 
-  /** A peer answers. */
+  /** Records that a peer is reachable. */
   peerJoined (instance: string): void { if (this._unreachable.delete(instance)) this._deal() }
 
-  /** A peer told that it holds chunks. */
+  /** Records a peer's announcement of chunks that it holds. */
   peerHolds (instance: string, chunks: Iterable<number>): void {
     this._peers.holds(instance, chunks)
   }
 
-  /** A peer told of chunks that another member holds. */
+  /** Records a peer's report of chunks that another member holds. */
   heardOf (chunks: Iterable<number>, now: number): void { this._peers.hearOf(chunks, now) }
 
-  /** A peer was lost: what it holds is unknown until it tells again. */
+  /** Records the loss of a peer: its chunks are unknown until it announces them again. */
   peerLost (instance: string): void {
     this._peers.lost(instance)
     if (this._unreachable.has(instance)) return
@@ -140,7 +140,7 @@
   }
 
   /**
-   * Asks for what can be asked for, and times out what takes too long. Call it after each event and now and then.
+   * Starts all requests that are currently allowed, and times out overdue ones. Must be called after each event and periodically.
    *
    * @example
    * for (const effect of swarm.tick(now)) carryOut(effect)
@@ -162,7 +162,7 @@
     return effects
   }
 
-  /** A verified chunk has been kept. */
+  /** Records that a chunk was received, verified and stored. */
   arrived (attempt: number, now: number): TransferEffect[] {
     const pull = this._end(attempt)
     if (pull === undefined) return []
@@ -177,10 +177,10 @@
     return [...others.map(([other]) => ({ type: 'abandon', attempt: other }) as const), ...this.tick(now)]
   }
 
-  /** Signs of life do not matter here: a pull is small, and has its time. */
+  /** Ignores progress within a pull: pulls are small and have a fixed timeout. */
   coming (): void {}
 
-  /** An attempt gave nothing. */
+  /** Records that an attempt failed. */
   failed (attempt: number, problem: FetchProblem, now: number): TransferEffect[] {
     const pull = this._end(attempt)
     if (pull === undefined) return []
@@ -188,7 +188,7 @@
     return this.tick(now)
   }
 
-  /** Ends the transfer, for a version that is no longer wanted. */
+  /** Cancels the transfer of a version that is no longer wanted. */
   cancel (): TransferEffect[] {
     const effects = [...this._pulls.keys()].map(attempt => ({ type: 'abandon', attempt }) as const)
     this._pulls.clear()
@@ -202,8 +202,8 @@
   }
 
   /**
-   * Missing chunks: first those that this member is to bring into its zone, since others wait for them, then the others,
-   * each from a random place on, so that members ask for different ones.
+   * Returns the missing chunks in the order in which they are requested: first those that this member pulls into its zone, since others
+   * wait for them, then the rest. Both start at a random position, so that members request different chunks.
    */
   private _order (): number[] {
     const missing = [...this._missing]
@@ -228,7 +228,7 @@
     return this._mayReadOrigin(index, view) ? this._pull(index, undefined, now) : undefined
   }
 
-  /** Near the end, one slow source must not hold up the whole version. */
+  /** Requests a slow chunk from a second peer near the end of a transfer, where one slow peer would delay the whole version. */
   private _hedge (index: number, flying: readonly Pull[], now: number): TransferEffect | undefined {
     const [first] = flying
     if (flying.length > 1 || first?.peer === undefined || this._missing.size > HEDGE_MISSING) return undefined
@@ -238,7 +238,7 @@
     return other === undefined ? undefined : this._pull(index, other, now)
   }
 
-  /** The holder that is to be asked: of the own zone if there is one, else of another when this member may bring it in. */
+  /** Returns the peer to pull a chunk from: one of the member's own zone, else one of another zone if the member may pull it from there. */
   private _peerFor (index: number, now: number, except = ''): string | undefined {
     const holders = this._peers.sources(index, now, except)
     const own = holders.filter(({ availabilityZone }) => availabilityZone === this._self.availabilityZone)
@@ -297,7 +297,7 @@
       if (problem !== 'corrupt') this._originFailedAt = now
       return
     }
-    // A piece may turn bad where it lies: its holder then says that it has none.
+    // A stored chunk may become corrupt; its holder then replies that it does not hold it.
     if (problem === 'not-held' || problem === 'corrupt') this._peers.lacks(name, index)
     if (problem !== 'not-held') this._peers.failed(name, now)
   }
--- a/packages/core/src/lib/routing/weights/origin-schedule.ts
+++ b/packages/core/src/lib/routing/weights/origin-schedule.ts
@@ -4,32 +4,33 @@
  * SPDX-License-Identifier: BSD-3-Clause
  */
 /**
- * When a member may read a chunk from the origin. Chunks leave it in their order, each read by the member whose turn it is, a
- * bounded number at a time, and one that is overdue shows, so that another member can read it. All members work the same schedule out by themselves.
+ * Decides when a member may read a chunk from the origin. Chunks are read in ascending order, each by the member assigned to it and a
+ * bounded number at a time. An overdue chunk is therefore detectable, and another member can read it. All members compute the
+ * same schedule independently.
  */
 import type { SwarmPolicy } from './swarm-policy.js'
 
 /**
- * Chunks whose turn comes at once: so many share the origin's link at a time, at most one for each member. With eight one of
- * 64 chunks had not left it 2.5 s after the version was named, though one copy takes 1.7 s, as members waited for each other;
- * without a bound the origin turned some of 47 members away.
+ * Number of chunks that may be read concurrently, at most one per member. They share the origin's link. With 8, members wait for each
+ * other: one of 64 chunks had not left the origin 2.5 s after publication, although one copy takes 1.7 s. Without a bound, the origin
+ * rejects some of 47 members.
  */
 const HEAD_START = 24
 
-/** What a member sees when it decides; times by its own clock, in milliseconds. */
+/** The state on which a member's decision is based; times by its own clock, in milliseconds. */
 export interface OriginView {
   readonly now: number
-  /** When the version was named: the schedule counts from then, so that members that begin late keep to it too. */
+  /** Time at which the version was published. The schedule starts then, so that it also applies to members that start late. */
   readonly namedAt: number
-  /** When this member began; it learns what others hold after that. */
+  /** Time at which this member started, after which it learns which chunks others hold. */
   readonly startedAt: number
-  /** When the origin last gave nothing to this member; -Infinity for never. */
+  /** Time of this member's last failed read from the origin; -Infinity if there was none. */
   readonly failedAt: number
-  /** Chunks that no member is known to hold, in their order. */
+  /** Chunks that no member is known to hold, in ascending order. */
   readonly unheld: readonly number[]
 }
 
-/** The schedule of one version. */
+/** The origin schedule of one version. */
 export class OriginSchedule {
   private readonly _chunkTime: number
 
@@ -40,7 +41,7 @@
   /**
    * Whether a member may read a chunk now.
    *
-   * @param turn The member's turn for the chunk; 0 is first.
+   * @param turn The member's overall rank for the chunk; 0 is first.
    * @example
    * if (schedule.mayRead(7, places.turn(7).overall, view)) readFromOrigin(7)
    */
@@ -53,16 +54,17 @@
   }
 
   /**
-   * When a chunk should be held by somebody. After the origin failed, its time begins anew: it fails all alike, and all of them
-   * would read the same chunks as soon as it is back. Their turns have come by then, so they all read at once, and each chunk
-   * takes until nearly all have left the origin: stepping in by its place, members read 2.9 copies in place of 2.2.
+   * Returns the time by which some member should hold a chunk. A failed read restarts the schedule, since the origin fails for all
+   * members, which would otherwise all take over the same chunks as soon as it is back. By then every chunk's scheduled time has passed,
+   * so assigned members read all of them at once, and each takes until nearly all have left the origin. If the restarted schedule
+   * followed the chunk's position, members would read 2.9 copies instead of 2.2.
    */
   private _dueAt (index: number, view: OriginView): number {
     if (view.failedAt > view.namedAt) return view.failedAt + view.unheld.length * this._chunkTime
     return view.namedAt + index * this._chunkTime + this._delay(view)
   }
 
-  /** How far the origin is behind the schedule, in milliseconds: a slow one is not helped by more readers. */
+  /** Returns how far the origin is behind the schedule, in milliseconds. More readers would not speed up a slow origin. */
   private _delay ({ now, namedAt, unheld }: OriginView): number {
     const due = Math.min(this._chunks, (now - namedAt) / this._chunkTime)
     const held = this._chunks - unheld.length
--- a/packages/core/src/lib/routing/weights/pull-window.ts
+++ b/packages/core/src/lib/routing/weights/pull-window.ts
@@ -4,36 +4,36 @@
  * SPDX-License-Identifier: BSD-3-Clause
  */
 /**
- * How many chunks are asked of peers at once: as many as the links bear without long queues, by additive increase and
- * multiplicative decrease.
+ * The window of concurrent pulls from peers. Additive increase and multiplicative decrease keep it as large as the links carry
+ * without long queues.
  */
 
 /**
- * A pull that takes longer shows a queue on some link, in milliseconds: six chunks that come in turn take 350 over the
- * 5 Mbit/s link of a small instance, and peers that send to several members at once let them wait for as long again. The
- * window then shrinks by the factor, and grows back by the step with each chunk that came sooner.
+ * A pull that takes at least this long indicates a queue on some link, in milliseconds. Six chunks in sequence take 350 ms over the
+ * 5 Mbit/s link of a small instance, and a peer that sends to several members at once delays them by as long again. A slow pull
+ * multiplies the window by `DECREASE`; a faster one adds `INCREASE`.
  */
 const SLOW_PULL = 700
 const DECREASE = 0.6
 const INCREASE = 0.25
-/** The window shrinks at most this often, in milliseconds: chunks of one queue are one signal. */
+/** Minimum interval between decreases, in milliseconds. Slow chunks of one queue count as one signal. */
 const DECREASE_PAUSE = 300
 
-/** The window of one transfer. */
+/** The pull window of one transfer. */
 export class PullWindow {
   private _size: number
   private _decreasedAt = -Infinity
 
   /**
-   * @param _most Its largest size.
+   * @param _most The largest size of the window.
    */
   constructor (private readonly _most: number) { this._size = _most }
 
-  /** Chunks that may be asked for at once. */
+  /** Number of chunks that may be requested concurrently. */
   get size (): number { return Math.floor(this._size) }
 
   /**
-   * A pull ended, well or not, after so many milliseconds.
+   * Records the duration of a pull, successful or not.
    *
    * @example
    * pullWindow.took(now - startedAt, now)
--- a/packages/core/src/lib/routing/weights/swarm-peers.ts
+++ b/packages/core/src/lib/routing/weights/swarm-peers.ts
@@ -3,53 +3,53 @@
  * Copyright 2026 the drumdrift contributors
  * SPDX-License-Identifier: BSD-3-Clause
  */
-/** What one member knows of the others that bring the same version: what they hold, and how well they deliver. */
+/** One member's view of the peers that transfer the same version: the chunks that they hold, their latency and their failures. */
 import type { ChunkMember } from '../../chunk-tree.js'
 
-/** One other member. */
+/** The state of one peer. */
 export interface SwarmPeer {
   readonly instance: string
   readonly availabilityZone: string
   readonly held: Set<number>
-  /** Chunks asked of it that have not come. */
+  /** Pulls in flight from this peer. */
   outstanding: number
-  /** Failures in a row. */
+  /** Consecutive failures. */
   failures: number
-  /** Until when it is passed over. */
+  /** Time until which the peer is not used. */
   avoidUntil: number
-  /** The time that its chunks take, smoothed. */
+  /** Exponentially weighted moving average of the peer's pull times, in milliseconds; 0 before the first chunk. */
   took: number
 }
 
-/** A peer that failed is passed over for so long, doubling, up to the longest. In milliseconds. */
+/** Back-off after a peer's first failure and its upper bound, in milliseconds. It doubles with each consecutive failure. */
 const FIRST_AVOIDANCE = 300
 const LONGEST_AVOIDANCE = 4_000
 const TOOK_SMOOTHING = 0.3
 /**
- * A chunk that peers only heard of should be at one of them after this, in milliseconds: half of what a transfer takes. Then
- * its holder is taken for gone.
+ * How long an indirect report of a chunk is trusted, in milliseconds: half the time of a transfer. If no peer holds the chunk by then,
+ * its holder is assumed to have left.
  */
 const HEARSAY_LIFETIME = 2_500
 /**
- * A pull from the predecessor in the ring of the zone counts as so much of one from another peer. With the choice by chance
- * alone several peers sent to one member at once, whose link then held requests up by 50 to 150 ms, and to others none did.
+ * Cost factor of a pull from the predecessor in the zone's ring, relative to other peers. With a purely random choice, several peers
+ * send to one member at once, whose link then delays requests by 50 to 150 ms, while other members receive nothing.
  */
 const PREDECESSOR_COST = 0.25
 
-/** The other members of one swarm. */
+/** The peers of one swarm. */
 export class SwarmPeers {
   private readonly _peers = new Map<string, SwarmPeer>()
-  /** Chunks that peers heard of, and when the first of them told it. */
+  /** Chunks that peers have reported at other members, with the time of the first report. */
   private readonly _heardOf = new Map<number, number>()
-  /** How many peers hold each chunk; chunks that none holds have no entry, or 0. */
+  /** Number of peers that hold each chunk; chunks without a holder have no entry, or 0. */
   private readonly _holders = new Map<number, number>()
 
   /**
-   * @param _draw Random numbers in [0, 1), to spread pulls over peers.
+   * @param _draw Returns random numbers in [0, 1), to spread pulls over peers.
    */
   constructor (private readonly _self: ChunkMember, private readonly _draw: () => number) {}
 
-  /** Adds the members that are not known yet. */
+  /** Adds the members that are not yet known. */
   add (members: readonly ChunkMember[]): void {
     for (const { instance, availabilityZone } of members) {
       if (instance === this._self.instance || this._peers.has(instance)) continue
@@ -59,7 +59,7 @@
 
   get (instance: string): SwarmPeer | undefined { return this._peers.get(instance) }
 
-  /** A peer told that it holds chunks. */
+  /** Records a peer's announcement of chunks that it holds. */
   holds (instance: string, chunks: Iterable<number>): void {
     const peer = this._peers.get(instance)
     if (peer === undefined) return
@@ -70,22 +70,22 @@
     }
   }
 
-  /** A peer told of chunks that some other member holds. */
+  /** Records a peer's report of chunks that another member holds. */
   hearOf (chunks: Iterable<number>, now: number): void {
     for (const chunk of chunks) if (!this._heardOf.has(chunk)) this._heardOf.set(chunk, now)
   }
 
-  /** Whether some member holds a chunk, as far as is known here: a peer, or one that a peer heard of lately. */
+  /** Whether a peer is known to hold a chunk, or a recent report says that some member does. */
   somewhere (index: number, now: number): boolean {
     return this.hold(index) || now - (this._heardOf.get(index) ?? -Infinity) < HEARSAY_LIFETIME
   }
 
-  /** A peer does not hold a chunk that it told of. */
+  /** Records that a peer does not hold a chunk that it announced. */
   lacks (instance: string, index: number): void {
     if (this._peers.get(instance)?.held.delete(index) === true) this._holders.set(index, (this._holders.get(index) ?? 1) - 1)
   }
 
-  /** A peer was lost: what it holds is unknown until it tells again. */
+  /** Records the loss of a peer: its chunks are unknown until it announces them again. */
   lost (instance: string): void {
     for (const index of [...this._peers.get(instance)?.held ?? []]) this.lacks(instance, index)
   }
@@ -93,17 +93,17 @@
   /** Whether some peer holds a chunk. */
   hold (index: number): boolean { return (this._holders.get(index) ?? 0) > 0 }
 
-  /** Peers that hold a number of different chunks. */
+  /** Returns the peers that hold exactly the given number of distinct chunks. */
   holdersOf (chunks: number): string[] {
     return [...this._peers.values()].filter(({ held }) => held.size === chunks).map(({ instance }) => instance)
   }
 
-  /** Peers that may be asked for a chunk, all but one. */
+  /** Returns the peers that a chunk can be pulled from, except one. */
   sources (index: number, now: number, except: string): SwarmPeer[] {
     return [...this._peers.values()].filter(({ instance, held, avoidUntil }) => instance !== except && held.has(index) && now >= avoidUntil)
   }
 
-  /** The one that is expected to deliver soonest, with some chance so that members spread. */
+  /** Returns the peer with the lowest expected pull time, with a random factor that spreads members over peers. */
   leastBusy (peers: readonly SwarmPeer[], predecessor: string): string | undefined {
     let best: { readonly instance: string, readonly cost: number } | undefined
     for (const { instance, outstanding, took } of peers) {
@@ -114,13 +114,13 @@
     return best?.instance
   }
 
-  /** The time that a chunk takes from the middle one of the peers that delivered, in milliseconds; 0 while none did. */
+  /** The median of the peers' average pull times, in milliseconds; 0 before the first chunk. */
   get usualTook (): number {
     const known = [...this._peers.values()].map(({ took }) => took).filter(took => took > 0).sort((left, right) => left - right)
     return known[Math.floor(known.length / 2)] ?? 0
   }
 
-  /** A chunk came after so many milliseconds. */
+  /** Records a successful pull and its duration. */
   delivered (instance: string, milliseconds: number): void {
     const peer = this._peers.get(instance)
     if (peer === undefined) return
@@ -128,7 +128,7 @@
     peer.took += TOOK_SMOOTHING * (milliseconds - peer.took)
   }
 
-  /** A chunk did not come: the peer is passed over, longer from failure to failure. */
+  /** Records a failed pull: the peer is not used during an exponentially increasing back-off. */
   failed (instance: string, now: number): void {
     const peer = this._peers.get(instance)
     if (peer === undefined) return
--- a/packages/core/src/lib/routing/weights/version-overlap.ts
+++ b/packages/core/src/lib/routing/weights/version-overlap.ts
@@ -4,49 +4,49 @@
  * SPDX-License-Identifier: BSD-3-Clause
  */
 /**
- * Decides which of two versions an instance goes on with when a newer one is named while an older one is still on its way
- * or staged. Staging memory holds one copy of a model, so the newer one is collected elsewhere until it takes over. Each
- * instance decides by itself from what it sees of the pool.
+ * Decides which of two versions an instance continues with if a newer one is published while an older one is still in transfer or
+ * staged. Staging memory holds one copy of a model, so the newer version is collected elsewhere until it takes over. Each
+ * instance decides independently from its own view of the pool.
  */
 
-/** The older version, which has the engine's staging memory. */
+/** The older version, which occupies the engine's staging memory. */
 export interface StagedVersion {
   readonly version: number
-  /** Whether it is complete and verified here. */
+  /** Whether this instance holds it completely and has verified it. */
   readonly whole: boolean
-  /** The share of its chunks that are held here, 0 to 1. */
+  /** The share of its chunks that this instance holds, 0 to 1. */
   readonly progress: number
-  /** The share of its chunks that are held here or by some peer, 0 to 1. */
+  /** The share of its chunks that this instance or a peer holds, 0 to 1. */
   readonly known: number
 }
 
-/** What the instance sees when it decides. */
+/** The state on which the instance's decision is based. */
 export interface OverlapView {
   readonly staged: StagedVersion
-  /** The newer version, and whether all of it has been collected. */
+  /** The newer version, and whether it has been collected completely. */
   readonly ahead: { readonly version: number, readonly whole: boolean }
-  /** The version that the engine serves; 0 for none. */
+  /** The version that the engine serves; 0 if none. */
   readonly served: number
-  /** Whether the engine carries out an order, which reads the staging memory. */
+  /** Whether the engine is executing an order, which reads the staging memory. */
   readonly ordering: boolean
-  /** Whether requests may still begin on the staged version, by the bound of the version ahead of it. */
+  /** Whether requests may still start on the staged version, by the deadline of the newer one. */
   readonly mayBegin: boolean
 }
 
-/** What follows: the older one keeps the staging memory, or the newer one takes it over. */
+/** The decision: the older version keeps the staging memory, or the newer one takes it over. */
 export type OverlapStep =
   | { readonly type: 'wait' }
   | { readonly type: 'take-over', readonly why: 'newer-whole' | 'older-served' | 'older-late' | 'older-lost' }
 
 /**
- * The share of an older version that must be here for it to be finished. What is left then takes a second of this instance's
- * own link, which both versions share; from half a copy at the origin on, when a third was here, the older one served two
- * seconds longer and the newer one came 1.5 s later, and engines switched twice.
+ * Share of the older version that must be held for its transfer to be completed. The rest then takes one second of the instance's
+ * link, which both versions share. If it is already completed when half a copy has left the origin and a third is held, the older
+ * version is served two seconds longer, the newer one arrives 1.5 s later, and engines switch twice.
  */
 const LEAST_PROGRESS = 0.75
 
 /**
- * Whether an older version is worth finishing when a newer one is named.
+ * Whether the transfer of an older version should be completed although a newer one is published.
  *
  * @example
  * if (worthFinishing({ version: 2, whole: false, progress: 0.9, known: 1 })) collectBeside()
@@ -56,7 +56,7 @@
 }
 
 /**
- * Decides who has the staging memory.
+ * Decides which version occupies the staging memory.
  *
  * @example
  * if (overlapStep(view).type === 'take-over') await stageNewer()
--- a/packages/core/src/lib/routing/weights/version-switch.ts
+++ b/packages/core/src/lib/routing/weights/version-switch.ts
@@ -4,67 +4,67 @@
  * SPDX-License-Identifier: BSD-3-Clause
  */
 /**
- * Decides when the engine beside an agent is ordered to take the version that lies staged there: only one that is
- * whole and was verified just before, and each engine of a zone at its own time, spread evenly from when the first of them
- * is whole to the bound after which no request may begin on the old one. Every agent works its time out by itself.
+ * Decides when an agent orders its engine to load the staged version. The version must be complete and verified immediately before.
+ * The engines of a zone switch one after the other, spread evenly from the time at which the first one holds the complete version to
+ * the deadline after which no request may start on the old one. Each agent computes its switch time independently.
  */
 import type { ChunkMember } from '../../chunk-tree.js'
 import { rendezvousOrder } from '../../rendezvous.js'
 
-/** What an engine says of itself. */
+/** The state that an engine reports. */
 export interface EngineState {
-  /** The version that it serves; 0 for none. */
+  /** The version that it serves; 0 if none. */
   readonly version: number
-  /** Whether it carries out an order. */
+  /** Whether it is executing an order. */
   readonly busy: boolean
 }
 
-/** The turn of one engine among those of its zone. */
+/** The position of one engine in the switch order of its zone. */
 export interface SwitchTurn {
-  /** Its place among those that hold the version whole, this one included; 0 for the first. */
+  /** Position among the engines that hold the complete version, including this one; 0 is first. */
   readonly index: number
-  /** Its place once all engines of the zone hold it. */
+  /** Position once all engines of the zone hold it. */
   readonly finalIndex: number
-  /** Engines of the zone. */
+  /** Number of engines in the zone. */
   readonly of: number
-  /** When the first of the zone held the version whole, by this process's clock. */
+  /** Time at which the first engine of the zone held the complete version, by this process's clock. */
   readonly since: number
 }
 
-/** What the agent knows when it decides; times by its own clock, in milliseconds. */
+/** The state on which the agent's decision is based; times by its own clock, in milliseconds. */
 export interface SwitchView {
-  /** The wanted version; 0 for none. */
+  /** The wanted version; 0 if none. */
   readonly wanted: number
-  /** When the agent heard of it; nothing when it was wanted already before the agent started. */
+  /** Time at which the agent first received it; `undefined` if it was already wanted when the agent started. */
   readonly heardAt: number | undefined
-  /** The version that is staged whole; 0 for none. */
+  /** The version that is staged completely; 0 if none. */
   readonly whole: number
-  /** Milliseconds until the wanted version is staged whole, by the rate of the link; nothing when that is not known. */
+  /** Estimated milliseconds until the wanted version is staged completely, from the rate of the link; `undefined` if unknown. */
   readonly wholeIn: number | undefined
   readonly engine: EngineState | undefined
-  /** Read only where it decides: it may be worked out when it is read. */
+  /** Read only if the decision depends on it, so that it may be a computed property. */
   readonly turn: SwitchTurn
 }
 
-/** What to do. */
+/** The next step of a switch. */
 export type SwitchStep =
   | { readonly type: 'wait' }
-  /** Verify what is staged, and order the engine to take it. */
+  /** Verify the staged version, and order the engine to load it. */
   | { readonly type: 'order', readonly version: number, readonly why: 'empty' | 'turn' | 'late' }
 
-/** How an order was answered. */
+/** The result of an order. */
 export type OrderResult = 'begun' | 'done' | 'refused' | 'unreachable' | 'not-whole'
 
-/** Peers that were whole at the same time are known so much later, in milliseconds: they tell it every 60 ms. */
+/** Delay after which peers that completed the version at the same time are known, in milliseconds. They announce it every 60 ms. */
 const TELL_TIME = 150
 
 /**
- * So long before it is whole a switch is foretold, in milliseconds: the time of an answer of usual size. Entries then give
- * long answers to engines that switch later.
+ * How long before the version is complete a switch is announced, in milliseconds: the time of a response of average length. Entries
+ * then route requests with long responses to engines that switch later.
  */
 const LONGEST_NOTICE = 1_500
 
-/** Before an order is given again, in milliseconds. */
+/** Delay before an order is repeated, by the result of the last one, in milliseconds. */
 const retryPauses: Record<OrderResult, number> = { begun: 300, done: 0, refused: 300, unreachable: 200, 'not-whole': 100 }
 
 /** The switch of one engine. */
@@ -74,13 +74,13 @@
   private _wholeAt = 0
 
   /**
-   * @param _bound After this time from a version's naming no request may begin on an older one, in milliseconds.
-   * @param _lead The last engine starts so much before the bound, in milliseconds.
+   * @param _bound Time from the publication of a version after which no request may start on an older one, in milliseconds.
+   * @param _lead How long before that deadline the last engine starts to switch, in milliseconds.
    */
   constructor (private readonly _bound: number, private readonly _lead: number) {}
 
   /**
-   * The engine or the staging has changed, or time has passed.
+   * Returns the next step. Must be called after each change of the engine or the staged version, and periodically.
    *
    * @example
    * if (versionSwitch.step(view, now).type === 'order') await orderLoad()
@@ -96,8 +96,8 @@
   }
 
   /**
-   * When the engine's turn comes; nothing while no switch is planned. Shortly before the version is whole it is foretold, by
-   * the places that engines will have once all of them hold it.
+   * Returns the time at which the engine will switch, or `undefined` if no switch is planned. Shortly before the version is complete the
+   * time is estimated from the position that the engine will have once all engines hold the version.
    */
   plannedAt (view: SwitchView, now: number): number | undefined {
     const { wanted, heardAt, whole, wholeIn, engine } = view
@@ -108,13 +108,13 @@
     return this._turnAt(heardAt, { ...turn, index: turn.finalIndex }, now + wholeIn)
   }
 
-  /** Turns lie evenly between when the first of the zone is whole and when the last one must begin. */
+  /** Spreads the switches evenly from the time at which the first engine holds the complete version to the latest start of a switch. */
   private _turnAt (heardAt: number, { index, of, since }: SwitchTurn, wholeAt: number): number {
     const pause = Math.max(0, heardAt + this._bound - this._lead - since) / Math.max(1, of - 1)
     return Math.max(wholeAt + TELL_TIME, since + index * pause)
   }
 
-  /** An order was answered. */
+  /** Records the result of an order. */
   answered (result: OrderResult, now: number): void {
     this._retryAt = now + retryPauses[result]
   }
@@ -127,12 +127,13 @@
 }
 
 /**
- * An engine's place among those of its zone that hold a version whole. All agents of a zone agree on it but for the time
- * that such news takes; one that is whole later takes a place that is free, and moves those behind it. So turns are taken from
- * when the first is whole, by whoever is: by the order of all members, most turns came when two thirds of the time were over.
+ * Returns an engine's position among the engines of its zone that hold the complete version. The agents of a zone agree on it, apart
+ * from propagation delays; an engine that completes the version later is inserted and moves those behind it. Engines thus start to
+ * switch as soon as the first one holds the version. With fixed positions among all members, most engines would switch only after two
+ * thirds of the available time.
  *
- * @param whole Members that hold the version whole.
- * @param identity Changes the order from version to version.
+ * @param whole Members that hold the complete version.
+ * @param identity Varies the order from version to version.
  * @example
  * const { index, of } = switchPlace(self, ['10.0.0.7:7700'], members, 'drafting@2')
  */
--- a/packages/core/src/test/lib/routing/decay_test.ts
+++ b/packages/core/src/test/lib/routing/decay_test.ts
@@ -10,16 +10,16 @@
 
 describe('decay', () => {
   const cases: [name: string, elapsed: number, expected: number][] = [
-    ['all of what was just measured', 0, 1],
-    ['half after the half-life', 100, 0.5],
-    ['a quarter after twice that', 200, 0.25],
-    ['no more than all when clocks disagree', -50, 1]
+    ['1 for a new measurement', 0, 1],
+    ['0.5 after one half-life', 100, 0.5],
+    ['0.25 after two half-lives', 200, 0.25],
+    ['at most 1 if clocks disagree', -50, 1]
   ]
-  for (const [name, elapsed, expected] of cases) it(`leaves ${name}`, () => assert.equal(decay(elapsed, 100), expected))
+  for (const [name, elapsed, expected] of cases) it(`returns ${name}`, () => assert.equal(decay(elapsed, 100), expected))
 })
 
 describe('UsualTime', () => {
-  it('is the first answer, then moves slowly', () => {
+  it('starts at the first value, then changes slowly', () => {
     const usual = new UsualTime()
     assert.equal(usual.value(0), 0)
     usual.took(20, 0)
@@ -28,7 +28,7 @@
     assert.equal(usual.value(0), 25)
   })
 
-  it('fades without answers, so that a slow service is tried again', () => {
+  it('decays without new values, so that a slow service is tried again', () => {
     const usual = new UsualTime()
     usual.took(9_000, 0)
     assert.ok(usual.value(15_000) < 20)
--- a/packages/core/src/test/lib/routing/weights/chunk-swarm_test.ts
+++ b/packages/core/src/test/lib/routing/weights/chunk-swarm_test.ts
@@ -13,8 +13,8 @@
 import type { TransferEffect } from '../../../../lib/transfer.js'
 
 const CHUNKS = 12
-/** By then every member has stepped in at the origin for a chunk that nobody holds. */
-const LONGEST_PATIENCE = 2 * defaultSwarmPolicy.originCopyTime + defaultSwarmPolicy.stepInPatience + 5 * defaultSwarmPolicy.originStagger
+/** Time after which every member has taken over at the origin for a chunk that no member holds, in milliseconds. */
+const LONGEST_TAKEOVER_DELAY = 2 * defaultSwarmPolicy.originCopyTime + defaultSwarmPolicy.stepInPatience + 5 * defaultSwarmPolicy.originStagger
 const manifest: Manifest = {
   model: 'm', version: '2', bytes: CHUNKS * 10, chunks: Array.from({ length: CHUNKS }, (_, index) => ({ digest: `digest-${index}`, bytes: 10 }))
 }
@@ -32,20 +32,20 @@
 function fetches (effects: readonly TransferEffect[]): Fetch[] { return effects.filter(effect => effect.type === 'fetch') }
 function sourceOf ({ source }: Fetch): string { return source.kind === 'peer' ? source.instance : source.kind }
 
-/** Lets these chunks arrive and all that the member asks for after them, until it asks for nothing more. */
-function arriveAll (swarm: ChunkSwarm, first: readonly Fetch[], now: number): void {
+/** Completes the given fetches and all that follow from them, until the member requests no more chunks. */
+function completeAll (swarm: ChunkSwarm, first: readonly Fetch[], now: number): void {
   let pending = [...first]
   while (pending.length > 0) pending = pending.flatMap(({ attempt }) => fetches(swarm.arrived(attempt, now)))
 }
 
-/** Chunks whose turn in the member's zone is the member's own, and the others. */
+/** Chunks that the member pulls into its zone (`own`), and the others. */
 const places = new ChunkPlaces(self, members)
 const all = Array.from({ length: CHUNKS }, (_, index) => index)
 const own = all.filter(index => places.turn(index).inZone === 0)
 const others = all.filter(index => places.turn(index).inZone > 0)
 
 describe('ChunkPlaces', () => {
-  it('gives each chunk to one member of the fleet and to one of each zone', () => {
+  it('assigns each chunk to one member of the fleet and to one of each zone', () => {
     for (const chunk of all) {
       const turns = members.map(member => new ChunkPlaces(member, members).turn(chunk))
       assert.equal(turns.filter(({ overall }) => overall === 0).length, 1)
@@ -54,14 +54,14 @@
     }
   })
 
-  it('tells for each chunk the member whose turn is the first', () => {
+  it('returns the member with overall rank 0 as the reader of each chunk', () => {
     for (const chunk of all) {
       const [reader] = members.filter(member => new ChunkPlaces(member, members).turn(chunk).overall === 0)
       assert.equal(places.reader(chunk), reader?.instance)
     }
   })
 
-  it('makes each member the predecessor of one other of its zone', () => {
+  it('makes each member the predecessor of one other member of its zone', () => {
     for (const zone of ['koshi', 'bagmati']) {
       const ring = members.filter(({ availabilityZone }) => availabilityZone === zone)
       const predecessors = ring.map(member => new ChunkPlaces(member, members).predecessor)
@@ -70,16 +70,16 @@
     assert.equal(new ChunkPlaces(self, [self]).predecessor, self.instance)
   })
 
-  it('gives all members the same share', () => {
+  it('assigns the same number of chunks to all members', () => {
     for (const member of members) {
-      const mine = all.filter(chunk => new ChunkPlaces(member, members).turn(chunk).overall === 0)
-      assert.equal(mine.length, CHUNKS / members.length)
+      const assigned = all.filter(chunk => new ChunkPlaces(member, members).turn(chunk).overall === 0)
+      assert.equal(assigned.length, CHUNKS / members.length)
     }
   })
 })
 
 describe('ChunkSwarm', () => {
-  it('reads from the origin only the chunks whose turn it has', () => {
+  it('reads only its assigned chunks from the origin', () => {
     const swarm = newSwarm()
     const started = fetches(swarm.tick(0))
     assert.ok(started.length > 0)
@@ -89,7 +89,7 @@
     }
   })
 
-  it('reads from the origin in place of members that cannot be reached', () => {
+  it('reads from the origin in place of unreachable members', () => {
     const swarm = newSwarm()
     for (const { instance } of members) if (instance !== self.instance) swarm.peerLost(instance)
     const read = new Set<number>()
@@ -101,37 +101,37 @@
     assert.equal(read.size, CHUNKS)
   })
 
-  it('steps in at the origin when a chunk has not come for long', () => {
+  it('takes over at the origin if a chunk is overdue', () => {
     const swarm = newSwarm()
-    arriveAll(swarm, fetches(swarm.tick(0)), 0)
-    const now = LONGEST_PATIENCE
+    completeAll(swarm, fetches(swarm.tick(0)), 0)
+    const now = LONGEST_TAKEOVER_DELAY
     const late = fetches(swarm.tick(now))
     assert.ok(late.some(({ index }) => places.turn(index).overall > 0))
   })
 
-  it('does not step in for a chunk that some member holds by hearsay, until that is old', () => {
+  it('does not take over a chunk that is reported at another member until the report expires', () => {
     const swarm = newSwarm()
     const ofOthers = all.filter(index => places.turn(index).overall > 0)
-    swarm.heardOf(ofOthers, LONGEST_PATIENCE - 100)
-    arriveAll(swarm, fetches(swarm.tick(0)), 0)
-    assert.deepEqual(fetches(swarm.tick(LONGEST_PATIENCE)), [])
-    assert.deepEqual(swarm.elsewhere(LONGEST_PATIENCE), ofOthers)
-    assert.ok(fetches(swarm.tick(LONGEST_PATIENCE + 2_500)).length > 0)
+    swarm.heardOf(ofOthers, LONGEST_TAKEOVER_DELAY - 100)
+    completeAll(swarm, fetches(swarm.tick(0)), 0)
+    assert.deepEqual(fetches(swarm.tick(LONGEST_TAKEOVER_DELAY)), [])
+    assert.deepEqual(swarm.elsewhere(LONGEST_TAKEOVER_DELAY), ofOthers)
+    assert.ok(fetches(swarm.tick(LONGEST_TAKEOVER_DELAY + 2_500)).length > 0)
   })
 
-  it('does not step in while the origin fails it too, nor as soon as it is back', () => {
+  it('does not take over while its own reads from the origin fail, nor immediately after the origin recovers', () => {
     const swarm = newSwarm()
-    const patience = LONGEST_PATIENCE
+    const delay = LONGEST_TAKEOVER_DELAY
     let failing = fetches(swarm.tick(0))
-    while (failing.length > 0) failing = failing.flatMap(({ attempt }) => fetches(swarm.failed(attempt, 'not-held', patience)))
-    const atReturn = fetches(swarm.tick(patience + 200))
-    assert.ok(atReturn.length > 0)
-    for (const { index } of atReturn) assert.equal(places.turn(index).overall, 0)
-    arriveAll(swarm, atReturn, patience + 300)
-    assert.ok(fetches(swarm.tick(2 * patience)).some(({ index }) => places.turn(index).overall > 0))
+    while (failing.length > 0) failing = failing.flatMap(({ attempt }) => fetches(swarm.failed(attempt, 'not-held', delay)))
+    const afterRecovery = fetches(swarm.tick(delay + 200))
+    assert.ok(afterRecovery.length > 0)
+    for (const { index } of afterRecovery) assert.equal(places.turn(index).overall, 0)
+    completeAll(swarm, afterRecovery, delay + 300)
+    assert.ok(fetches(swarm.tick(2 * delay)).some(({ index }) => places.turn(index).overall > 0))
   })
 
-  it('pulls from its own zone when both zones hold a chunk', () => {
+  it('pulls from its own zone if both zones hold a chunk', () => {
     const swarm = newSwarm()
     swarm.peerHolds(far, all)
     swarm.peerHolds(near, all)
@@ -143,8 +143,8 @@
   const neighbours = ['koshi-2', 'koshi-3']
   const [before = '', after = ''] = [places.predecessor, neighbours.find(name => name !== places.predecessor)]
   const rings: [name: string, arrange: (swarm: ChunkSwarm) => void, expected: string][] = [
-    ['its predecessor before others', () => {}, before],
-    ['another when the predecessor cannot be reached', swarm => swarm.peerLost(before), after]
+    ['its predecessor rather than others', () => {}, before],
+    ['another peer if the predecessor is unreachable', swarm => swarm.peerLost(before), after]
   ]
   for (const [name, arrange, expected] of rings) {
     it(`pulls from ${name}`, () => {
@@ -156,7 +156,7 @@
     })
   }
 
-  it('brings chunks of its own turn into the zone, and leaves the others to whose turn it is for a while', () => {
+  it('pulls its assigned chunks into the zone, and the others only after a delay', () => {
     const swarm = newSwarm()
     swarm.peerHolds(far, all)
     const started = fetches(swarm.tick(0)).filter(effect => effect.source.kind === 'peer')
@@ -167,7 +167,7 @@
     assert.ok([...later].some(({ index }) => others.includes(index)))
   })
 
-  it('asks another holder when one says that it has the chunk no more', () => {
+  it('requests a chunk from another peer if the first one no longer holds it', () => {
     const swarm = newSwarm()
     swarm.peerHolds(near, [others[0] ?? 0])
     const [pull] = fetches(swarm.tick(0)).filter(effect => effect.source.kind === 'peer')
@@ -179,7 +179,7 @@
 
   const problems: [problem: 'timed-out' | 'unreachable' | 'corrupt' | 'not-yet'][] = [['timed-out'], ['unreachable'], ['corrupt'], ['not-yet']]
   for (const [problem] of problems) {
-    it(`passes a peer over for a while after ${problem}`, () => {
+    it(`backs off from a peer after ${problem}`, () => {
       const swarm = newSwarm()
       swarm.peerHolds(near, others)
       const started = fetches(swarm.tick(0)).filter(effect => effect.source.kind === 'peer')
@@ -190,7 +190,7 @@
     })
   }
 
-  it('gives up a pull that takes too long, and asks elsewhere', () => {
+  it('abandons a pull that times out, and requests the chunk from another peer', () => {
     const swarm = newSwarm()
     swarm.peerHolds(near, others)
     const [pull] = fetches(swarm.tick(0)).filter(effect => effect.source.kind === 'peer')
@@ -201,21 +201,21 @@
   })
 
   const shares: [name: string, held: readonly number[], peers: readonly number[], expected: number][] = [
-    ['nothing', [], [], 0],
-    ['what it holds', [0, 1, 2], [], 0.25],
-    ['what peers hold', [], [0, 1, 2], 0.25],
-    ['either, counted once', [0, 1, 2], [2, 3, 4, 5], 0.5],
-    ['everything', [0, 1], all, 1]
+    ['no chunks', [], [], 0],
+    ['chunks of its own', [0, 1, 2], [], 0.25],
+    ['chunks of peers', [], [0, 1, 2], 0.25],
+    ['chunks of both, counted once', [0, 1, 2], [2, 3, 4, 5], 0.5],
+    ['all chunks', [0, 1], all, 1]
   ]
   for (const [name, held, peers, expected] of shares) {
-    it(`knows the share of chunks that somebody has: ${name}`, () => {
+    it(`reports the share of chunks that any member holds: ${name}`, () => {
       const swarm = newSwarm(new Set(held.map(index => manifest.chunks[index]?.digest ?? '')))
       swarm.peerHolds(near, peers)
       assert.equal(swarm.known, expected)
     })
   }
 
-  it('knows which peers hold everything', () => {
+  it('lists the peers that hold all chunks', () => {
     const swarm = newSwarm()
     swarm.peerHolds(near, all)
     swarm.peerHolds(far, all.slice(1))
@@ -226,13 +226,13 @@
   })
 
   const limits: [name: string, limit: SwarmLimit | undefined, peers: number, origin: number][] = [
-    ['the policy without a limit', undefined, defaultSwarmPolicy.peerWindow, defaultSwarmPolicy.originWindow],
+    ['the policy if there is no limit', undefined, defaultSwarmPolicy.peerWindow, defaultSwarmPolicy.originWindow],
     ['a limit', { peers: 2, origin: 0 }, 2, 0],
-    ['nothing', { peers: 0, origin: 0 }, 0, 0],
-    ['the policy before a higher limit', { peers: 99, origin: 99 }, defaultSwarmPolicy.peerWindow, defaultSwarmPolicy.originWindow]
+    ['a limit of zero', { peers: 0, origin: 0 }, 0, 0],
+    ['the policy if the limit is higher', { peers: 99, origin: 99 }, defaultSwarmPolicy.peerWindow, defaultSwarmPolicy.originWindow]
   ]
   for (const [name, limit, peers, origin] of limits) {
-    it(`asks for as many at once as allowed by ${name}`, () => {
+    it(`makes as many concurrent requests as allowed by ${name}`, () => {
       const swarm = newSwarm()
       swarm.limit(limit)
       swarm.peerHolds(near, others)
@@ -242,7 +242,7 @@
     })
   }
 
-  it('is whole when every chunk has arrived, and says so once', () => {
+  it('reports completion once, after the last chunk was received', () => {
     const swarm = newSwarm()
     swarm.peerHolds(near, all)
     const seen: TransferEffect[] = []
@@ -256,12 +256,12 @@
     assert.deepEqual(swarm.tick(200), [])
   })
 
-  it('fetches nothing that is held already', () => {
+  it('fetches no chunks that are already held', () => {
     const swarm = newSwarm(new Set(manifest.chunks.map(({ digest }) => digest)))
     assert.deepEqual(swarm.tick(0).map(({ type }) => type), ['whole'])
   })
 
-  it('abandons everything when the version is no longer wanted', () => {
+  it('abandons all pulls if the version is no longer wanted', () => {
     const swarm = newSwarm()
     swarm.peerHolds(near, all)
     const started = fetches(swarm.tick(0))
--- a/packages/core/src/test/lib/routing/weights/swarm-peers_test.ts
+++ b/packages/core/src/test/lib/routing/weights/swarm-peers_test.ts
@@ -17,9 +17,9 @@
 }
 
 describe('SwarmPeers', () => {
-  it('does not count the member itself', () => assert.equal(newPeers().get('a'), undefined))
+  it('does not contain the member itself', () => assert.equal(newPeers().get('a'), undefined))
 
-  it('tells who holds a chunk, and who holds all', () => {
+  it('returns the peers that hold a chunk, and those that hold all', () => {
     const peers = newPeers()
     peers.holds('b', [0, 1])
     peers.holds('c', [0])
@@ -27,7 +27,7 @@
     assert.deepEqual(peers.sources(0, 0, 'b').map(({ instance }) => instance), ['c'])
   })
 
-  it('forgets what a peer does not hold after all, and all of one that was lost', () => {
+  it('removes a chunk that a peer lacks, and all chunks of a lost peer', () => {
     const peers = newPeers()
     for (const instance of ['b', 'c', 'b']) peers.holds(instance, [0, 1])
     peers.lacks('b', 0)
@@ -36,13 +36,13 @@
     assert.deepEqual([peers.hold(0), peers.hold(1)], [false, true])
   })
 
-  const avoided: [name: string, failures: number, milliseconds: number][] = [
-    ['once', 1, 300],
-    ['twice', 2, 600],
-    ['often', 9, 4_000]
+  const backOffs: [name: string, failures: number, milliseconds: number][] = [
+    ['one failure', 1, 300],
+    ['two failures', 2, 600],
+    ['many failures', 9, 4_000]
   ]
-  for (const [name, failures, milliseconds] of avoided) {
-    it(`passes a peer over that failed ${name}, for ${milliseconds} ms`, () => {
+  for (const [name, failures, milliseconds] of backOffs) {
+    it(`backs off from a peer after ${name} for ${milliseconds} ms`, () => {
       const peers = newPeers()
       peers.holds('b', [0])
       for (let count = 0; count < failures; count += 1) peers.failed('b', 0)
@@ -51,7 +51,7 @@
     })
   }
 
-  it('forgets failures when a chunk comes', () => {
+  it('resets the failure count after a successful pull', () => {
     const peers = newPeers()
     peers.holds('b', [0])
     peers.failed('b', 0)
@@ -60,7 +60,7 @@
     assert.equal(peers.sources(0, 1_300, '').length, 1)
   })
 
-  it('prefers a peer that delivers sooner, and the predecessor of the ring to one that is four times as fast at most', () => {
+  it('prefers faster peers, and the predecessor to peers that are up to four times as fast', () => {
     const peers = newPeers()
     for (const [instance, milliseconds] of [['b', 100], ['c', 200], ['d', 300]] as const) peers.delivered(instance, milliseconds)
     const all = ['b', 'c', 'd'].flatMap(instance => peers.get(instance) ?? [])
--- a/packages/core/src/test/lib/routing/weights/version-overlap_test.ts
+++ b/packages/core/src/test/lib/routing/weights/version-overlap_test.ts
@@ -11,11 +11,11 @@
 
 describe('worthFinishing', () => {
   const cases: [name: string, part: Partial<StagedVersion>, expected: boolean][] = [
-    ['one that is whole', { whole: true, progress: 1 }, true],
-    ['one of which a quarter is missing', { progress: 0.75 }, true],
-    ['one of which more is missing: not', { progress: 0.7 }, false],
-    ['the same though all of it has left the origin: not', { progress: 0.4, known: 1 }, false],
-    ['one that has just begun: not', { progress: 0, known: 0 }, false]
+    ['is true for a complete version', { whole: true, progress: 1 }, true],
+    ['is true if a quarter is missing', { progress: 0.75 }, true],
+    ['is false if more than a quarter is missing', { progress: 0.7 }, false],
+    ['is false even if peers hold all missing chunks', { progress: 0.4, known: 1 }, false],
+    ['is false for a version whose transfer has just started', { progress: 0, known: 0 }, false]
   ]
   for (const [name, part, expected] of cases) it(name, () => assert.equal(worthFinishing({ ...staged, ...part }), expected))
 })
@@ -23,14 +23,14 @@
 describe('overlapStep', () => {
   const view: OverlapView = { staged, ahead: { version: 3, whole: false }, served: 1, ordering: false, mayBegin: true }
   const cases: [name: string, part: Partial<OverlapView>, expected: string][] = [
-    ['the older one is on its way', {}, 'wait'],
-    ['the older one is whole and the engine still serves one before', { staged: { ...staged, whole: true } }, 'wait'],
-    ['the engine serves the older one', { served: 2 }, 'older-served'],
-    ['the newer one is whole first', { ahead: { version: 3, whole: true } }, 'newer-whole'],
-    ['nothing may begin on the older one any more', { mayBegin: false }, 'older-late'],
-    ['nobody has anything of the older one', { staged: { ...staged, known: 0 } }, 'older-lost'],
-    ['the engine is reading the staging memory', { ahead: { version: 3, whole: true }, ordering: true }, 'wait'],
-    ['the engine is empty and the older one is on its way', { served: 0 }, 'wait']
+    ['waits while the older version is in transfer', {}, 'wait'],
+    ['waits if the older version is complete and the engine serves an even older one', { staged: { ...staged, whole: true } }, 'wait'],
+    ['takes over if the engine serves the older version', { served: 2 }, 'older-served'],
+    ['takes over if the newer version is complete first', { ahead: { version: 3, whole: true } }, 'newer-whole'],
+    ['takes over if no request may start on the older version any more', { mayBegin: false }, 'older-late'],
+    ['takes over if no member holds a chunk of the older version', { staged: { ...staged, known: 0 } }, 'older-lost'],
+    ['waits while the engine reads the staging memory', { ahead: { version: 3, whole: true }, ordering: true }, 'wait'],
+    ['waits if the engine is empty and the older version is in transfer', { served: 0 }, 'wait']
   ]
   for (const [name, part, expected] of cases) {
     it(name, () => {
