--- a/packages/core/src/lib/routing/published/endpoint-record.ts
+++ b/packages/core/src/lib/routing/published/endpoint-record.ts
@@ -57,22 +57,23 @@
  * @example
  * if (isEarlierStart(record.born, held.born)) ignore(record)
  */
-export function isEarlierStart (born: number | undefined, than: number | undefined): boolean {
-  return born !== undefined && than !== undefined && born < than
+export function isEarlierStart (born: number | undefined, other: number | undefined): boolean {
+  return born !== undefined && other !== undefined && born < other
 }
 
 /** A start of an endpoint, and how often it had written its entry, as far as they are known. */
 export type LastWriting = Partial<Pick<EndpointRecord, 'born' | 'writings'>>
 
 /**
- * Returns by how many writings `other` is later than `one`, or `undefined` if they belong to different starts or a count is missing.
+ * Returns the number of writings from `earlier` to `later`, which is negative if their order is reversed. Returns `undefined` if they belong
+ * to different starts of the endpoint or a count is missing.
  *
  * @example
  * const isEarlier = (writingsBetween(held.record, record) ?? 0) < 0
  */
-export function writingsBetween (one: LastWriting, other: LastWriting): number | undefined {
-  if (one.born !== other.born || one.writings === undefined || other.writings === undefined) return undefined
-  return other.writings - one.writings
+export function writingsBetween (earlier: LastWriting, later: LastWriting): number | undefined {
+  if (earlier.born !== later.born || earlier.writings === undefined || later.writings === undefined) return undefined
+  return later.writings - earlier.writings
 }
 
 /**
--- a/packages/core/src/lib/routing/published/held-endpoints.ts
+++ b/packages/core/src/lib/routing/published/held-endpoints.ts
@@ -20,7 +20,7 @@
 /** Endpoints by id and by address. */
 export class HeldEndpoints {
   private readonly _byId = new Map<string, HeldEndpoint>()
-  private readonly _idAt = new Map<string, string>()
+  private readonly _idByAddress = new Map<string, string>()
 
   get (id: string): HeldEndpoint | undefined { return this._byId.get(id) }
 
@@ -28,8 +28,8 @@
   values (): IterableIterator<HeldEndpoint> { return this._byId.values() }
 
   /** Returns the endpoint that owns an address. */
-  at (address: string): HeldEndpoint | undefined {
-    const id = this._idAt.get(address)
+  atAddress (address: string): HeldEndpoint | undefined {
+    const id = this._idByAddress.get(address)
     return id === undefined ? undefined : this._byId.get(id)
   }
 
@@ -38,12 +38,12 @@
    *
    * @param claimsAddress Whether it becomes the owner of its address, replacing the current owner.
    */
-  hold (endpoint: HeldEndpoint, claimsAddress: boolean): void {
+  put (endpoint: HeldEndpoint, claimsAddress: boolean): void {
     const { id, address } = endpoint.record
-    const before = this._byId.get(id)
-    if (before !== undefined) this._leave(before)
+    const previous = this._byId.get(id)
+    if (previous !== undefined) this._releaseAddress(previous)
     this._byId.set(id, endpoint)
-    if (claimsAddress) this._idAt.set(address, id)
+    if (claimsAddress) this._idByAddress.set(address, id)
   }
 
   /** Carries all entries over into a new epoch of the store, at revision 0. */
@@ -58,14 +58,14 @@
   }
 
   /** Removes an endpoint. Does nothing if the endpoint is unknown. */
-  drop (id: string): void {
+  remove (id: string): void {
     const held = this._byId.get(id)
     if (held === undefined) return
     this._byId.delete(id)
-    this._leave(held)
+    this._releaseAddress(held)
   }
 
-  private _leave ({ record: { id, address } }: HeldEndpoint): void {
-    if (this._idAt.get(address) === id) this._idAt.delete(address)
+  private _releaseAddress ({ record: { id, address } }: HeldEndpoint): void {
+    if (this._idByAddress.get(address) === id) this._idByAddress.delete(address)
   }
 }
--- a/packages/core/src/lib/routing/published/lapse-grace.ts
+++ b/packages/core/src/lib/routing/published/lapse-grace.ts
@@ -12,34 +12,34 @@
  * How long endpoints with missing entries are kept after an outage of the store, in milliseconds. According to the platform's
  * operators, endpoints write expired entries again within about two seconds; half a second is added for propagation.
  */
-const GRACE = 2_500
+const LAPSE_GRACE = 2_500
 /** Time in which endpoints that a restored store lacks write their entries again, with their next heartbeat, in milliseconds. */
 const REWRITE_TIME = 1_500
 /**
  * Grace period if few endpoints are missing, in milliseconds. In an outage of the store itself most entries expire, so a few missing
  * endpoints have left.
  */
-const FEW_GRACE = 500
+const SHORT_GRACE = 500
 /** Missing endpoints count as few below this share of all endpoints. */
-const FEW = 0.5
+const FEW_SHARE = 0.5
 
 /** The grace period of one process after it lost its connection to the store. */
 export class LapseGrace {
   /** Infinite while the store cannot be reached. */
-  private _until = 0
+  private _graceEndsAt = 0
   /** Time from which it is decided whether few or most endpoints are missing. */
   private _decideAt = 0
   /** Removals up to this revision may be expired entries. */
-  private _upTo = 0
+  private _lapsedUpTo = 0
   /** Time until which the store may lack endpoints that it listed before it was restored from an older copy. */
   private _rewrittenBy = 0
   /** Removals up to this revision may be due to the restored copy. */
   private _restoredUpTo = 0
 
   /** Records that the store cannot be reached: entries that disappear from now on may only have expired. */
-  lost (): void {
-    this._until = Infinity
-    this._upTo = Infinity
+  storeLost (): void {
+    this._graceEndsAt = Infinity
+    this._lapsedUpTo = Infinity
   }
 
   /**
@@ -47,21 +47,21 @@
    *
    * @param upTo The store's current revision: removals up to it may be expired entries, later ones are real.
    */
-  regained (now: number, upTo: number): void {
-    if (this._until !== Infinity) return
-    this._until = now + GRACE
-    this._decideAt = now + FEW_GRACE
-    this._upTo = upTo
+  storeRegained (now: number, upTo: number): void {
+    if (this._graceEndsAt !== Infinity) return
+    this._graceEndsAt = now + LAPSE_GRACE
+    this._decideAt = now + SHORT_GRACE
+    this._lapsedUpTo = upTo
   }
 
   /** Records that the store was restored from an older copy, which lacks endpoints that started since, even if these are few. */
-  restored (now: number): void {
+  storeRestored (now: number): void {
     this._rewrittenBy = now + REWRITE_TIME
     this._restoredUpTo = Infinity
   }
 
   /** Records that all endpoints were read up to a revision: later removals are not due to the restored copy. */
-  readUpTo (revision: number): void { this._restoredUpTo = Math.min(this._restoredUpTo, revision) }
+  snapshotRead (revision: number): void { this._restoredUpTo = Math.min(this._restoredUpTo, revision) }
 
   /**
    * Returns the time until which an endpoint is kept whose entry is missing since a revision, or `undefined` if it has left.
@@ -70,17 +70,17 @@
    * const lapsesAt = grace.keptUntil(revision, now)
    */
   keptUntil (revision: number, now: number): number | undefined {
-    if (now < this._rewrittenBy && revision <= this._restoredUpTo) return Math.max(this._rewrittenBy, this._until)
-    return now < this._until && revision <= this._upTo ? this._until : undefined
+    if (now < this._rewrittenBy && revision <= this._restoredUpTo) return Math.max(this._rewrittenBy, this._graceEndsAt)
+    return now < this._graceEndsAt && revision <= this._lapsedUpTo ? this._graceEndsAt : undefined
   }
 
   /** Whether the grace period of an endpoint that is kept until `lapsesAt` is over. */
-  isOver (lapsesAt: number, now: number): boolean { return now >= Math.max(this._rewrittenBy, Math.min(lapsesAt, this._until)) }
+  isExpired (lapsesAt: number, now: number): boolean { return now >= Math.max(this._rewrittenBy, Math.min(lapsesAt, this._graceEndsAt)) }
 
   /** Decides once per outage whether few or most endpoints are missing, and ends the grace period if they are few. */
-  decide (missing: number, all: number, now: number): void {
-    if (this._until === Infinity || now < this._decideAt) return
+  endIfFewMissing (missing: number, all: number, now: number): void {
+    if (this._graceEndsAt === Infinity || now < this._decideAt) return
     this._decideAt = Infinity
-    if (missing < FEW * all) this._until = now
+    if (missing < FEW_SHARE * all) this._graceEndsAt = now
   }
 }
--- a/packages/core/src/lib/routing/published/named-versions.ts
+++ b/packages/core/src/lib/routing/published/named-versions.ts
@@ -15,7 +15,7 @@
 }
 
 /** Versions kept per model: those whose adoption deadline may still be ahead. */
-const MOST_NAMED = 8
+const MAX_VERSIONS_PER_MODEL = 8
 
 /** Wanted versions of all models. */
 export class NamedVersions {
@@ -27,16 +27,16 @@
    *
    * @returns Whether it is newer than every version known before.
    * @example
-   * versions.take({ model: 'drafting', version: 2 }, 7, now)
+   * versions.add({ model: 'drafting', version: 2 }, 7, now)
    */
-  take (wanted: ModelVersion, revision: number, heardAt: number | undefined): boolean {
-    const named = this._versions.get(wanted.model) ?? []
-    const newest = named.at(-1)
+  add (wanted: ModelVersion, revision: number, heardAt: number | undefined): boolean {
+    const known = this._versions.get(wanted.model) ?? []
+    const newest = known.at(-1)
     if (newest !== undefined && wanted.version <= newest.version) {
-      this._versions.set(wanted.model, [...named.slice(0, -1), { ...newest, revision: Math.max(revision, newest.revision) }])
+      this._versions.set(wanted.model, [...known.slice(0, -1), { ...newest, revision: Math.max(revision, newest.revision) }])
       return false
     }
-    this._versions.set(wanted.model, [...named.slice(1 - MOST_NAMED), { ...wanted, revision: Math.max(revision, newest?.revision ?? 0), heardAt }])
+    this._versions.set(wanted.model, [...known.slice(1 - MAX_VERSIONS_PER_MODEL), { ...wanted, revision: Math.max(revision, newest?.revision ?? 0), heardAt }])
     return true
   }
 
@@ -57,7 +57,7 @@
   }
 
   /** See `PublishedState.dueVersion`. */
-  due (model: string, bound: number, now: number): number {
+  dueVersion (model: string, bound: number, now: number): number {
     const due = this._versions.get(model)?.filter(({ heardAt }) => heardAt === undefined || now - heardAt >= bound)
     return due?.at(-1)?.version ?? 0
   }
--- a/packages/core/src/lib/routing/published/published-change.ts
+++ b/packages/core/src/lib/routing/published/published-change.ts
@@ -36,7 +36,7 @@
   readonly whole: readonly PublishedTopic[]
 }
 
-const topicsOfChanges: Record<PublishedChange['type'], PublishedTopic> = {
+const topicByChangeType: Record<PublishedChange['type'], PublishedTopic> = {
   configuration: 'configuration',
   'wanted-version': 'versions',
   endpoint: 'endpoints',
@@ -44,4 +44,4 @@
 }
 
 /** Returns the topic of a change. */
-export function topicOf (change: PublishedChange): PublishedTopic { return topicsOfChanges[change.type] }
+export function topicOf (change: PublishedChange): PublishedTopic { return topicByChangeType[change.type] }
--- a/packages/core/src/lib/routing/published/published-state.ts
+++ b/packages/core/src/lib/routing/published/published-state.ts
@@ -24,9 +24,9 @@
  * Largest age of a wanted version that is taken over from a peer, in milliseconds: a few times the interval in which a relay does not
  * watch the store. If the peer received the version longer ago, as after an outage, its time counts from its receipt by this process.
  */
-const LONGEST_AGE = 1_000
+const MAX_VERSION_AGE = 1_000
 
-const NOTHING_SEEN: Readonly<Record<PublishedTopic, number>> = { configuration: 0, versions: 0, endpoints: 0 }
+const NO_REVISIONS: Readonly<Record<PublishedTopic, number>> = { configuration: 0, versions: 0, endpoints: 0 }
 
 /** The replica of the published state in one process. */
 export class PublishedState {
@@ -35,12 +35,12 @@
   private readonly _grace = new LapseGrace()
   private readonly _endpoints = new HeldEndpoints()
   private readonly _removals = new Removals()
-  private _newestEndpoint = 0
-  private _edition = 0
+  private _newestEndpointRevision = 0
+  private _changeCount = 0
   private _epoch = 0
-  private _seen: Readonly<Record<PublishedTopic, number>> = NOTHING_SEEN
+  private _followed: Readonly<Record<PublishedTopic, number>> = NO_REVISIONS
   /** Topics that have been followed in this epoch or an earlier one. */
-  private readonly _known = new Set<PublishedTopic>()
+  private readonly _knownTopics = new Set<PublishedTopic>()
 
   get configuration (): RoutingConfiguration | undefined { return this._configuration?.configuration }
   get configurationRevision (): number { return this._configuration?.revision ?? 0 }
@@ -49,21 +49,21 @@
   /** The epoch of the store that is followed; 0 before the first one. */
   get epoch (): number { return this._epoch }
   /** The revision up to which each topic has been followed in this epoch. */
-  get note (): PublishedNote { return { epoch: this._epoch, ...this._seen } }
+  get note (): PublishedNote { return { epoch: this._epoch, ...this._followed } }
   /**
    * The newest revision that is held of each topic. It is equal in two processes that hold the same items, even if one has followed the
    * store further.
    */
   get held (): PublishedNote {
     const versions = Math.max(0, ...this._versions.newestOfAll().map(({ revision }) => revision))
-    return { epoch: this._epoch, configuration: this.configurationRevision, versions, endpoints: this._newestEndpoint }
+    return { epoch: this._epoch, configuration: this.configurationRevision, versions, endpoints: this._newestEndpointRevision }
   }
 
   /** Whether a topic has been followed in any epoch. */
-  knows (topic: PublishedTopic): boolean { return this._known.has(topic) }
+  knows (topic: PublishedTopic): boolean { return this._knownTopics.has(topic) }
 
   /** Increases with every change that may affect the deltas sent to peers. */
-  get edition (): number { return this._edition }
+  get edition (): number { return this._changeCount }
 
   /** Returns the wanted version of a model, which is the newest one published. */
   wanted (model: string): WantedVersion | undefined { return this._versions.newest(model) }
@@ -86,7 +86,7 @@
    * const least = state.dueVersion('drafting', 8_000, now)
    */
   dueVersion (model: string, bound: number, now: number): number {
-    return this._versions.due(model, bound, now)
+    return this._versions.dueVersion(model, bound, now)
   }
 
   /** Returns the listed endpoints, including draining ones. */
@@ -100,11 +100,11 @@
    * if (state.take({ type: 'endpoint', revision: 7, record }, now).length > 0) rebuildChoices()
    */
   take (change: PublishedChange, now: number): readonly PublishedChange[] {
-    const earlier = change.type === 'endpoint' ? this._endpoints.at(change.record.address) : undefined
-    this._edition += 1
-    if (topicOf(change) === 'endpoints') this._newestEndpoint = Math.max(this._newestEndpoint, change.revision)
-    if (!this._takers[change.type](change as never, now)) return []
-    return change.type === 'endpoint' ? [change, ...this._replaced(earlier, change)] : [change]
+    const previous = change.type === 'endpoint' ? this._endpoints.atAddress(change.record.address) : undefined
+    this._changeCount += 1
+    if (topicOf(change) === 'endpoints') this._newestEndpointRevision = Math.max(this._newestEndpointRevision, change.revision)
+    if (!this._appliers[change.type](change as never, now)) return []
+    return change.type === 'endpoint' ? [change, ...this._removePredecessor(previous, change)] : [change]
   }
 
   /**
@@ -114,24 +114,24 @@
    * @returns The effective changes.
    */
   takeWhole (topic: PublishedTopic, changes: readonly PublishedChange[], upTo: number, now: number): PublishedChange[] {
-    const news = changes.flatMap(change => this.take(change, now))
+    const applied = changes.flatMap(change => this.take(change, now))
     if (topic === 'endpoints') {
-      news.push(...this._takeMissing(changes, upTo, now))
-      this._grace.readUpTo(upTo)
+      applied.push(...this._removeMissing(changes, upTo, now))
+      this._grace.snapshotRead(upTo)
       // Endpoints removed earlier are not in the snapshot, and their removals were never received, so peers need the complete list.
-      this._newestEndpoint = Math.max(this._newestEndpoint, upTo)
-      this._removals.forgetUpTo(upTo)
+      this._newestEndpointRevision = Math.max(this._newestEndpointRevision, upTo)
+      this._removals.markIncompleteUpTo(upTo)
     }
     this.followed(topic, upTo)
-    return news
+    return applied
   }
 
   /** Records that every change of a topic up to a revision has been applied. */
   followed (topic: PublishedTopic, upTo: number): void {
-    if (upTo <= this._seen[topic]) return
-    this._edition += 1
-    this._known.add(topic)
-    this._seen = { ...this._seen, [topic]: upTo }
+    if (upTo <= this._followed[topic]) return
+    this._changeCount += 1
+    this._knownTopics.add(topic)
+    this._followed = { ...this._followed, [topic]: upTo }
   }
 
   /**
@@ -144,38 +144,38 @@
   enter (epoch: number, now: number): boolean {
     if (epoch <= this._epoch) return false
     this._epoch = epoch
-    this._edition += 1
-    this._seen = NOTHING_SEEN
-    this._newestEndpoint = 0
+    this._changeCount += 1
+    this._followed = NO_REVISIONS
+    this._newestEndpointRevision = 0
     if (this._configuration !== undefined) this._configuration = { ...this._configuration, revision: 0 }
     this._versions.carryOver()
     this._endpoints.carryOver()
     this._removals.carryOver()
-    if (this._known.size > 0) this._grace.restored(now)
+    if (this._knownTopics.size > 0) this._grace.storeRestored(now)
     return true
   }
 
   /** Records that the store cannot be reached: entries that disappear from now on may only have expired. */
-  storeLost (): void { this._grace.lost() }
+  storeLost (): void { this._grace.storeLost() }
 
   /**
    * Records that the store answers again.
    *
    * @param upTo The store's current revision: removals up to it may be expired entries, later ones are real.
    */
-  storeRegained (now: number, upTo: number): void { this._grace.regained(now, upTo) }
+  storeRegained (now: number, upTo: number): void { this._grace.storeRegained(now, upTo) }
 
   /** Removes endpoints whose entries are still missing at the end of the grace period. Returns their removals. */
   expire (now: number): PublishedChange[] {
     const endpoints = [...this._endpoints.values()]
-    this._grace.decide(endpoints.filter(({ lapsesAt }) => lapsesAt !== undefined).length, endpoints.length, now)
-    const gone: PublishedChange[] = []
+    this._grace.endIfFewMissing(endpoints.filter(({ lapsesAt }) => lapsesAt !== undefined).length, endpoints.length, now)
+    const removals: PublishedChange[] = []
     for (const { record: { id }, lapsesAt } of endpoints) {
-      if (lapsesAt === undefined || !this._grace.isOver(lapsesAt, now)) continue
-      this._endpoints.drop(id)
-      gone.push({ type: 'endpoint-gone', id, revision: this._removals.get(id)?.removal.revision ?? this._seen.endpoints })
+      if (lapsesAt === undefined || !this._grace.isExpired(lapsesAt, now)) continue
+      this._endpoints.remove(id)
+      removals.push({ type: 'endpoint-gone', id, revision: this._removals.get(id)?.removal.revision ?? this._followed.endpoints })
     }
-    return gone
+    return removals
   }
 
   /**
@@ -186,16 +186,16 @@
    * const delta = state.since(note, performance.now(), ['versions'])
    */
   since (note: PublishedNote, now: number, topics: readonly PublishedTopic[] = publishedTopics): PublishedDelta {
-    const nothing: PublishedNote = { ...NOTHING_SEEN, epoch: this._epoch }
-    if (note.epoch > this._epoch) return { upTo: nothing, held: nothing, changes: [], whole: [] }
-    const from = note.epoch === this._epoch ? note : nothing
-    const asked = (told: PublishedNote, otherwise: PublishedNote): PublishedNote => ({ ...otherwise, ...Object.fromEntries(topics.map(topic => [topic, told[topic]])) })
-    const delta = this._since(from, now)
-    return { upTo: asked(this.note, from), held: asked(this.held, nothing), changes: delta.changes.filter(change => topics.includes(topicOf(change))), whole: delta.whole.filter(topic => topics.includes(topic)) }
+    const noRevisions: PublishedNote = { ...NO_REVISIONS, epoch: this._epoch }
+    if (note.epoch > this._epoch) return { upTo: noRevisions, held: noRevisions, changes: [], whole: [] }
+    const from = note.epoch === this._epoch ? note : noRevisions
+    const requested = (revisions: PublishedNote, defaults: PublishedNote): PublishedNote => ({ ...defaults, ...Object.fromEntries(topics.map(topic => [topic, revisions[topic]])) })
+    const delta = this._changesSince(from, now)
+    return { upTo: requested(this.note, from), held: requested(this.held, noRevisions), changes: delta.changes.filter(change => topics.includes(topicOf(change))), whole: delta.whole.filter(topic => topics.includes(topic)) }
   }
 
-  private _since (note: PublishedNote, now: number): Pick<PublishedDelta, 'changes' | 'whole'> {
-    const whole = publishedTopics.filter(topic => note[topic] < this._seen[topic] && this._tellsWhole(topic, note))
+  private _changesSince (note: PublishedNote, now: number): Pick<PublishedDelta, 'changes' | 'whole'> {
+    const whole = publishedTopics.filter(topic => note[topic] < this._followed[topic] && this._needsSnapshot(topic, note))
     const changes: PublishedChange[] = []
     // Items carried over from an earlier epoch are at revision 0 and belong to a complete snapshot.
     const from = (topic: PublishedTopic): number => whole.includes(topic) ? -1 : note[topic]
@@ -214,46 +214,46 @@
   takeDelta (delta: PublishedDelta, now: number): PublishedChange[] {
     if (delta.upTo.epoch < this._epoch) return []
     this.enter(delta.upTo.epoch, now)
-    const news: PublishedChange[] = []
+    const applied: PublishedChange[] = []
     for (const topic of publishedTopics) {
       const changes = delta.changes.filter(change => topicOf(change) === topic)
-      if (delta.whole.includes(topic) && delta.upTo[topic] > this._seen[topic]) news.push(...this.takeWhole(topic, changes, delta.upTo[topic], now))
+      if (delta.whole.includes(topic) && delta.upTo[topic] > this._followed[topic]) applied.push(...this.takeWhole(topic, changes, delta.upTo[topic], now))
       else {
-        news.push(...changes.flatMap(change => this.take(change, now)))
+        applied.push(...changes.flatMap(change => this.take(change, now)))
         this.followed(topic, delta.upTo[topic])
       }
     }
-    this._newestEndpoint = Math.max(this._newestEndpoint, delta.held.endpoints)
-    return news
+    this._newestEndpointRevision = Math.max(this._newestEndpointRevision, delta.held.endpoints)
+    return applied
   }
 
-  private readonly _takers: { readonly [Type in PublishedChange['type']]: (change: Extract<PublishedChange, { type: Type }>, now: number) => boolean } = {
+  private readonly _appliers: { readonly [Type in PublishedChange['type']]: (change: Extract<PublishedChange, { type: Type }>, now: number) => boolean } = {
     configuration: ({ revision, configuration }) => {
       const held = this._configuration
       if (held !== undefined && revision <= held.revision) return false
-      const isNews = held === undefined || isNewerDocument(configuration, held.configuration)
-      this._configuration = { revision, configuration: isNews ? configuration : held.configuration }
-      return isNews
+      const isNewer = held === undefined || isNewerConfiguration(configuration, held.configuration)
+      this._configuration = { revision, configuration: isNewer ? configuration : held.configuration }
+      return isNewer
     },
     'wanted-version': ({ revision, wanted, age = 0 }, now) => {
-      const heardAt = !this.knows('versions') ? undefined : now - (age <= LONGEST_AGE ? age : 0)
-      return this._versions.take(wanted, revision, heardAt)
+      const heardAt = !this.knows('versions') ? undefined : now - (age <= MAX_VERSION_AGE ? age : 0)
+      return this._versions.add(wanted, revision, heardAt)
     },
     endpoint: change => {
       const { revision, record } = change
       const held = this._endpoints.get(record.id)
-      if (revision <= this._knownRevision(record.id) || this._isReplaced(record, revision) || this._hasGone(record.id, revision)) return false
+      if (revision <= this._knownRevision(record.id) || this._isSuperseded(record, revision) || this._wasRemoved(record.id, revision)) return false
       if (isEarlierStart(record.born, held?.record.born ?? this._removals.get(record.id)?.born)) return false
-      if (this._isFromBefore(record)) return this._confirm(record.id, revision)
-      this._endpoints.hold({ record, revision, carried: false, lapsesAt: undefined }, this._isNamed(record.service))
-      this._removals.forget(record.id)
+      if (this._isOutdated(record)) return this._confirm(record.id, revision)
+      this._endpoints.put({ record, revision, carried: false, lapsesAt: undefined }, this._isConfiguredService(record.service))
+      this._removals.delete(record.id)
       return held === undefined || !isSameListing(held.record, record)
     },
     'endpoint-gone': (change, now) => this._remove(change, now)
   }
 
   /** Whether an unknown endpoint was removed before the followed revision: every change up to that revision has been received. */
-  private _hasGone (id: string, revision: number): boolean { return this._knownRevision(id) < 0 && revision <= this._seen.endpoints }
+  private _wasRemoved (id: string, revision: number): boolean { return this._knownRevision(id) < 0 && revision <= this._followed.endpoints }
 
   /** Returns the newest known revision of an endpoint; -1, which is below all others, if the endpoint is unknown. */
   private _knownRevision (id: string): number {
@@ -264,13 +264,13 @@
    * Whether a restored store lists an endpoint in an older state than the one received in an earlier epoch. Revisions of different
    * epochs are not comparable, but the endpoint counts its writings.
    */
-  private _isFromBefore (record: EndpointRecord): boolean {
+  private _isOutdated (record: EndpointRecord): boolean {
     const held = this._endpoints.get(record.id)
     if (held !== undefined) return held.carried && (writingsBetween(held.record, record) ?? 0) < 0
-    const gone = this._removals.get(record.id)
-    if (gone === undefined || !gone.carried) return false
-    const successor = this._endpoints.at(record.address)
-    return successor?.carried === true || (writingsBetween(gone, record) ?? 1) <= 0
+    const known = this._removals.get(record.id)
+    if (known === undefined || !known.carried) return false
+    const successor = this._endpoints.atAddress(record.address)
+    return successor?.carried === true || (writingsBetween(known, record) ?? 1) <= 0
   }
 
   /** Records that the store has no newer state of an endpoint, at a revision, than the one carried over. */
@@ -281,13 +281,13 @@
   }
 
   /** Whether another endpoint was listed later at the same address. */
-  private _isReplaced ({ id, address }: EndpointRecord, revision: number): boolean {
-    const held = this._endpoints.at(address)
+  private _isSuperseded ({ id, address }: EndpointRecord, revision: number): boolean {
+    const held = this._endpoints.atAddress(address)
     return held !== undefined && held.record.id !== id && held.revision > revision
   }
 
   /** Whether a service is configured. An entry of an unconfigured service may have been written by anyone, so it cannot claim an address. */
-  private _isNamed (service: string): boolean {
+  private _isConfiguredService (service: string): boolean {
     return this.configuration === undefined || this.configuration.services.some(({ name }) => name === service)
   }
 
@@ -295,36 +295,36 @@
    * Removes the previous endpoint at an address that a newer one has taken. Its entry stays listed until three heartbeats are missing,
    * and the newer endpoint would reject requests meant for it until then.
    */
-  private _replaced (earlier: HeldEndpoint | undefined, { revision, record }: Extract<PublishedChange, { type: 'endpoint' }>): PublishedChange[] {
-    if (earlier === undefined || earlier.record.id === record.id || !this._isNamed(record.service)) return []
-    const { id } = earlier.record
-    const gone = { type: 'endpoint-gone', id, revision } as const
-    this._endpoints.drop(id)
-    this._removals.note(gone, earlier.record)
-    return [gone]
+  private _removePredecessor (previous: HeldEndpoint | undefined, { revision, record }: Extract<PublishedChange, { type: 'endpoint' }>): PublishedChange[] {
+    if (previous === undefined || previous.record.id === record.id || !this._isConfiguredService(record.service)) return []
+    const { id } = previous.record
+    const removal = { type: 'endpoint-gone', id, revision } as const
+    this._endpoints.remove(id)
+    this._removals.add(removal, previous.record)
+    return [removal]
   }
 
   /** Whether a peer needs a complete snapshot: it has nothing of the topic, or is behind the oldest removal that is kept. */
-  private _tellsWhole (topic: PublishedTopic, note: PublishedNote): boolean {
-    return note[topic] === 0 || (topic === 'endpoints' && note.endpoints < this._removals.forgottenUpTo)
+  private _needsSnapshot (topic: PublishedTopic, note: PublishedNote): boolean {
+    return note[topic] === 0 || (topic === 'endpoints' && note.endpoints < this._removals.incompleteUpTo)
   }
 
-  private _remove (gone: Extract<PublishedChange, { type: 'endpoint-gone' }>, now: number): boolean {
-    const { id, revision, certain = false } = gone
+  private _remove (removal: Extract<PublishedChange, { type: 'endpoint-gone' }>, now: number): boolean {
+    const { id, revision, certain = false } = removal
     const held = this._endpoints.get(id)
     if (revision <= this._knownRevision(id)) return false
-    this._removals.note(gone, held?.record ?? this._removals.get(id) ?? {})
+    this._removals.add(removal, held?.record ?? this._removals.get(id) ?? {})
     if (held === undefined) return false
     const keptUntil = certain ? undefined : this._grace.keptUntil(revision, now)
     if (keptUntil !== undefined) {
       held.lapsesAt ??= keptUntil
       return false
     }
-    this._endpoints.drop(id)
+    this._endpoints.remove(id)
     return true
   }
 
-  private _takeMissing (changes: readonly PublishedChange[], upTo: number, now: number): PublishedChange[] {
+  private _removeMissing (changes: readonly PublishedChange[], upTo: number, now: number): PublishedChange[] {
     const listed = new Set(changes.flatMap(change => change.type === 'endpoint' ? [change.record.id] : []))
     const missing = [...this._endpoints.values()].filter(({ record: { id }, revision }) => !listed.has(id) && revision <= upTo)
     return missing.flatMap(({ record: { id } }) => this.take({ type: 'endpoint-gone', revision: upTo, id }, now))
@@ -332,7 +332,7 @@
 }
 
 /** Operators increase the version with each change. If a change keeps the version, the configuration written last applies. */
-function isNewerDocument (configuration: RoutingConfiguration, than: RoutingConfiguration): boolean {
-  if (configuration.version !== than.version) return configuration.version > than.version
-  return JSON.stringify(configuration) !== JSON.stringify(than)
+function isNewerConfiguration (configuration: RoutingConfiguration, other: RoutingConfiguration): boolean {
+  if (configuration.version !== other.version) return configuration.version > other.version
+  return JSON.stringify(configuration) !== JSON.stringify(other)
 }
--- a/packages/core/src/lib/routing/published/relay-book.ts
+++ b/packages/core/src/lib/routing/published/relay-book.ts
@@ -18,12 +18,12 @@
  * of 420 KB over 24 Mbit/s in 140 ms. Without the wait, all processes of a region would fetch their copies over the region's link
  * after a restart, since relays near the store are always the first to have them.
  */
-const NEAR_PATIENCE = 500
+const NEARER_RELAY_WAIT = 500
 
 interface Relay {
   readonly address: string
   readonly note: RelayNote
-  readonly heardAt: number
+  readonly receivedAt: number
 }
 
 /** The relays known to one process, with the latest note of each. */
@@ -40,55 +40,55 @@
 
   /** Records a note in which a relay reports the revisions that it holds. */
   heard (address: string, note: RelayNote, now: number): void {
-    this._relays.set(address, { address, note, heardAt: now })
+    this._relays.set(address, { address, note, receivedAt: now })
   }
 
   /** Removes a relay whose connection ended. */
   lost (address: string): void { this._relays.delete(address) }
 
   /** Whether some relay currently follows the store, in the epoch that this process follows or a later one. */
-  confirmed (epoch: number, now: number): boolean { return this._live(now).some(({ note }) => note.fresh && note.held.epoch >= epoch) }
+  confirmed (epoch: number, now: number): boolean { return this._liveRelays(now).some(({ note }) => note.fresh && note.held.epoch >= epoch) }
 
   /**
    * Returns the nearest relay that is ahead of this process in one of some topics. Returns `undefined` if there is none, and, for
    * a limited time, while a nearer relay is live that is not ahead yet.
    *
    * @param held The revisions that this process holds.
-   * @param passedOver Relays that failed recently.
+   * @param excluded Relays that failed recently.
    * @example
    * const address = book.ahead(state.held, ['versions'], new Set(), now)
    */
-  ahead (held: PublishedNote, topics: readonly PublishedTopic[], passedOver: ReadonlySet<string>, now: number): string | undefined {
-    const usable = this._usable(held.epoch, passedOver, now)
-    const nearest = usable[0]
-    const better = usable.find(({ note }) => note.held.epoch > held.epoch || topics.some(topic => note.held[topic] > held[topic]))
-    if (nearest === undefined || better === undefined) {
+  ahead (held: PublishedNote, topics: readonly PublishedTopic[], excluded: ReadonlySet<string>, now: number): string | undefined {
+    const candidates = this._candidates(held.epoch, excluded, now)
+    const nearest = candidates[0]
+    const aheadRelay = candidates.find(({ note }) => note.held.epoch > held.epoch || topics.some(topic => note.held[topic] > held[topic]))
+    if (nearest === undefined || aheadRelay === undefined) {
       this._aheadSince = undefined
       return undefined
     }
     this._aheadSince ??= now
-    const near = this._distance(better) === this._distance(nearest) || now - this._aheadSince >= NEAR_PATIENCE
-    return near ? better.address : undefined
+    const isNearEnough = this._distance(aheadRelay) === this._distance(nearest) || now - this._aheadSince >= NEARER_RELAY_WAIT
+    return isNearEnough ? aheadRelay.address : undefined
   }
 
   /** Returns the nearest relay that currently follows the store, or `undefined` if there is none. */
-  nearest (epoch: number, passedOver: ReadonlySet<string>, now: number): string | undefined {
-    return this._usable(epoch, passedOver, now).find(({ note }) => note.fresh)?.address
+  nearest (epoch: number, excluded: ReadonlySet<string>, now: number): string | undefined {
+    return this._candidates(epoch, excluded, now).find(({ note }) => note.fresh)?.address
   }
 
   /** Returns the revision up to which a topic counts as followed, by the relays that hold the same revision as this process. */
   followedBy (held: PublishedNote, topic: PublishedTopic, now: number): number {
-    const same = this._live(now).filter(({ note }) => note.fresh && note.held.epoch === held.epoch && note.held[topic] === held[topic])
-    return Math.max(0, ...same.map(({ note }) => note.followed[topic]))
+    const equalRelays = this._liveRelays(now).filter(({ note }) => note.fresh && note.held.epoch === held.epoch && note.held[topic] === held[topic])
+    return Math.max(0, ...equalRelays.map(({ note }) => note.followed[topic]))
   }
 
-  private _live (now: number): Relay[] {
-    return [...this._relays.values()].filter(({ heardAt }) => now - heardAt <= NOTE_LIFETIME)
+  private _liveRelays (now: number): Relay[] {
+    return [...this._relays.values()].filter(({ receivedAt }) => now - receivedAt <= NOTE_LIFETIME)
   }
 
   /** Returns the live relays that do not follow an earlier epoch, nearest first. */
-  private _usable (epoch: number, passedOver: ReadonlySet<string>, now: number): Relay[] {
-    return this._live(now).filter(({ address, note }) => note.held.epoch >= epoch && !passedOver.has(address)).sort((left, right) => this._distance(left) - this._distance(right))
+  private _candidates (epoch: number, excluded: ReadonlySet<string>, now: number): Relay[] {
+    return this._liveRelays(now).filter(({ address, note }) => note.held.epoch >= epoch && !excluded.has(address)).sort((left, right) => this._distance(left) - this._distance(right))
   }
 
   /** Returns 0 for the same availability zone, 1 for the same region and 2 for other regions. */
--- a/packages/core/src/lib/routing/published/removals.ts
+++ b/packages/core/src/lib/routing/published/removals.ts
@@ -15,62 +15,62 @@
 }
 
 /** A removal, with the newest start of the endpoint that was known when it was removed. */
-export interface NotedRemoval extends LastWriting {
+export interface KnownRemoval extends LastWriting {
   readonly removal: Removal
   /** Whether it was received in an earlier epoch of the store; its revision is then 0. */
   readonly carried: boolean
 }
 
 /** Number of removals kept for peers. A peer that is further behind gets the complete list of endpoints. */
-const MOST_REMOVALS = 512
+const MAX_REMOVALS = 512
 
 /** The newest removals, at most one per endpoint. */
 export class Removals {
   /** By endpoint id, oldest first. */
-  private readonly _noted = new Map<string, NotedRemoval>()
-  private _forgottenUpTo = 0
+  private readonly _removals = new Map<string, KnownRemoval>()
+  private _incompleteUpTo = 0
 
   /** Revision up to which removals may be missing here; 0 if none are. */
-  get forgottenUpTo (): number { return this._forgottenUpTo }
+  get incompleteUpTo (): number { return this._incompleteUpTo }
 
   /** Returns the removal of an endpoint, or `undefined` if it has not been removed. */
-  get (id: string): NotedRemoval | undefined { return this._noted.get(id) }
+  get (id: string): KnownRemoval | undefined { return this._removals.get(id) }
 
   /** Returns the removals after a revision. */
   after (revision: number): Removal[] {
-    return [...this._noted.values()].flatMap(({ removal }) => removal.revision > revision ? [removal] : [])
+    return [...this._removals.values()].flatMap(({ removal }) => removal.revision > revision ? [removal] : [])
   }
 
   /**
    * Adds a removal, and discards the oldest ones above the limit.
    *
    * @example
-   * removals.note({ type: 'endpoint-gone', id: 'engine-7', revision: 12 }, held.record)
+   * removals.add({ type: 'endpoint-gone', id: 'engine-7', revision: 12 }, held.record)
    */
-  note (removal: Removal, { born, writings }: LastWriting): void {
-    this._noted.set(removal.id, { removal, born, writings, carried: false })
-    for (const [oldest, { removal: { revision } }] of this._noted) {
-      if (this._noted.size <= MOST_REMOVALS) return
-      this._noted.delete(oldest)
-      this.forgetUpTo(revision)
+  add (removal: Removal, { born, writings }: LastWriting): void {
+    this._removals.set(removal.id, { removal, born, writings, carried: false })
+    for (const [oldest, { removal: { revision } }] of this._removals) {
+      if (this._removals.size <= MAX_REMOVALS) return
+      this._removals.delete(oldest)
+      this.markIncompleteUpTo(revision)
     }
   }
 
   /** Carries all removals over into a new epoch of the store, at revision 0. */
   carryOver (): void {
-    this._forgottenUpTo = 0
-    for (const [id, noted] of this._noted) this._noted.set(id, { ...noted, removal: { ...noted.removal, revision: 0 }, carried: true })
+    this._incompleteUpTo = 0
+    for (const [id, entry] of this._removals) this._removals.set(id, { ...entry, removal: { ...entry.removal, revision: 0 }, carried: true })
   }
 
   /** Records that the store has no newer state of an endpoint up to a revision. Does nothing if the endpoint has not been removed. */
   confirm (id: string, revision: number): void {
-    const noted = this._noted.get(id)
-    if (noted !== undefined) this._noted.set(id, { ...noted, removal: { ...noted.removal, revision } })
+    const entry = this._removals.get(id)
+    if (entry !== undefined) this._removals.set(id, { ...entry, removal: { ...entry.removal, revision } })
   }
 
   /** Records that some removals up to a revision are missing here. */
-  forgetUpTo (revision: number): void { this._forgottenUpTo = Math.max(this._forgottenUpTo, revision) }
+  markIncompleteUpTo (revision: number): void { this._incompleteUpTo = Math.max(this._incompleteUpTo, revision) }
 
   /** Discards the removal of an endpoint that is listed again. */
-  forget (id: string): void { this._noted.delete(id) }
+  delete (id: string): void { this._removals.delete(id) }
 }
--- a/packages/core/src/lib/routing/published/routing-configuration.ts
+++ b/packages/core/src/lib/routing/published/routing-configuration.ts
@@ -175,10 +175,10 @@
  */
 export function targetOf (route: Route, draw: number): string {
   const total = route.targets.reduce((sum, { weight }) => sum + weight, 0)
-  let left = draw * total
+  let remaining = draw * total
   for (const { service, weight } of route.targets) {
-    left -= weight
-    if (left < 0) return service
+    remaining -= weight
+    if (remaining < 0) return service
   }
   return route.targets.at(-1)?.service ?? ''
 }
--- a/packages/core/src/lib/routing/published/store-cursor.ts
+++ b/packages/core/src/lib/routing/published/store-cursor.ts
@@ -32,7 +32,7 @@
 /** The position of one process in following some topics. */
 export class StoreCursor {
   /** Whether the store's history no longer reaches back to the followed revision. */
-  private _lost = false
+  private _historyLost = false
 
   constructor (private readonly _state: Pick<PublishedState, 'epoch' | 'note'>, private readonly _topics: readonly PublishedTopic[]) {}
 
@@ -43,7 +43,7 @@
   }
 
   /** The next call to make. */
-  get next (): StoreCall { return this._lost || this.followed === 0 ? 'read' : 'watch' }
+  get next (): StoreCall { return this._historyLost || this.followed === 0 ? 'read' : 'watch' }
 
   /**
    * Decides how to handle the response to a call, before its changes are applied. The revision from which a watch started is not valid
@@ -54,13 +54,13 @@
    */
   judge (call: StoreCall, { type, epoch = this._state.epoch }: StoreAnswerKind): AnswerVerdict {
     if (epoch < this._state.epoch) return 'failed'
-    if (type === 'history-lost' || (call === 'watch' && epoch > this._state.epoch)) this._lost = true
+    if (type === 'history-lost' || (call === 'watch' && epoch > this._state.epoch)) this._historyLost = true
     if (type === 'store-failure') return 'failed'
-    if (this._lost && (call === 'watch' || type === 'history-lost')) return 'read-whole'
-    this._lost = false
+    if (this._historyLost && (call === 'watch' || type === 'history-lost')) return 'read-whole'
+    this._historyLost = false
     return 'take'
   }
 
   /** Records that peers have supplied every change up to the followed revision. */
-  caughtUp (): void { this._lost = false }
+  caughtUp (): void { this._historyLost = false }
 }
--- a/packages/core/src/lib/routing/weights/chunk-places.ts
+++ b/packages/core/src/lib/routing/weights/chunk-places.ts
@@ -12,7 +12,7 @@
 import { rendezvousOrder } from '../../rendezvous.js'
 
 /** A member's ranks for one chunk; 0 is first. */
-export interface ChunkTurn {
+export interface ChunkRanks {
   /** Rank among the members of its zone. */
   readonly inZone: number
   /** Rank of its zone among all zones. */
@@ -57,7 +57,7 @@
    * @example
    * if (places.turn(7).overall === 0) readFromOrigin(7)
    */
-  turn (chunk: number): ChunkTurn {
+  turn (chunk: number): ChunkRanks {
     const zoneCount = this._rings.length
     const zoneSize = this._rings[this._zoneIndex]?.length ?? 1
     const ofZone = (this._zoneIndex + chunk) % zoneCount
--- a/packages/core/src/lib/routing/weights/chunk-swarm.ts
+++ b/packages/core/src/lib/routing/weights/chunk-swarm.ts
@@ -26,11 +26,11 @@
 }
 
 /** Delay before a chunk is requested again from the origin after a failure, in milliseconds. */
-const ORIGIN_RETRY = 150
+const ORIGIN_RETRY_DELAY = 150
 /** Near the end of a transfer, a pull that takes longer than this multiple of the median is hedged by a request to a second peer. */
 const HEDGE_FACTOR = 3
 /** Pulls are hedged only while at most this many chunks are missing. */
-const HEDGE_MISSING = 8
+const HEDGE_MAX_MISSING = 8
 
 /** The transfer of one version to one member. */
 export class ChunkSwarm implements TransferCourse {
@@ -39,21 +39,21 @@
   private readonly _pulls = new Map<number, Pull>()
   private readonly _originRetryAt = new Map<number, number>()
   /** Time at which each chunk was first available from a peer in another zone, but from none in the member's own zone. */
-  private readonly _seenAbroadAt = new Map<number, number>()
+  private readonly _seenInOtherZoneAt = new Map<number, number>()
   /** Members that are currently unreachable and get no chunks assigned. */
   private readonly _unreachable = new Set<string>()
   private _members: readonly ChunkMember[] = []
-  private readonly _schedule: OriginSchedule
-  private _places: ChunkPlaces
+  private readonly _originSchedule: OriginSchedule
+  private _assignment: ChunkPlaces
   private readonly _window: PullWindow
   private _nextAttempt = 1
   private _startedAt: number | undefined
-  private _namedAt: number | undefined
+  private _publishedAt: number | undefined
   /** Time of the last failed read from the origin by this member. */
   private _originFailedAt = -Infinity
-  private _whole = false
+  private _complete = false
   private _limit: SwarmLimit
-  private _arrivedAt = -Infinity
+  private _lastChunkAt = -Infinity
 
   /**
    * @param held Digests of the chunks that are already held.
@@ -68,9 +68,9 @@
     private readonly _draw: () => number,
     private readonly _policy: SwarmPolicy = defaultSwarmPolicy
   ) {
-    this._places = new ChunkPlaces(_self, members)
+    this._assignment = new ChunkPlaces(_self, members)
     this._peers = new SwarmPeers(_self, _draw)
-    this._schedule = new OriginSchedule(_manifest.chunks.length, _policy)
+    this._originSchedule = new OriginSchedule(_manifest.chunks.length, _policy)
     this._window = new PullWindow(_policy.peerWindow)
     this._limit = { peers: _policy.peerWindow, origin: _policy.originWindow }
     this.setMembers(members)
@@ -82,27 +82,27 @@
 
   /** The share of chunks that this member or a peer holds, 0 to 1. */
   get known (): number {
-    const unknown = [...this._missing].filter(index => !this._peers.hold(index))
-    return 1 - unknown.length / this._manifest.chunks.length
+    const unavailable = [...this._missing].filter(index => !this._peers.isHeld(index))
+    return 1 - unavailable.length / this._manifest.chunks.length
   }
 
   /** Returns the chunks that no member is known to hold, in ascending order. */
   private _unheld (now: number): number[] {
-    return [...this._missing].filter(index => !this._peers.somewhere(index, now)).sort((left, right) => left - right)
+    return [...this._missing].filter(index => !this._peers.isHeldOrReported(index, now)).sort((left, right) => left - right)
   }
 
   /** Returns the chunks that some other member is known to hold. */
   elsewhere (now: number): number[] {
-    return this._manifest.chunks.flatMap((_chunk, index) => this._peers.somewhere(index, now) ? [index] : [])
+    return this._manifest.chunks.flatMap((_chunk, index) => this._peers.isHeldOrReported(index, now) ? [index] : [])
   }
 
   /** Peers that hold every chunk. */
   get wholePeers (): string[] {
-    return this._peers.holdersOf(this._manifest.chunks.length)
+    return this._peers.peersWithChunkCount(this._manifest.chunks.length)
   }
 
   /** Time at which the last chunk was received; -Infinity if none was. */
-  get arrivedAt (): number { return this._arrivedAt }
+  get arrivedAt (): number { return this._lastChunkAt }
 
   /** Limits the concurrent requests further than the policy does; `undefined` restores the policy's own bounds. */
   limit (limit: SwarmLimit | undefined): void {
@@ -111,32 +111,32 @@
   }
 
   /** Sets the time at which the version was published. The default is the start of the transfer. */
-  namedAt (time: number): void { this._namedAt = time }
+  namedAt (time: number): void { this._publishedAt = time }
 
   /** Replaces the member list. */
   setMembers (members: readonly ChunkMember[]): void {
     this._members = members
-    this._deal()
+    this._reassign()
     this._peers.add(members)
   }
 
   /** Records that a peer is reachable. */
-  peerJoined (instance: string): void { if (this._unreachable.delete(instance)) this._deal() }
+  peerJoined (instance: string): void { if (this._unreachable.delete(instance)) this._reassign() }
 
   /** Records a peer's announcement of chunks that it holds. */
   peerHolds (instance: string, chunks: Iterable<number>): void {
-    this._peers.holds(instance, chunks)
+    this._peers.addChunks(instance, chunks)
   }
 
   /** Records a peer's report of chunks that another member holds. */
-  heardOf (chunks: Iterable<number>, now: number): void { this._peers.hearOf(chunks, now) }
+  heardOf (chunks: Iterable<number>, now: number): void { this._peers.addReport(chunks, now) }
 
   /** Records the loss of a peer: its chunks are unknown until it announces them again. */
   peerLost (instance: string): void {
-    this._peers.lost(instance)
+    this._peers.removeAllChunks(instance)
     if (this._unreachable.has(instance)) return
     this._unreachable.add(instance)
-    this._deal()
+    this._reassign()
   }
 
   /**
@@ -146,16 +146,16 @@
    * for (const effect of swarm.tick(now)) carryOut(effect)
    */
   tick (now: number): TransferEffect[] {
-    if (this._whole) return []
+    if (this._complete) return []
     this._startedAt ??= now
     if (this._missing.size === 0) {
-      this._whole = true
+      this._complete = true
       return [{ type: 'whole', manifestDigest: this._identity }]
     }
-    const effects = this._expire(now)
-    const view: OriginView = { now, namedAt: this._namedAt ?? this._startedAt, startedAt: this._startedAt, failedAt: this._originFailedAt, unheld: this._unheld(now) }
-    for (const index of this._order()) {
-      if (!this._hasRoom()) break
+    const effects = this._expirePulls(now)
+    const view: OriginView = { now, publishedAt: this._publishedAt ?? this._startedAt, startedAt: this._startedAt, failedAt: this._originFailedAt, unheld: this._unheld(now) }
+    for (const index of this._requestOrder()) {
+      if (!this._hasCapacity()) break
       const effect = this._start(index, view)
       if (effect !== undefined) effects.push(effect)
     }
@@ -164,16 +164,16 @@
 
   /** Records that a chunk was received, verified and stored. */
   arrived (attempt: number, now: number): TransferEffect[] {
-    const pull = this._end(attempt)
+    const pull = this._removePull(attempt)
     if (pull === undefined) return []
     this._missing.delete(pull.index)
-    this._arrivedAt = now
+    this._lastChunkAt = now
     if (pull.peer !== undefined) {
-      this._peers.delivered(pull.peer, now - pull.startedAt)
-      this._window.took(now - pull.startedAt, now)
+      this._peers.succeeded(pull.peer, now - pull.startedAt)
+      this._window.record(now - pull.startedAt, now)
     }
     const others = [...this._pulls].filter(([, other]) => other.index === pull.index)
-    for (const [other] of others) this._end(other)
+    for (const [other] of others) this._removePull(other)
     return [...others.map(([other]) => ({ type: 'abandon', attempt: other }) as const), ...this.tick(now)]
   }
 
@@ -182,9 +182,9 @@
 
   /** Records that an attempt failed. */
   failed (attempt: number, problem: FetchProblem, now: number): TransferEffect[] {
-    const pull = this._end(attempt)
+    const pull = this._removePull(attempt)
     if (pull === undefined) return []
-    this._note(pull, problem, now)
+    this._recordFailure(pull, problem, now)
     return this.tick(now)
   }
 
@@ -193,47 +193,47 @@
     const effects = [...this._pulls.keys()].map(attempt => ({ type: 'abandon', attempt }) as const)
     this._pulls.clear()
     this._missing.clear()
-    this._whole = true
+    this._complete = true
     return effects
   }
 
-  private _deal (): void {
-    this._places = new ChunkPlaces(this._self, this._members.filter(({ instance }) => !this._unreachable.has(instance)))
+  private _reassign (): void {
+    this._assignment = new ChunkPlaces(this._self, this._members.filter(({ instance }) => !this._unreachable.has(instance)))
   }
 
   /**
    * Returns the missing chunks in the order in which they are requested: first those that this member pulls into its zone, since others
    * wait for them, then the rest. Both start at a random position, so that members request different chunks.
    */
-  private _order (): number[] {
+  private _requestOrder (): number[] {
     const missing = [...this._missing]
     const start = Math.floor(this._draw() * missing.length)
-    const turned = [...missing.slice(start), ...missing.slice(0, start)]
-    const own = turned.filter(index => this._places.turn(index).inZone === 0)
-    return [...own, ...turned.filter(index => this._places.turn(index).inZone > 0)]
+    const rotated = [...missing.slice(start), ...missing.slice(0, start)]
+    const own = rotated.filter(index => this._assignment.turn(index).inZone === 0)
+    return [...own, ...rotated.filter(index => this._assignment.turn(index).inZone > 0)]
   }
 
-  private _hasRoom (): boolean {
-    return this._pulls.size < this._peerRoom() + this._limit.origin
+  private _hasCapacity (): boolean {
+    return this._pulls.size < this._peerLimit() + this._limit.origin
   }
 
-  private _peerRoom (): number { return Math.min(this._limit.peers, this._window.size) }
+  private _peerLimit (): number { return Math.min(this._limit.peers, this._window.size) }
 
   private _start (index: number, view: OriginView): TransferEffect | undefined {
     const { now } = view
-    const flying = [...this._pulls.values()].filter(pull => pull.index === index)
-    if (flying.length > 0) return this._hedge(index, flying, now)
+    const inFlight = [...this._pulls.values()].filter(pull => pull.index === index)
+    if (inFlight.length > 0) return this._hedge(index, inFlight, now)
     const peer = this._peerFor(index, now)
-    if (peer !== undefined) return this._count(false) < this._peerRoom() ? this._pull(index, peer, now) : undefined
+    if (peer !== undefined) return this._countPulls(false) < this._peerLimit() ? this._pull(index, peer, now) : undefined
     return this._mayReadOrigin(index, view) ? this._pull(index, undefined, now) : undefined
   }
 
   /** Requests a slow chunk from a second peer near the end of a transfer, where one slow peer would delay the whole version. */
-  private _hedge (index: number, flying: readonly Pull[], now: number): TransferEffect | undefined {
-    const [first] = flying
-    if (flying.length > 1 || first?.peer === undefined || this._missing.size > HEDGE_MISSING) return undefined
-    const usual = this._peers.usualTook
-    if (usual === 0 || now - first.startedAt < HEDGE_FACTOR * usual) return undefined
+  private _hedge (index: number, inFlight: readonly Pull[], now: number): TransferEffect | undefined {
+    const [first] = inFlight
+    if (inFlight.length > 1 || first?.peer === undefined || this._missing.size > HEDGE_MAX_MISSING) return undefined
+    const median = this._peers.medianPullTime
+    if (median === 0 || now - first.startedAt < HEDGE_FACTOR * median) return undefined
     const other = this._peerFor(index, now, first.peer)
     return other === undefined ? undefined : this._pull(index, other, now)
   }
@@ -242,20 +242,20 @@
   private _peerFor (index: number, now: number, except = ''): string | undefined {
     const holders = this._peers.sources(index, now, except)
     const own = holders.filter(({ availabilityZone }) => availabilityZone === this._self.availabilityZone)
-    if (own.length > 0) return this._peers.leastBusy(own, this._places.predecessor)
+    if (own.length > 0) return this._peers.fastest(own, this._assignment.predecessor)
     if (holders.length === 0) return undefined
-    const seenAt = this._seenAbroadAt.get(index) ?? now
-    this._seenAbroadAt.set(index, seenAt)
-    const { inZone } = this._places.turn(index)
-    return now - seenAt >= inZone * this._policy.zoneStagger ? this._peers.leastBusy(holders, this._places.predecessor) : undefined
+    const seenAt = this._seenInOtherZoneAt.get(index) ?? now
+    this._seenInOtherZoneAt.set(index, seenAt)
+    const { inZone } = this._assignment.turn(index)
+    return now - seenAt >= inZone * this._policy.zoneStagger ? this._peers.fastest(holders, this._assignment.predecessor) : undefined
   }
 
   private _mayReadOrigin (index: number, view: OriginView): boolean {
-    if (this._count(true) >= this._limit.origin || view.now < (this._originRetryAt.get(index) ?? -Infinity)) return false
-    return this._schedule.mayRead(index, this._places.turn(index).overall, view)
+    if (this._countPulls(true) >= this._limit.origin || view.now < (this._originRetryAt.get(index) ?? -Infinity)) return false
+    return this._originSchedule.mayRead(index, this._assignment.turn(index).overall, view)
   }
 
-  private _count (origin: boolean): number {
+  private _countPulls (origin: boolean): number {
     let count = 0
     for (const { peer } of this._pulls.values()) if ((peer === undefined) === origin) count += 1
     return count
@@ -272,7 +272,7 @@
     return { type: 'fetch', attempt, index, digest, bytes, source, timeout }
   }
 
-  private _end (attempt: number): Pull | undefined {
+  private _removePull (attempt: number): Pull | undefined {
     const pull = this._pulls.get(attempt)
     if (pull === undefined) return undefined
     this._pulls.delete(attempt)
@@ -281,24 +281,24 @@
     return pull
   }
 
-  private _expire (now: number): TransferEffect[] {
-    const late = [...this._pulls].filter(([, pull]) => pull.deadline <= now)
-    return late.map(([attempt, pull]) => {
-      this._end(attempt)
-      this._window.took(now - pull.startedAt, now)
-      this._note(pull, 'timed-out', now)
+  private _expirePulls (now: number): TransferEffect[] {
+    const overdue = [...this._pulls].filter(([, pull]) => pull.deadline <= now)
+    return overdue.map(([attempt, pull]) => {
+      this._removePull(attempt)
+      this._window.record(now - pull.startedAt, now)
+      this._recordFailure(pull, 'timed-out', now)
       return { type: 'abandon', attempt } as const
     })
   }
 
-  private _note ({ index, peer: name }: Pull, problem: FetchProblem, now: number): void {
-    if (name === undefined) {
-      this._originRetryAt.set(index, now + ORIGIN_RETRY)
+  private _recordFailure ({ index, peer: instance }: Pull, problem: FetchProblem, now: number): void {
+    if (instance === undefined) {
+      this._originRetryAt.set(index, now + ORIGIN_RETRY_DELAY)
       if (problem !== 'corrupt') this._originFailedAt = now
       return
     }
     // A stored chunk may become corrupt; its holder then replies that it does not hold it.
-    if (problem === 'not-held' || problem === 'corrupt') this._peers.lacks(name, index)
-    if (problem !== 'not-held') this._peers.failed(name, now)
+    if (problem === 'not-held' || problem === 'corrupt') this._peers.removeChunk(instance, index)
+    if (problem !== 'not-held') this._peers.failed(instance, now)
   }
 }
--- a/packages/core/src/lib/routing/weights/origin-schedule.ts
+++ b/packages/core/src/lib/routing/weights/origin-schedule.ts
@@ -15,13 +15,13 @@
  * other: one of 64 chunks had not left the origin 2.5 s after publication, although one copy takes 1.7 s. Without a bound, the origin
  * rejects some of 47 members.
  */
-const HEAD_START = 24
+const CONCURRENT_CHUNKS = 24
 
 /** The state on which a member's decision is based; times by its own clock, in milliseconds. */
 export interface OriginView {
   readonly now: number
   /** Time at which the version was published. The schedule starts then, so that it also applies to members that start late. */
-  readonly namedAt: number
+  readonly publishedAt: number
   /** Time at which this member started, after which it learns which chunks others hold. */
   readonly startedAt: number
   /** Time of this member's last failed read from the origin; -Infinity if there was none. */
@@ -34,23 +34,23 @@
 export class OriginSchedule {
   private readonly _chunkTime: number
 
-  constructor (private readonly _chunks: number, private readonly _policy: Pick<SwarmPolicy, 'originCopyTime' | 'stepInPatience' | 'originStagger'>) {
+  constructor (private readonly _chunks: number, private readonly _policy: Pick<SwarmPolicy, 'originCopyTime' | 'takeoverDelay' | 'originStagger'>) {
     this._chunkTime = _policy.originCopyTime / _chunks
   }
 
   /**
    * Whether a member may read a chunk now.
    *
-   * @param turn The member's overall rank for the chunk; 0 is first.
+   * @param rank The member's overall rank for the chunk; 0 is first.
    * @example
    * if (schedule.mayRead(7, places.turn(7).overall, view)) readFromOrigin(7)
    */
-  mayRead (index: number, turn: number, view: OriginView): boolean {
+  mayRead (index: number, rank: number, view: OriginView): boolean {
     const position = view.unheld.indexOf(index)
     if (position < 0) return false
-    if (turn === 0) return position < HEAD_START || view.now >= view.namedAt + index * this._chunkTime
+    if (rank === 0) return position < CONCURRENT_CHUNKS || view.now >= view.publishedAt + index * this._chunkTime
     const dueAt = Math.max(view.startedAt, this._dueAt(index, view))
-    return view.now >= dueAt + this._policy.stepInPatience + (turn - 1) * this._policy.originStagger
+    return view.now >= dueAt + this._policy.takeoverDelay + (rank - 1) * this._policy.originStagger
   }
 
   /**
@@ -60,13 +60,13 @@
    * followed the chunk's position, members would read 2.9 copies instead of 2.2.
    */
   private _dueAt (index: number, view: OriginView): number {
-    if (view.failedAt > view.namedAt) return view.failedAt + view.unheld.length * this._chunkTime
-    return view.namedAt + index * this._chunkTime + this._delay(view)
+    if (view.failedAt > view.publishedAt) return view.failedAt + view.unheld.length * this._chunkTime
+    return view.publishedAt + index * this._chunkTime + this._lag(view)
   }
 
   /** Returns how far the origin is behind the schedule, in milliseconds. More readers would not speed up a slow origin. */
-  private _delay ({ now, namedAt, unheld }: OriginView): number {
-    const due = Math.min(this._chunks, (now - namedAt) / this._chunkTime)
+  private _lag ({ now, publishedAt, unheld }: OriginView): number {
+    const due = Math.min(this._chunks, (now - publishedAt) / this._chunkTime)
     const held = this._chunks - unheld.length
     return Math.max(0, due - held) * this._chunkTime
   }
--- a/packages/core/src/lib/routing/weights/swarm-peers.ts
+++ b/packages/core/src/lib/routing/weights/swarm-peers.ts
@@ -16,20 +16,20 @@
   /** Consecutive failures. */
   failures: number
   /** Time until which the peer is not used. */
-  avoidUntil: number
+  backOffUntil: number
   /** Exponentially weighted moving average of the peer's pull times, in milliseconds; 0 before the first chunk. */
-  took: number
+  averagePullTime: number
 }
 
 /** Back-off after a peer's first failure and its upper bound, in milliseconds. It doubles with each consecutive failure. */
-const FIRST_AVOIDANCE = 300
-const LONGEST_AVOIDANCE = 4_000
-const TOOK_SMOOTHING = 0.3
+const INITIAL_BACK_OFF = 300
+const MAX_BACK_OFF = 4_000
+const PULL_TIME_SMOOTHING = 0.3
 /**
  * How long an indirect report of a chunk is trusted, in milliseconds: half the time of a transfer. If no peer holds the chunk by then,
  * its holder is assumed to have left.
  */
-const HEARSAY_LIFETIME = 2_500
+const REPORT_LIFETIME = 2_500
 /**
  * Cost factor of a pull from the predecessor in the zone's ring, relative to other peers. With a purely random choice, several peers
  * send to one member at once, whose link then delays requests by 50 to 150 ms, while other members receive nothing.
@@ -40,9 +40,9 @@
 export class SwarmPeers {
   private readonly _peers = new Map<string, SwarmPeer>()
   /** Chunks that peers have reported at other members, with the time of the first report. */
-  private readonly _heardOf = new Map<number, number>()
+  private readonly _reportedAt = new Map<number, number>()
   /** Number of peers that hold each chunk; chunks without a holder have no entry, or 0. */
-  private readonly _holders = new Map<number, number>()
+  private readonly _holderCounts = new Map<number, number>()
 
   /**
    * @param _draw Returns random numbers in [0, 1), to spread pulls over peers.
@@ -53,86 +53,86 @@
   add (members: readonly ChunkMember[]): void {
     for (const { instance, availabilityZone } of members) {
       if (instance === this._self.instance || this._peers.has(instance)) continue
-      this._peers.set(instance, { instance, availabilityZone, held: new Set(), outstanding: 0, failures: 0, avoidUntil: -Infinity, took: 0 })
+      this._peers.set(instance, { instance, availabilityZone, held: new Set(), outstanding: 0, failures: 0, backOffUntil: -Infinity, averagePullTime: 0 })
     }
   }
 
   get (instance: string): SwarmPeer | undefined { return this._peers.get(instance) }
 
   /** Records a peer's announcement of chunks that it holds. */
-  holds (instance: string, chunks: Iterable<number>): void {
+  addChunks (instance: string, chunks: Iterable<number>): void {
     const peer = this._peers.get(instance)
     if (peer === undefined) return
     for (const chunk of chunks) {
       if (peer.held.has(chunk)) continue
       peer.held.add(chunk)
-      this._holders.set(chunk, (this._holders.get(chunk) ?? 0) + 1)
+      this._holderCounts.set(chunk, (this._holderCounts.get(chunk) ?? 0) + 1)
     }
   }
 
   /** Records a peer's report of chunks that another member holds. */
-  hearOf (chunks: Iterable<number>, now: number): void {
-    for (const chunk of chunks) if (!this._heardOf.has(chunk)) this._heardOf.set(chunk, now)
+  addReport (chunks: Iterable<number>, now: number): void {
+    for (const chunk of chunks) if (!this._reportedAt.has(chunk)) this._reportedAt.set(chunk, now)
   }
 
   /** Whether a peer is known to hold a chunk, or a recent report says that some member does. */
-  somewhere (index: number, now: number): boolean {
-    return this.hold(index) || now - (this._heardOf.get(index) ?? -Infinity) < HEARSAY_LIFETIME
+  isHeldOrReported (index: number, now: number): boolean {
+    return this.isHeld(index) || now - (this._reportedAt.get(index) ?? -Infinity) < REPORT_LIFETIME
   }
 
   /** Records that a peer does not hold a chunk that it announced. */
-  lacks (instance: string, index: number): void {
-    if (this._peers.get(instance)?.held.delete(index) === true) this._holders.set(index, (this._holders.get(index) ?? 1) - 1)
+  removeChunk (instance: string, index: number): void {
+    if (this._peers.get(instance)?.held.delete(index) === true) this._holderCounts.set(index, (this._holderCounts.get(index) ?? 1) - 1)
   }
 
   /** Records the loss of a peer: its chunks are unknown until it announces them again. */
-  lost (instance: string): void {
-    for (const index of [...this._peers.get(instance)?.held ?? []]) this.lacks(instance, index)
+  removeAllChunks (instance: string): void {
+    for (const index of [...this._peers.get(instance)?.held ?? []]) this.removeChunk(instance, index)
   }
 
   /** Whether some peer holds a chunk. */
-  hold (index: number): boolean { return (this._holders.get(index) ?? 0) > 0 }
+  isHeld (index: number): boolean { return (this._holderCounts.get(index) ?? 0) > 0 }
 
   /** Returns the peers that hold exactly the given number of distinct chunks. */
-  holdersOf (chunks: number): string[] {
+  peersWithChunkCount (chunks: number): string[] {
     return [...this._peers.values()].filter(({ held }) => held.size === chunks).map(({ instance }) => instance)
   }
 
   /** Returns the peers that a chunk can be pulled from, except one. */
   sources (index: number, now: number, except: string): SwarmPeer[] {
-    return [...this._peers.values()].filter(({ instance, held, avoidUntil }) => instance !== except && held.has(index) && now >= avoidUntil)
+    return [...this._peers.values()].filter(({ instance, held, backOffUntil }) => instance !== except && held.has(index) && now >= backOffUntil)
   }
 
   /** Returns the peer with the lowest expected pull time, with a random factor that spreads members over peers. */
-  leastBusy (peers: readonly SwarmPeer[], predecessor: string): string | undefined {
+  fastest (peers: readonly SwarmPeer[], predecessor: string): string | undefined {
     let best: { readonly instance: string, readonly cost: number } | undefined
-    for (const { instance, outstanding, took } of peers) {
-      const share = instance === predecessor ? PREDECESSOR_COST : 1
-      const cost = share * (outstanding + 1) * Math.max(1, took) * (1 + this._draw())
+    for (const { instance, outstanding, averagePullTime } of peers) {
+      const factor = instance === predecessor ? PREDECESSOR_COST : 1
+      const cost = factor * (outstanding + 1) * Math.max(1, averagePullTime) * (1 + this._draw())
       if (best === undefined || cost < best.cost) best = { instance, cost }
     }
     return best?.instance
   }
 
   /** The median of the peers' average pull times, in milliseconds; 0 before the first chunk. */
-  get usualTook (): number {
-    const known = [...this._peers.values()].map(({ took }) => took).filter(took => took > 0).sort((left, right) => left - right)
-    return known[Math.floor(known.length / 2)] ?? 0
+  get medianPullTime (): number {
+    const averages = [...this._peers.values()].map(({ averagePullTime }) => averagePullTime).filter(average => average > 0).sort((left, right) => left - right)
+    return averages[Math.floor(averages.length / 2)] ?? 0
   }
 
   /** Records a successful pull and its duration. */
-  delivered (instance: string, milliseconds: number): void {
+  succeeded (instance: string, milliseconds: number): void {
     const peer = this._peers.get(instance)
     if (peer === undefined) return
     peer.failures = 0
-    peer.took += TOOK_SMOOTHING * (milliseconds - peer.took)
+    peer.averagePullTime += PULL_TIME_SMOOTHING * (milliseconds - peer.averagePullTime)
   }
 
   /** Records a failed pull: the peer is not used during an exponentially increasing back-off. */
   failed (instance: string, now: number): void {
     const peer = this._peers.get(instance)
     if (peer === undefined) return
-    peer.avoidUntil = now + Math.min(LONGEST_AVOIDANCE, FIRST_AVOIDANCE * 2 ** peer.failures)
+    peer.backOffUntil = now + Math.min(MAX_BACK_OFF, INITIAL_BACK_OFF * 2 ** peer.failures)
     peer.failures += 1
   }
 }
--- a/packages/core/src/lib/routing/weights/swarm-policy.ts
+++ b/packages/core/src/lib/routing/weights/swarm-policy.ts
@@ -18,7 +18,7 @@
   /** Time in which the origin serves one copy. */
   readonly originCopyTime: number
   /** How long a chunk must be overdue at the origin before the member of the next rank reads it. */
-  readonly stepInPatience: number
+  readonly takeoverDelay: number
   /** Additional delay per further rank. */
   readonly originStagger: number
   /** Delay per rank before a member pulls a chunk into its zone in place of the assigned member. */
@@ -42,7 +42,7 @@
  * past its deadline.
  */
 export const defaultSwarmPolicy: SwarmPolicy = {
-  peerWindow: 6, originWindow: 1, peerTimeout: 900, originTimeout: 2_500, originCopyTime: 2_000, stepInPatience: 1_000, originStagger: 250, zoneStagger: 1_000
+  peerWindow: 6, originWindow: 1, peerTimeout: 900, originTimeout: 2_500, originCopyTime: 2_000, takeoverDelay: 1_000, originStagger: 250, zoneStagger: 1_000
 }
 
 /** Limits on the concurrent requests of a swarm. */
--- a/packages/core/src/lib/routing/weights/version-overlap.ts
+++ b/packages/core/src/lib/routing/weights/version-overlap.ts
@@ -43,7 +43,7 @@
  * link, which both versions share. If it is already completed when half a copy has left the origin and a third is held, the older
  * version is served two seconds longer, the newer one arrives 1.5 s later, and engines switch twice.
  */
-const LEAST_PROGRESS = 0.75
+const MIN_PROGRESS = 0.75
 
 /**
  * Whether the transfer of an older version should be completed although a newer one is published.
@@ -52,7 +52,7 @@
  * if (worthFinishing({ version: 2, whole: false, progress: 0.9, known: 1 })) collectBeside()
  */
 export function worthFinishing ({ whole, progress }: StagedVersion): boolean {
-  return whole || progress >= LEAST_PROGRESS
+  return whole || progress >= MIN_PROGRESS
 }
 
 /**
--- a/packages/core/src/lib/routing/weights/version-switch.ts
+++ b/packages/core/src/lib/routing/weights/version-switch.ts
@@ -56,22 +56,22 @@
 export type OrderResult = 'begun' | 'done' | 'refused' | 'unreachable' | 'not-whole'
 
 /** Delay after which peers that completed the version at the same time are known, in milliseconds. They announce it every 60 ms. */
-const TELL_TIME = 150
+const ANNOUNCE_DELAY = 150
 
 /**
  * How long before the version is complete a switch is announced, in milliseconds: the time of a response of average length. Entries
  * then route requests with long responses to engines that switch later.
  */
-const LONGEST_NOTICE = 1_500
+const MAX_NOTICE = 1_500
 
 /** Delay before an order is repeated, by the result of the last one, in milliseconds. */
-const retryPauses: Record<OrderResult, number> = { begun: 300, done: 0, refused: 300, unreachable: 200, 'not-whole': 100 }
+const retryDelays: Record<OrderResult, number> = { begun: 300, done: 0, refused: 300, unreachable: 200, 'not-whole': 100 }
 
 /** The switch of one engine. */
 export class VersionSwitch {
   private _retryAt = -Infinity
-  private _wholeVersion = 0
-  private _wholeAt = 0
+  private _completeVersion = 0
+  private _completeAt = 0
 
   /**
    * @param _bound Time from the publication of a version after which no request may start on an older one, in milliseconds.
@@ -87,12 +87,12 @@
    */
   step (view: SwitchView, now: number): SwitchStep {
     const { wanted, heardAt, whole, engine } = view
-    this._noteWhole(whole, now)
+    this._recordComplete(whole, now)
     if (wanted === 0 || whole !== wanted || engine === undefined || engine.busy || now < this._retryAt) return { type: 'wait' }
     if (engine.version >= wanted) return { type: 'wait' }
     if (engine.version === 0) return { type: 'order', version: wanted, why: 'empty' }
     if (heardAt === undefined || now >= heardAt + this._bound) return { type: 'order', version: wanted, why: 'late' }
-    return now >= this._turnAt(heardAt, view.turn, this._wholeAt) ? { type: 'order', version: wanted, why: 'turn' } : { type: 'wait' }
+    return now >= this._switchAt(heardAt, view.turn, this._completeAt) ? { type: 'order', version: wanted, why: 'turn' } : { type: 'wait' }
   }
 
   /**
@@ -102,27 +102,27 @@
   plannedAt (view: SwitchView, now: number): number | undefined {
     const { wanted, heardAt, whole, wholeIn, engine } = view
     if (wanted === 0 || heardAt === undefined || engine === undefined || engine.version === 0 || engine.version >= wanted) return undefined
-    if (whole === wanted && this._wholeVersion === wanted) return this._turnAt(heardAt, view.turn, this._wholeAt)
-    if (wholeIn === undefined || wholeIn > LONGEST_NOTICE) return undefined
+    if (whole === wanted && this._completeVersion === wanted) return this._switchAt(heardAt, view.turn, this._completeAt)
+    if (wholeIn === undefined || wholeIn > MAX_NOTICE) return undefined
     const { turn } = view
-    return this._turnAt(heardAt, { ...turn, index: turn.finalIndex }, now + wholeIn)
+    return this._switchAt(heardAt, { ...turn, index: turn.finalIndex }, now + wholeIn)
   }
 
   /** Spreads the switches evenly from the time at which the first engine holds the complete version to the latest start of a switch. */
-  private _turnAt (heardAt: number, { index, of, since }: SwitchTurn, wholeAt: number): number {
-    const pause = Math.max(0, heardAt + this._bound - this._lead - since) / Math.max(1, of - 1)
-    return Math.max(wholeAt + TELL_TIME, since + index * pause)
+  private _switchAt (heardAt: number, { index, of, since }: SwitchTurn, completeAt: number): number {
+    const interval = Math.max(0, heardAt + this._bound - this._lead - since) / Math.max(1, of - 1)
+    return Math.max(completeAt + ANNOUNCE_DELAY, since + index * interval)
   }
 
   /** Records the result of an order. */
   answered (result: OrderResult, now: number): void {
-    this._retryAt = now + retryPauses[result]
+    this._retryAt = now + retryDelays[result]
   }
 
-  private _noteWhole (whole: number, now: number): void {
-    if (whole === this._wholeVersion) return
-    this._wholeVersion = whole
-    this._wholeAt = now
+  private _recordComplete (whole: number, now: number): void {
+    if (whole === this._completeVersion) return
+    this._completeVersion = whole
+    this._completeAt = now
   }
 }
 
@@ -139,7 +139,7 @@
  */
 export function switchPlace (self: ChunkMember, whole: readonly string[], members: readonly ChunkMember[], identity: string): Pick<SwitchTurn, 'index' | 'finalIndex' | 'of'> {
   const zone = new Set([self.instance, ...members.filter(({ availabilityZone }) => availabilityZone === self.availabilityZone).map(({ instance }) => instance)])
-  const ready = whole.filter(instance => zone.has(instance))
-  const placeAmong = (instances: Iterable<string>): number => rendezvousOrder([...instances], identity).indexOf(self.instance)
-  return { index: placeAmong(new Set([self.instance, ...ready])), finalIndex: placeAmong(zone), of: zone.size }
+  const completed = whole.filter(instance => zone.has(instance))
+  const positionAmong = (instances: Iterable<string>): number => rendezvousOrder([...instances], identity).indexOf(self.instance)
+  return { index: positionAmong(new Set([self.instance, ...completed])), finalIndex: positionAmong(zone), of: zone.size }
 }
--- a/packages/core/src/test/lib/routing/published/relay-book_test.ts
+++ b/packages/core/src/test/lib/routing/published/relay-book_test.ts
@@ -22,7 +22,7 @@
 const later = note('koshi-a', 1, true, 2)
 
 describe('RelayBook', () => {
-  const sources: [name: string, relays: readonly [string, RelayNote][], passedOver: readonly string[], after: number, expected: string | undefined][] = [
+  const sources: [name: string, relays: readonly [string, RelayNote][], excluded: readonly string[], after: number, expected: string | undefined][] = [
     ['its availability zone rather than its region', [['b', note('koshi-b', 2)], ['a', note('koshi-a', 2)]], [], 0, 'a'],
     ['its region rather than another', [['c', note('bagmati-c', 2)], ['b', note('koshi-b', 2)]], [], 0, 'b'],
     ['another region if no relay is nearer', [['c', note('bagmati-c', 2)]], [], 0, 'c'],
@@ -33,12 +33,12 @@
     ['a relay of a later epoch, even at a lower revision', [['a', later]], [], 0, 'a'],
     ['no relay of an earlier epoch, even at a higher revision', [['a', earlier]], [], 0, undefined]
   ]
-  for (const [name, relays, passedOver, after, expected] of sources) {
+  for (const [name, relays, excluded, after, expected] of sources) {
     it(`fetches changes from ${name}`, () => {
       const book = new RelayBook(place)
-      for (const [address, told] of relays) book.heard(address, told, 0)
-      book.ahead(held(1), ['configuration'], new Set(passedOver), 0)
-      assert.equal(book.ahead(held(1), ['configuration'], new Set(passedOver), after), expected)
+      for (const [address, relayNote] of relays) book.heard(address, relayNote, 0)
+      book.ahead(held(1), ['configuration'], new Set(excluded), 0)
+      assert.equal(book.ahead(held(1), ['configuration'], new Set(excluded), after), expected)
     })
   }
 
@@ -69,7 +69,7 @@
 
   it('does not take over the followed revision of a relay of another epoch', () => {
     const book = new RelayBook(place)
-    for (const [address, told] of [['a', earlier], ['b', later]] as const) book.heard(address, told, 0)
+    for (const [address, relayNote] of [['a', earlier], ['b', later]] as const) book.heard(address, relayNote, 0)
     assert.deepEqual([book.followedBy(held(9), 'configuration', 0), book.followedBy(held(1), 'configuration', 0)], [0, 0])
   })
 })
--- a/packages/core/src/test/lib/routing/published/store-epochs_test.ts
+++ b/packages/core/src/test/lib/routing/published/store-epochs_test.ts
@@ -22,7 +22,7 @@
 }
 
 /** Returns the state of a process in epoch 1 that has followed all topics up to revision 30. */
-function following (changes: readonly PublishedChange[]): PublishedState {
+function newFollower (changes: readonly PublishedChange[]): PublishedState {
   const state = new PublishedState()
   state.enter(1, 0)
   state.takeWhole('configuration', [configuration(20, 25)], 30, 0)
@@ -33,7 +33,7 @@
 }
 
 /** Applies a snapshot of the endpoints in epoch 2, at revision 22. */
-function restored (state: PublishedState, endpoints: readonly PublishedChange[]): void {
+function applyRestoredEndpoints (state: PublishedState, endpoints: readonly PublishedChange[]): void {
   state.enter(2, 1_000)
   state.takeWhole('endpoints', endpoints, 22, 1_000)
 }
@@ -63,7 +63,7 @@
   ]
   for (const [name, before, after, expected] of cases) {
     it(name, () => {
-      const state = following(before)
+      const state = newFollower(before)
       state.enter(2, 1_000)
       for (const change of after) state.take(change, 1_000)
       assert.equal(summary(state), expected)
@@ -71,22 +71,22 @@
   }
 
   it('compares revisions again once the store has supplied a newer entry', () => {
-    const state = following([])
-    restored(state, [listed('a', 5, { writings: 2 }), listed('b', 6)])
+    const state = newFollower([])
+    applyRestoredEndpoints(state, [listed('a', 5, { writings: 2 }), listed('b', 6)])
     state.take(listed('a', 24, { draining: true, writings: 3 }), 1_000)
     state.take(listed('a', 23, { writings: 9 }), 1_000)
     assert.equal(summary(state), '20, 2, a drains, b')
   })
 
   it('reports no change for items that are written again unchanged', () => {
-    const state = following([])
+    const state = newFollower([])
     state.enter(2, 1_000)
     const rewritten = [configuration(20, 3), wanted(2, 4), listed('a', 5, { writings: 2 })]
     assert.deepEqual(rewritten.flatMap(change => state.take(change, 1_000)), [])
   })
 
   it('resets the followed revisions and keeps the known topics', () => {
-    const state = following([])
+    const state = newFollower([])
     state.enter(2, 1_000)
     assert.deepEqual([state.note, state.held, state.complete, state.knows('versions')], [
       { epoch: 2, configuration: 0, versions: 0, endpoints: 0 }, { epoch: 2, configuration: 0, versions: 0, endpoints: 0 }, true, true
@@ -100,8 +100,8 @@
   ]
   for (const [name, after, at, expected] of missing) {
     it(`an endpoint that the copy lacks ${name}`, () => {
-      const state = following([])
-      restored(state, [listed('b', 6)])
+      const state = newFollower([])
+      applyRestoredEndpoints(state, [listed('b', 6)])
       for (const change of after) state.take(change, 1_500)
       state.expire(at)
       assert.equal(summary(state), expected)
@@ -109,8 +109,8 @@
   }
 
   it('immediately removes an endpoint whose removal follows the snapshot of the copy', () => {
-    const state = following([])
-    restored(state, [listed('a', 5), listed('b', 6)])
+    const state = newFollower([])
+    applyRestoredEndpoints(state, [listed('a', 5), listed('b', 6)])
     state.take(gone('a', 23), 1_100)
     assert.equal(summary(state), '20, 2, b')
   })
@@ -142,30 +142,30 @@
   }
 
   it('adopt the later epoch with its whole state', () => {
-    const [sender, receiver] = [following([]), following([])]
-    restored(sender, [listed('a', 5, { draining: true, writings: 2 }), listed('b', 6)])
+    const [sender, receiver] = [newFollower([]), newFollower([])]
+    applyRestoredEndpoints(sender, [listed('a', 5, { draining: true, writings: 2 }), listed('b', 6)])
     sender.takeWhole('configuration', [configuration(24, 21)], 22, 1_000)
     synchronise(sender, receiver)
     assert.deepEqual([summary(receiver), receiver.note], ['24, 2, a drains, b', { epoch: 2, configuration: 22, versions: 0, endpoints: 22 }])
   })
 
   it('receive no changes from a sender in an earlier epoch', () => {
-    const [sender, receiver] = [following([listed('c', 31)]), following([])]
-    restored(receiver, [listed('a', 5), listed('b', 6)])
+    const [sender, receiver] = [newFollower([listed('c', 31)]), newFollower([])]
+    applyRestoredEndpoints(receiver, [listed('a', 5), listed('b', 6)])
     assert.deepEqual(synchronise(sender, receiver).changes, [])
     assert.equal(summary(receiver), '20, 2, a, b')
   })
 
   it('ignore a delta in flight from an earlier epoch', () => {
-    const [sender, receiver] = [following([listed('c', 31), configuration(19, 40)]), following([])]
+    const [sender, receiver] = [newFollower([listed('c', 31), configuration(19, 40)]), newFollower([])]
     const delta = sender.since(receiver.note, 0)
-    restored(receiver, [listed('a', 5), listed('b', 6)])
+    applyRestoredEndpoints(receiver, [listed('a', 5), listed('b', 6)])
     assert.deepEqual([receiver.takeDelta(delta, 1_000), summary(receiver)], [[], '20, 2, a, b'])
   })
 
   it('receive the state that a sender carried over and that the copy lacks, even if they have no state yet', () => {
-    const [sender, receiver] = [following([listed('a', 31, { draining: true, writings: 2 })]), empty(2)]
-    restored(sender, [listed('a', 5), listed('b', 6)])
+    const [sender, receiver] = [newFollower([listed('a', 31, { draining: true, writings: 2 })]), empty(2)]
+    applyRestoredEndpoints(sender, [listed('a', 5), listed('b', 6)])
     sender.takeWhole('configuration', [configuration(18, 21)], 22, 1_000)
     sender.takeWhole('versions', [], 22, 1_000)
     synchronise(sender, receiver)
@@ -173,8 +173,8 @@
   })
 
   it('hold the same state after a delta, whatever the copy lacked', () => {
-    const [sender, receiver] = [following([]), following([])]
-    restored(sender, [listed('a', 5), listed('b', 6)])
+    const [sender, receiver] = [newFollower([]), newFollower([])]
+    applyRestoredEndpoints(sender, [listed('a', 5), listed('b', 6)])
     sender.takeWhole('configuration', [configuration(18, 21)], 22, 1_000)
     sender.takeWhole('versions', [wanted(1, 20)], 22, 1_000)
     synchronise(sender, receiver)
--- a/packages/core/src/test/lib/routing/weights/chunk-swarm_test.ts
+++ b/packages/core/src/test/lib/routing/weights/chunk-swarm_test.ts
@@ -14,7 +14,7 @@
 
 const CHUNKS = 12
 /** Time after which every member has taken over at the origin for a chunk that no member holds, in milliseconds. */
-const LONGEST_TAKEOVER_DELAY = 2 * defaultSwarmPolicy.originCopyTime + defaultSwarmPolicy.stepInPatience + 5 * defaultSwarmPolicy.originStagger
+const LONGEST_TAKEOVER_DELAY = 2 * defaultSwarmPolicy.originCopyTime + defaultSwarmPolicy.takeoverDelay + 5 * defaultSwarmPolicy.originStagger
 const manifest: Manifest = {
   model: 'm', version: '2', bytes: CHUNKS * 10, chunks: Array.from({ length: CHUNKS }, (_, index) => ({ digest: `digest-${index}`, bytes: 10 }))
 }
@@ -141,16 +141,16 @@
   })
 
   const neighbours = ['koshi-2', 'koshi-3']
-  const [before = '', after = ''] = [places.predecessor, neighbours.find(name => name !== places.predecessor)]
-  const rings: [name: string, arrange: (swarm: ChunkSwarm) => void, expected: string][] = [
-    ['its predecessor rather than others', () => {}, before],
-    ['another peer if the predecessor is unreachable', swarm => swarm.peerLost(before), after]
+  const [predecessor = '', otherNeighbour = ''] = [places.predecessor, neighbours.find(name => name !== places.predecessor)]
+  const neighbourCases: [name: string, setUp: (swarm: ChunkSwarm) => void, expected: string][] = [
+    ['its predecessor rather than others', () => {}, predecessor],
+    ['another peer if the predecessor is unreachable', swarm => swarm.peerLost(predecessor), otherNeighbour]
   ]
-  for (const [name, arrange, expected] of rings) {
+  for (const [name, setUp, expected] of neighbourCases) {
     it(`pulls from ${name}`, () => {
       const swarm = newSwarm()
       for (const neighbour of neighbours) swarm.peerHolds(neighbour, others)
-      arrange(swarm)
+      setUp(swarm)
       const [first] = fetches(swarm.tick(0)).filter(effect => effect.source.kind === 'peer')
       assert.equal(first === undefined ? '' : sourceOf(first), expected)
     })
--- a/packages/core/src/test/lib/routing/weights/origin-schedule_test.ts
+++ b/packages/core/src/test/lib/routing/weights/origin-schedule_test.ts
@@ -9,14 +9,14 @@
 
 /** The origin serves a copy of 40 chunks in 4 s, so each chunk takes 100 ms. */
 const CHUNKS = 40
-const schedule = new OriginSchedule(CHUNKS, { originCopyTime: 4_000, stepInPatience: 600, originStagger: 250 })
+const schedule = new OriginSchedule(CHUNKS, { originCopyTime: 4_000, takeoverDelay: 600, originStagger: 250 })
 
 const START = 10_000
 const all = Array.from({ length: CHUNKS }, (_, index) => index)
 
 /** Returns the view `elapsed` milliseconds after the start, with the first `held` chunks held, except `missing`. */
 function viewAt (elapsed: number, held: number, { failedAt = -Infinity, missing = -1, startedAt = START } = {}): OriginView {
-  return { now: START + elapsed, namedAt: START, startedAt, failedAt, unheld: all.filter(index => index >= held || index === missing) }
+  return { now: START + elapsed, publishedAt: START, startedAt, failedAt, unheld: all.filter(index => index >= held || index === missing) }
 }
 
 describe('OriginSchedule', () => {
--- a/packages/core/src/test/lib/routing/weights/pull-window_test.ts
+++ b/packages/core/src/test/lib/routing/weights/pull-window_test.ts
@@ -8,7 +8,7 @@
 import { PullWindow } from '../../../../lib/routing/weights/pull-window.js'
 
 describe('PullWindow', () => {
-  const cases: [name: string, pulls: readonly (readonly [took: number, now: number])[], size: number][] = [
+  const cases: [name: string, pulls: readonly (readonly [milliseconds: number, now: number])[], size: number][] = [
     ['starts at its largest size', [], 6],
     ['keeps its largest size while pulls are fast', [[100, 1], [100, 2]], 6],
     ['decreases after a slow pull', [[900, 1]], 3],
@@ -20,7 +20,7 @@
   for (const [name, pulls, size] of cases) {
     it(name, () => {
       const window = new PullWindow(6)
-      for (const [took, now] of pulls) window.took(took, now)
+      for (const [milliseconds, now] of pulls) window.record(milliseconds, now)
       assert.equal(window.size, size)
     })
   }
--- a/packages/core/src/test/lib/routing/weights/swarm-peers_test.ts
+++ b/packages/core/src/test/lib/routing/weights/swarm-peers_test.ts
@@ -21,19 +21,19 @@
 
   it('returns the peers that hold a chunk, and those that hold all', () => {
     const peers = newPeers()
-    peers.holds('b', [0, 1])
-    peers.holds('c', [0])
-    assert.deepEqual([peers.hold(1), peers.hold(2), peers.holdersOf(2)], [true, false, ['b']])
+    peers.addChunks('b', [0, 1])
+    peers.addChunks('c', [0])
+    assert.deepEqual([peers.isHeld(1), peers.isHeld(2), peers.peersWithChunkCount(2)], [true, false, ['b']])
     assert.deepEqual(peers.sources(0, 0, 'b').map(({ instance }) => instance), ['c'])
   })
 
   it('removes a chunk that a peer lacks, and all chunks of a lost peer', () => {
     const peers = newPeers()
-    for (const instance of ['b', 'c', 'b']) peers.holds(instance, [0, 1])
-    peers.lacks('b', 0)
-    peers.lacks('b', 0)
-    peers.lost('c')
-    assert.deepEqual([peers.hold(0), peers.hold(1)], [false, true])
+    for (const instance of ['b', 'c', 'b']) peers.addChunks(instance, [0, 1])
+    peers.removeChunk('b', 0)
+    peers.removeChunk('b', 0)
+    peers.removeAllChunks('c')
+    assert.deepEqual([peers.isHeld(0), peers.isHeld(1)], [false, true])
   })
 
   const backOffs: [name: string, failures: number, milliseconds: number][] = [
@@ -44,7 +44,7 @@
   for (const [name, failures, milliseconds] of backOffs) {
     it(`backs off from a peer after ${name} for ${milliseconds} ms`, () => {
       const peers = newPeers()
-      peers.holds('b', [0])
+      peers.addChunks('b', [0])
       for (let count = 0; count < failures; count += 1) peers.failed('b', 0)
       assert.equal(peers.sources(0, milliseconds - 1, '').length, 0)
       assert.equal(peers.sources(0, milliseconds, '').length, 1)
@@ -53,17 +53,17 @@
 
   it('resets the failure count after a successful pull', () => {
     const peers = newPeers()
-    peers.holds('b', [0])
+    peers.addChunks('b', [0])
     peers.failed('b', 0)
-    peers.delivered('b', 100)
+    peers.succeeded('b', 100)
     peers.failed('b', 1_000)
     assert.equal(peers.sources(0, 1_300, '').length, 1)
   })
 
   it('prefers faster peers, and the predecessor to peers that are up to four times as fast', () => {
     const peers = newPeers()
-    for (const [instance, milliseconds] of [['b', 100], ['c', 200], ['d', 300]] as const) peers.delivered(instance, milliseconds)
+    for (const [instance, milliseconds] of [['b', 100], ['c', 200], ['d', 300]] as const) peers.succeeded(instance, milliseconds)
     const all = ['b', 'c', 'd'].flatMap(instance => peers.get(instance) ?? [])
-    assert.deepEqual([peers.leastBusy(all, ''), peers.leastBusy(all, 'd'), peers.usualTook], ['b', 'd', 60])
+    assert.deepEqual([peers.fastest(all, ''), peers.fastest(all, 'd'), peers.medianPullTime], ['b', 'd', 60])
   })
 })
--- a/packages/core/src/test/lib/routing/weights/version-switch_test.ts
+++ b/packages/core/src/test/lib/routing/weights/version-switch_test.ts
@@ -85,26 +85,26 @@
 describe('switchPlace', () => {
   const names = ['a', 'b', 'c', 'd']
   const members = names.map(instance => ({ instance, availabilityZone: 'koshi' }))
-  const indexOf = (instance: string, whole: readonly string[]): number => switchPlace({ instance, availabilityZone: 'koshi' }, whole, members, 'm@2').index
+  const positionOf = (instance: string, whole: readonly string[]): number => switchPlace({ instance, availabilityZone: 'koshi' }, whole, members, 'm@2').index
 
   it('gives each engine of a zone a distinct position once all hold the version', () => {
-    assert.deepEqual(names.map(name => indexOf(name, names)).sort(), [0, 1, 2, 3])
+    assert.deepEqual(names.map(name => positionOf(name, names)).sort(), [0, 1, 2, 3])
   })
 
   it('gives the first position to the only engine that holds the version', () => {
-    for (const name of names) assert.equal(indexOf(name, []), 0)
+    for (const name of names) assert.equal(positionOf(name, []), 0)
   })
 
   it('keeps a consistent order as further engines complete the version', () => {
-    const [first = '', second = ''] = [...names].sort((left, right) => indexOf(left, names) - indexOf(right, names))
-    assert.equal(indexOf(second, []), 0)
-    assert.equal(indexOf(second, [first]), 1)
-    assert.equal(indexOf(first, [second]), 0)
+    const [first = '', second = ''] = [...names].sort((left, right) => positionOf(left, names) - positionOf(right, names))
+    assert.equal(positionOf(second, []), 0)
+    assert.equal(positionOf(second, [first]), 1)
+    assert.equal(positionOf(first, [second]), 0)
   })
 
   it('returns the final position that an engine will have once all hold the version', () => {
     const finalIndexOf = (instance: string): number => switchPlace({ instance, availabilityZone: 'koshi' }, [], members, 'm@2').finalIndex
-    for (const name of names) assert.equal(finalIndexOf(name), indexOf(name, names))
+    for (const name of names) assert.equal(finalIndexOf(name), positionOf(name, names))
   })
 
   const zones: [name: string, self: string, expected: number][] = [
