--- a/packages/core/src/test/lib/routing/published/published-state_test.ts
+++ b/packages/core/src/test/lib/routing/published/published-state_test.ts
@@ -178,7 +178,7 @@
     assert.deepEqual(receiver.takeDelta(sender.since(receiver.note, 0), 100), [])
   })
 
-  it('informs a peer of the removal of an endpoint that preceded its own first snapshot', () => {
+  it('informs a peer that an endpoint was removed before the first snapshot of the sender', () => {
     const [sender, receiver] = [new PublishedState(), new PublishedState()]
     receiver.takeWhole('endpoints', [listed('a', 1), listed('b', 2)], 7, 0)
     sender.takeWhole('endpoints', [listed('b', 2)], 8, 0)
--- a/packages/core/src/test/lib/routing/weights/origin-schedule_test.ts
+++ b/packages/core/src/test/lib/routing/weights/origin-schedule_test.ts
@@ -20,7 +20,7 @@
 }
 
 describe('OriginSchedule', () => {
-  const cases: [name: string, index: number, turn: number, view: OriginView, expected: boolean][] = [
+  const cases: [name: string, index: number, rank: number, view: OriginView, expected: boolean][] = [
     ['one of the first assigned chunks immediately', 23, 0, viewAt(0, 0), true],
     ['a later assigned chunk before earlier ones have left the origin', 24, 0, viewAt(0, 0), false],
     ['a later assigned chunk once an earlier one has left the origin', 24, 0, viewAt(0, 1), true],
--- a/packages/core/src/test/lib/routing/weights/version-switch_test.ts
+++ b/packages/core/src/test/lib/routing/weights/version-switch_test.ts
@@ -9,74 +9,74 @@
 
 const BOUND = 8_000
 const LEAD = 600
-const NAMED = 10_000
+const PUBLISHED_AT = 10_000
 /** Time at which the complete version is held, 5 s after its publication. */
-const WHOLE = NAMED + 5_000
+const COMPLETE_AT = PUBLISHED_AT + 5_000
 
 /** Returns the position of one of three engines (by default), all of which will hold the version. */
-function turnOf (index: number, since = WHOLE, of = 3): SwitchTurn { return { index, finalIndex: index, of, since } }
+function turnOf (index: number, since = COMPLETE_AT, of = 3): SwitchTurn { return { index, finalIndex: index, of, since } }
 
-const view: SwitchView = { wanted: 2, heardAt: NAMED, whole: 2, wholeIn: 0, engine: { version: 1, busy: false }, turn: turnOf(1) }
+const view: SwitchView = { wanted: 2, heardAt: PUBLISHED_AT, whole: 2, wholeIn: 0, engine: { version: 1, busy: false }, turn: turnOf(1) }
 
 const last = turnOf(2)
 
-/** Returns the decision at a time if the complete version is held since `WHOLE`. */
+/** Returns the decision at a time if the complete version is held since `COMPLETE_AT`. */
 function decide (part: Partial<SwitchView>, now: number): string {
   const versionSwitch = new VersionSwitch(BOUND, LEAD)
-  versionSwitch.step({ ...view, engine: undefined }, WHOLE)
+  versionSwitch.step({ ...view, engine: undefined }, COMPLETE_AT)
   const step = versionSwitch.step({ ...view, ...part }, now)
   return step.type === 'order' ? step.why : step.type
 }
 
 describe('VersionSwitch', () => {
-  // The last engine starts to switch at NAMED + BOUND - LEAD, 2,400 ms after the version is complete.
+  // The last engine starts to switch at PUBLISHED_AT + BOUND - LEAD, 2,400 ms after the version is complete.
   const cases: [name: string, part: Partial<SwitchView>, now: number, expected: string][] = [
-    ['a switch of the first engine of a zone as soon as it would know of others', { turn: turnOf(0) }, WHOLE + 150, 'turn'],
-    ['no switch of the first engine before that', { turn: turnOf(0) }, WHOLE + 149, 'wait'],
-    ['no switch of the middle engine before its scheduled time', {}, WHOLE + 1_199, 'wait'],
-    ['a switch of the middle engine at its scheduled time', {}, WHOLE + 1_200, 'turn'],
-    ['a switch of an engine that completes the version after its scheduled time', { turn: turnOf(1, WHOLE - 2_000) }, WHOLE + 200, 'turn'],
-    ['a switch of the last engine when entries stop sending requests to the old version', { turn: last }, NAMED + BOUND - LEAD, 'turn'],
-    ['no switch of the last engine before that', { turn: last }, NAMED + BOUND - LEAD - 1, 'wait'],
-    ['an immediate switch of the only engine of a zone', { turn: turnOf(0, WHOLE, 1) }, WHOLE + 150, 'turn'],
-    ['an immediate switch of an empty engine', { engine: { version: 0, busy: false }, turn: last }, WHOLE, 'empty'],
-    ['a switch of any engine after the deadline', { turn: last }, NAMED + BOUND, 'late'],
-    ['a switch of any engine if the time of publication is unknown', { heardAt: undefined, turn: last }, WHOLE, 'late'],
-    ['no switch while the version is incomplete', { whole: 0 }, NAMED + BOUND, 'wait'],
-    ['no switch while another version is complete', { whole: 1 }, NAMED + BOUND, 'wait'],
-    ['no switch while the engine is busy', { engine: { version: 1, busy: true } }, NAMED + BOUND, 'wait'],
-    ['no switch while the engine does not respond', { engine: undefined }, NAMED + BOUND, 'wait'],
-    ['no switch if the engine serves the version', { engine: { version: 2, busy: false } }, NAMED + BOUND, 'wait'],
-    ['no switch if the engine serves a newer version', { engine: { version: 3, busy: false } }, NAMED + BOUND, 'wait'],
-    ['no switch if no version is wanted', { wanted: 0, whole: 0 }, NAMED + BOUND, 'wait']
+    ['a switch of the first engine of a zone as soon as it would know of others', { turn: turnOf(0) }, COMPLETE_AT + 150, 'turn'],
+    ['no switch of the first engine before that', { turn: turnOf(0) }, COMPLETE_AT + 149, 'wait'],
+    ['no switch of the middle engine before its scheduled time', {}, COMPLETE_AT + 1_199, 'wait'],
+    ['a switch of the middle engine at its scheduled time', {}, COMPLETE_AT + 1_200, 'turn'],
+    ['a switch of an engine that completes the version after its scheduled time', { turn: turnOf(1, COMPLETE_AT - 2_000) }, COMPLETE_AT + 200, 'turn'],
+    ['a switch of the last engine when entries stop sending requests to the old version', { turn: last }, PUBLISHED_AT + BOUND - LEAD, 'turn'],
+    ['no switch of the last engine before that', { turn: last }, PUBLISHED_AT + BOUND - LEAD - 1, 'wait'],
+    ['an immediate switch of the only engine of a zone', { turn: turnOf(0, COMPLETE_AT, 1) }, COMPLETE_AT + 150, 'turn'],
+    ['an immediate switch of an empty engine', { engine: { version: 0, busy: false }, turn: last }, COMPLETE_AT, 'empty'],
+    ['a switch of any engine after the deadline', { turn: last }, PUBLISHED_AT + BOUND, 'late'],
+    ['a switch of any engine if the time of publication is unknown', { heardAt: undefined, turn: last }, COMPLETE_AT, 'late'],
+    ['no switch while the version is incomplete', { whole: 0 }, PUBLISHED_AT + BOUND, 'wait'],
+    ['no switch while another version is complete', { whole: 1 }, PUBLISHED_AT + BOUND, 'wait'],
+    ['no switch while the engine is busy', { engine: { version: 1, busy: true } }, PUBLISHED_AT + BOUND, 'wait'],
+    ['no switch while the engine does not respond', { engine: undefined }, PUBLISHED_AT + BOUND, 'wait'],
+    ['no switch if the engine serves the version', { engine: { version: 2, busy: false } }, PUBLISHED_AT + BOUND, 'wait'],
+    ['no switch if the engine serves a newer version', { engine: { version: 3, busy: false } }, PUBLISHED_AT + BOUND, 'wait'],
+    ['no switch if no version is wanted', { wanted: 0, whole: 0 }, PUBLISHED_AT + BOUND, 'wait']
   ]
   for (const [name, part, now, expected] of cases) it(`orders ${name}`, () => assert.equal(decide(part, now), expected))
 
   it('delays the repetition of an order', () => {
     const versionSwitch = new VersionSwitch(BOUND, LEAD)
-    versionSwitch.step({ ...view, engine: undefined }, WHOLE)
-    versionSwitch.answered('refused', WHOLE + 2_000)
-    assert.equal(versionSwitch.step(view, WHOLE + 2_299).type, 'wait')
-    assert.equal(versionSwitch.step(view, WHOLE + 2_300).type, 'order')
+    versionSwitch.step({ ...view, engine: undefined }, COMPLETE_AT)
+    versionSwitch.answered('refused', COMPLETE_AT + 2_000)
+    assert.equal(versionSwitch.step(view, COMPLETE_AT + 2_299).type, 'wait')
+    assert.equal(versionSwitch.step(view, COMPLETE_AT + 2_300).type, 'order')
   })
 
   const soon = { whole: 0, wholeIn: 1_000 }
   const plans: [name: string, part: Partial<SwitchView>, now: number, expected: number | undefined][] = [
-    ['the scheduled time if the version is complete', {}, WHOLE, WHOLE + 1_200],
-    ['the scheduled time in advance if the version will soon be complete', { ...soon, turn: turnOf(1, WHOLE - 1_000) }, WHOLE - 1_000, WHOLE + 700],
-    ['the first switch not before the version is complete', { ...soon, turn: turnOf(0) }, WHOLE, WHOLE + 1_150],
-    ['the scheduled time by the position that the engine will have once all hold the version', { ...soon, turn: { ...turnOf(0), finalIndex: 2 } }, WHOLE, WHOLE + 2_400],
-    ['no time if the version will not be complete soon', { whole: 0, wholeIn: 1_600 }, WHOLE, undefined],
-    ['no time if it is unknown when the version will be complete', { whole: 0, wholeIn: undefined }, WHOLE, undefined],
-    ['no time if the engine serves the version', { engine: { version: 2, busy: false } }, WHOLE, undefined],
-    ['no time if the engine is empty', { engine: { version: 0, busy: false } }, WHOLE, undefined],
-    ['no time if the engine does not respond', { engine: undefined }, WHOLE, undefined],
-    ['no time if the time of publication is unknown', { heardAt: undefined }, WHOLE, undefined]
+    ['the scheduled time if the version is complete', {}, COMPLETE_AT, COMPLETE_AT + 1_200],
+    ['the scheduled time in advance if the version will soon be complete', { ...soon, turn: turnOf(1, COMPLETE_AT - 1_000) }, COMPLETE_AT - 1_000, COMPLETE_AT + 700],
+    ['the first switch not before the version is complete', { ...soon, turn: turnOf(0) }, COMPLETE_AT, COMPLETE_AT + 1_150],
+    ['the scheduled time by the position that the engine will have once all hold the version', { ...soon, turn: { ...turnOf(0), finalIndex: 2 } }, COMPLETE_AT, COMPLETE_AT + 2_400],
+    ['no time if the version will not be complete soon', { whole: 0, wholeIn: 1_600 }, COMPLETE_AT, undefined],
+    ['no time if it is unknown when the version will be complete', { whole: 0, wholeIn: undefined }, COMPLETE_AT, undefined],
+    ['no time if the engine serves the version', { engine: { version: 2, busy: false } }, COMPLETE_AT, undefined],
+    ['no time if the engine is empty', { engine: { version: 0, busy: false } }, COMPLETE_AT, undefined],
+    ['no time if the engine does not respond', { engine: undefined }, COMPLETE_AT, undefined],
+    ['no time if the time of publication is unknown', { heardAt: undefined }, COMPLETE_AT, undefined]
   ]
   for (const [name, part, now, expected] of plans) {
     it(`plans ${name}`, () => {
       const versionSwitch = new VersionSwitch(BOUND, LEAD)
-      versionSwitch.step({ ...view, engine: undefined }, WHOLE)
+      versionSwitch.step({ ...view, engine: undefined }, COMPLETE_AT)
       assert.equal(versionSwitch.plannedAt({ ...view, ...part }, now), expected)
     })
   }
