--- a/packages/core/src/test/lib/routing/weights/origin-schedule_test.ts
+++ b/packages/core/src/test/lib/routing/weights/origin-schedule_test.ts
@@ -42,7 +42,7 @@
     ['another member\'s chunk before the origin had time to serve all missing chunks after a failure', 8, 1, viewAt(9_099, 4, { failedAt: START + 4_900 }), false],
     ['another member\'s chunk once the origin had time to serve all missing chunks after a failure', 8, 1, viewAt(9_100, 4, { failedAt: START + 4_900 }), true]
   ]
-  for (const [name, index, turn, view, expected] of cases) {
-    it(`${expected ? 'reads' : 'does not read'} ${name}`, () => assert.equal(schedule.mayRead(index, turn, view), expected))
+  for (const [name, index, rank, view, expected] of cases) {
+    it(`${expected ? 'reads' : 'does not read'} ${name}`, () => assert.equal(schedule.mayRead(index, rank, view), expected))
   }
 })
