--- a/packages/core/src/lib/routing/published/lapse-grace.ts
+++ b/packages/core/src/lib/routing/published/lapse-grace.ts
@@ -4,81 +4,83 @@
  * SPDX-License-Identifier: BSD-3-Clause
  */
 /**
- * Whether an endpoint whose entry is missing has left, or its entry only lapsed while the platform's store was away. In the
- * second case it writes its entry again soon, and is kept meanwhile.
+ * Decides whether an endpoint whose entry is missing has left, or whether the entry only expired while the platform's store was
+ * unavailable. In the second case the endpoint soon writes its entry again, and is kept until then.
  */
 
 /**
- * After an outage of the store, endpoints whose entries lapsed meanwhile write them again within about two seconds, as
- * the platform's operators say; half a second is added for the way of that news. In milliseconds.
+ * How long endpoints with missing entries are kept after an outage of the store, in milliseconds. According to the platform's
+ * operators, endpoints write expired entries again within about two seconds; half a second is added for propagation.
  */
-const GRACE = 2_500
-/** Endpoints that a restored store lacks write themselves again with their next heartbeat, in milliseconds. */
+const LAPSE_GRACE = 2_500
+/** Time in which endpoints that a restored store lacks write their entries again, with their next heartbeat, in milliseconds. */
 const REWRITE_TIME = 1_500
-/** When few are missing, in milliseconds: with an outage of the store itself most entries lapse, so these have left. */
-const FEW_GRACE = 500
-/** Less than this share of the endpoints are few. */
-const FEW = 0.5
+/**
+ * Grace period if few endpoints are missing, in milliseconds. In an outage of the store itself most entries expire, so a few missing
+ * endpoints have left.
+ */
+const SHORT_GRACE = 500
+/** Missing endpoints count as few below this share of all endpoints. */
+const FEW_SHARE = 0.5
 
-/** The grace of one process after it could not reach the store. */
+/** The grace period of one process after it lost its connection to the store. */
 export class LapseGrace {
   /** Infinite while the store cannot be reached. */
-  private _until = 0
-  /** From when it is decided whether few or most are missing. */
+  private _graceEndsAt = 0
+  /** Time from which it is decided whether few or most endpoints are missing. */
   private _decideAt = 0
-  /** Removals up to this revision may be lapses. */
-  private _upTo = 0
-  /** Until when the store may lack endpoints that it listed before it was restored from an older copy. */
+  /** Removals up to this revision may be expired entries. */
+  private _lapsedUpTo = 0
+  /** Time until which the store may lack endpoints that it listed before it was restored from an older copy. */
   private _rewrittenBy = 0
-  /** Removals up to this revision may be of that kind. */
+  /** Removals up to this revision may be due to the restored copy. */
   private _restoredUpTo = 0
 
-  /** The store cannot be reached: entries that vanish now may have lapsed only because of that. */
-  lost (): void {
-    this._until = Infinity
-    this._upTo = Infinity
+  /** Records that the store cannot be reached: entries that disappear from now on may only have expired. */
+  storeLost (): void {
+    this._graceEndsAt = Infinity
+    this._lapsedUpTo = Infinity
   }
 
   /**
-   * The store answers again.
+   * Records that the store answers again.
    *
-   * @param upTo Its revision then: what went up to it may have lapsed, what goes later is gone.
+   * @param upTo The store's current revision: removals up to it may be expired entries, later ones are real.
    */
-  regained (now: number, upTo: number): void {
-    if (this._until !== Infinity) return
-    this._until = now + GRACE
-    this._decideAt = now + FEW_GRACE
-    this._upTo = upTo
+  storeRegained (now: number, upTo: number): void {
+    if (this._graceEndsAt !== Infinity) return
+    this._graceEndsAt = now + LAPSE_GRACE
+    this._decideAt = now + SHORT_GRACE
+    this._lapsedUpTo = upTo
   }
 
-  /** The store has been restored from an older copy: endpoints that began since are missing in it, few as they may be. */
-  restored (now: number): void {
+  /** Records that the store was restored from an older copy, which lacks endpoints that started since, even if these are few. */
+  storeRestored (now: number): void {
     this._rewrittenBy = now + REWRITE_TIME
     this._restoredUpTo = Infinity
   }
 
-  /** All endpoints were read up to a revision: removals that are told later are no lack of the copy. */
-  readUpTo (revision: number): void { this._restoredUpTo = Math.min(this._restoredUpTo, revision) }
+  /** Records that all endpoints were read up to a revision: later removals are not due to the restored copy. */
+  snapshotRead (revision: number): void { this._restoredUpTo = Math.min(this._restoredUpTo, revision) }
 
   /**
-   * Until when an endpoint whose entry is missing since a revision is kept.
+   * Returns the time until which an endpoint is kept whose entry is missing since a revision, or `undefined` if it has left.
    *
-   * @returns Nothing when it has left.
    * @example
    * const lapsesAt = grace.keptUntil(revision, now)
    */
   keptUntil (revision: number, now: number): number | undefined {
-    if (now < this._rewrittenBy && revision <= this._restoredUpTo) return Math.max(this._rewrittenBy, this._until)
-    return now < this._until && revision <= this._upTo ? this._until : undefined
+    if (now < this._rewrittenBy && revision <= this._restoredUpTo) return Math.max(this._rewrittenBy, this._graceEndsAt)
+    return now < this._graceEndsAt && revision <= this._lapsedUpTo ? this._graceEndsAt : undefined
   }
 
-  /** Whether an endpoint that is kept until then is to go now. */
-  isOver (lapsesAt: number, now: number): boolean { return now >= Math.max(this._rewrittenBy, Math.min(lapsesAt, this._until)) }
+  /** Whether the grace period of an endpoint that is kept until `lapsesAt` is over. */
+  isExpired (lapsesAt: number, now: number): boolean { return now >= Math.max(this._rewrittenBy, Math.min(lapsesAt, this._graceEndsAt)) }
 
-  /** Decides, once for each outage, whether few or most endpoints are missing. */
-  decide (missing: number, all: number, now: number): void {
-    if (this._until === Infinity || now < this._decideAt) return
+  /** Decides once per outage whether few or most endpoints are missing, and ends the grace period if they are few. */
+  endIfFewMissing (missing: number, all: number, now: number): void {
+    if (this._graceEndsAt === Infinity || now < this._decideAt) return
     this._decideAt = Infinity
-    if (missing < FEW * all) this._until = now
+    if (missing < FEW_SHARE * all) this._graceEndsAt = now
   }
 }
--- a/packages/core/src/lib/routing/published/published-state.ts
+++ b/packages/core/src/lib/routing/published/published-state.ts
@@ -4,13 +4,13 @@
  * SPDX-License-Identifier: BSD-3-Clause
  */
 /**
- * What the platform has published, as one process holds it: the configuration, the versions that are wanted, and the
- * list of endpoints. Changes come from the platform's store or from peers, in any order; each carries the store's
- * revision of its item, and an older one never replaces a newer one.
+ * One process's replica of the state that the platform publishes: the configuration, the wanted versions and the list of
+ * endpoints. Changes come from the platform's store or from peers, in any order. Each carries the store's revision of its item, and
+ * an older revision never replaces a newer one.
  *
- * When the store begins another epoch, what is held is carried over at revision 0, below everything that the new epoch tells. A
- * restored store tells older things too; those are known by the counts of their writers: the version of a configuration, the
- * version of a model, and how often an endpoint has written.
+ * When the store begins a new epoch, the replica is carried over at revision 0, below every revision of the new epoch. A restored
+ * store also returns outdated items. These are recognised by counters that their writers maintain: the version of a
+ * configuration, the version of a model, and the number of times that an endpoint has written its entry.
  */
 import { isEarlierStart, isSameListing, writingsBetween, type EndpointRecord } from './endpoint-record.js'
 import { HeldEndpoints, type HeldEndpoint } from './held-endpoints.js'
@@ -21,183 +21,183 @@
 import type { RoutingConfiguration } from './routing-configuration.js'
 
 /**
- * A version that a peer heard of longer ago counts from when this process hears of it, as after an outage, in milliseconds:
- * a few times the pause in which a relay does not watch the store.
+ * Largest age of a wanted version that is taken over from a peer, in milliseconds: a few times the interval in which a relay does not
+ * watch the store. If the peer received the version longer ago, as after an outage, its time counts from its receipt by this process.
  */
-const LONGEST_AGE = 1_000
+const MAX_VERSION_AGE = 1_000
 
-const NOTHING_SEEN: Readonly<Record<PublishedTopic, number>> = { configuration: 0, versions: 0, endpoints: 0 }
+const NO_REVISIONS: Readonly<Record<PublishedTopic, number>> = { configuration: 0, versions: 0, endpoints: 0 }
 
-/** The published state of one process. */
+/** The replica of the published state in one process. */
 export class PublishedState {
   private _configuration: { readonly revision: number, readonly configuration: RoutingConfiguration } | undefined
   private readonly _versions = new NamedVersions()
   private readonly _grace = new LapseGrace()
   private readonly _endpoints = new HeldEndpoints()
   private readonly _removals = new Removals()
-  private _newestEndpoint = 0
-  private _edition = 0
+  private _newestEndpointRevision = 0
+  private _changeCount = 0
   private _epoch = 0
-  private _seen: Readonly<Record<PublishedTopic, number>> = NOTHING_SEEN
-  /** Topics that were followed in this epoch or an earlier one. */
-  private readonly _known = new Set<PublishedTopic>()
+  private _followed: Readonly<Record<PublishedTopic, number>> = NO_REVISIONS
+  /** Topics that have been followed in this epoch or an earlier one. */
+  private readonly _knownTopics = new Set<PublishedTopic>()
 
   get configuration (): RoutingConfiguration | undefined { return this._configuration?.configuration }
   get configurationRevision (): number { return this._configuration?.revision ?? 0 }
   /** Whether both a configuration and the endpoints are known. */
   get complete (): boolean { return this._configuration !== undefined && this.knows('endpoints') }
-  /** The epoch of the store that is followed; 0 before the first. */
+  /** The epoch of the store that is followed; 0 before the first one. */
   get epoch (): number { return this._epoch }
-  /** How far each topic has been followed in this epoch. */
-  get note (): PublishedNote { return { epoch: this._epoch, ...this._seen } }
+  /** The revision up to which each topic has been followed in this epoch. */
+  get note (): PublishedNote { return { epoch: this._epoch, ...this._followed } }
   /**
-   * The revision of the newest thing that is held of each topic. Two processes that hold the same have the same, however far
-   * they have followed.
+   * The newest revision that is held of each topic. It is equal in two processes that hold the same items, even if one has followed the
+   * store further.
    */
   get held (): PublishedNote {
     const versions = Math.max(0, ...this._versions.newestOfAll().map(({ revision }) => revision))
-    return { epoch: this._epoch, configuration: this.configurationRevision, versions, endpoints: this._newestEndpoint }
+    return { epoch: this._epoch, configuration: this.configurationRevision, versions, endpoints: this._newestEndpointRevision }
   }
 
-  /** Whether a topic has been followed, in whichever epoch. */
-  knows (topic: PublishedTopic): boolean { return this._known.has(topic) }
+  /** Whether a topic has been followed in any epoch. */
+  knows (topic: PublishedTopic): boolean { return this._knownTopics.has(topic) }
 
-  /** Rises with everything that this process would tell differently to a peer. */
-  get edition (): number { return this._edition }
+  /** Increases with every change that may affect the deltas sent to peers. */
+  get edition (): number { return this._changeCount }
 
-  /** The wanted version of a model: the newest that was named. */
+  /** Returns the wanted version of a model, which is the newest one published. */
   wanted (model: string): WantedVersion | undefined { return this._versions.newest(model) }
 
   /**
-   * When a version above the given one was first named, by this process's clock; nothing when none was, or when it was
-   * named before this process began to follow. A newer version may be named while engines still switch to this one, and
-   * each has a bound of its own.
+   * Returns the local time at which a version above the given one was first received, or `undefined` if there is none or if it
+   * was published before this process began to follow the store. A newer version may be published while engines still switch to this
+   * one, and each version has a deadline of its own.
    */
   firstNewerAt (model: string, version: number): number | undefined {
     return this._versions.firstNewerAt(model, version)
   }
 
   /**
-   * The least version that may begin a request: the newest that was named longer ago than the bound.
+   * Returns the lowest version that may start a request: the newest one that was received at least `bound` ago.
    *
    * @param bound In milliseconds.
-   * @returns 0 when any version may.
+   * @returns 0 if any version may.
    * @example
    * const least = state.dueVersion('drafting', 8_000, now)
    */
   dueVersion (model: string, bound: number, now: number): number {
-    return this._versions.due(model, bound, now)
+    return this._versions.dueVersion(model, bound, now)
   }
 
-  /** Endpoints that are listed, those that drain included. */
+  /** Returns the listed endpoints, including draining ones. */
   endpoints (): EndpointRecord[] { return [...this._endpoints.values()].map(({ record }) => record) }
 
   /**
-   * Takes one change.
+   * Applies one change.
    *
-   * @returns The news that it makes: none when a newer state of its item is known, several when it implies others.
+   * @returns The effective changes: none if a newer state of the item is known, several if the change implies others.
    * @example
    * if (state.take({ type: 'endpoint', revision: 7, record }, now).length > 0) rebuildChoices()
    */
   take (change: PublishedChange, now: number): readonly PublishedChange[] {
-    const earlier = change.type === 'endpoint' ? this._endpoints.at(change.record.address) : undefined
-    this._edition += 1
-    if (topicOf(change) === 'endpoints') this._newestEndpoint = Math.max(this._newestEndpoint, change.revision)
-    if (!this._takers[change.type](change as never, now)) return []
-    return change.type === 'endpoint' ? [change, ...this._replaced(earlier, change)] : [change]
+    const previous = change.type === 'endpoint' ? this._endpoints.atAddress(change.record.address) : undefined
+    this._changeCount += 1
+    if (topicOf(change) === 'endpoints') this._newestEndpointRevision = Math.max(this._newestEndpointRevision, change.revision)
+    if (!this._appliers[change.type](change as never, now)) return []
+    return change.type === 'endpoint' ? [change, ...this._removePredecessor(previous, change)] : [change]
   }
 
   /**
-   * Takes everything that a topic holds: what is missing in it is gone.
+   * Applies a complete snapshot of a topic: items that are missing from it have been removed.
    *
-   * @param upTo The store's revision of the reading.
-   * @returns The changes that were news.
+   * @param upTo The store's revision of the snapshot.
+   * @returns The effective changes.
    */
   takeWhole (topic: PublishedTopic, changes: readonly PublishedChange[], upTo: number, now: number): PublishedChange[] {
-    const news = changes.flatMap(change => this.take(change, now))
+    const applied = changes.flatMap(change => this.take(change, now))
     if (topic === 'endpoints') {
-      news.push(...this._takeMissing(changes, upTo, now))
-      this._grace.readUpTo(upTo)
-      // What went before is not in the reading, and its removal was never heard: only the whole list tells it.
-      this._newestEndpoint = Math.max(this._newestEndpoint, upTo)
-      this._removals.forgetUpTo(upTo)
+      applied.push(...this._removeMissing(changes, upTo, now))
+      this._grace.snapshotRead(upTo)
+      // Endpoints removed earlier are not in the snapshot, and their removals were never received, so peers need the complete list.
+      this._newestEndpointRevision = Math.max(this._newestEndpointRevision, upTo)
+      this._removals.markIncompleteUpTo(upTo)
     }
     this.followed(topic, upTo)
-    return news
+    return applied
   }
 
-  /** Every change of a topic up to a revision has been taken. */
+  /** Records that every change of a topic up to a revision has been applied. */
   followed (topic: PublishedTopic, upTo: number): void {
-    if (upTo <= this._seen[topic]) return
-    this._edition += 1
-    this._known.add(topic)
-    this._seen = { ...this._seen, [topic]: upTo }
+    if (upTo <= this._followed[topic]) return
+    this._changeCount += 1
+    this._knownTopics.add(topic)
+    this._followed = { ...this._followed, [topic]: upTo }
   }
 
   /**
-   * Begins to follow another epoch of the store. What is held stays until its writer says otherwise.
+   * Begins to follow a new epoch of the store. Held items stay until their writers update them.
    *
-   * @returns Whether the epoch is a later one; nothing happens otherwise.
+   * @returns Whether the epoch is later than the current one; otherwise the call has no effect.
    * @example
    * if (state.enter(answer.epoch, now)) log.warn('epoch-began', { epoch: state.epoch })
    */
   enter (epoch: number, now: number): boolean {
     if (epoch <= this._epoch) return false
     this._epoch = epoch
-    this._edition += 1
-    this._seen = NOTHING_SEEN
-    this._newestEndpoint = 0
+    this._changeCount += 1
+    this._followed = NO_REVISIONS
+    this._newestEndpointRevision = 0
     if (this._configuration !== undefined) this._configuration = { ...this._configuration, revision: 0 }
     this._versions.carryOver()
     this._endpoints.carryOver()
     this._removals.carryOver()
-    if (this._known.size > 0) this._grace.restored(now)
+    if (this._knownTopics.size > 0) this._grace.storeRestored(now)
     return true
   }
 
-  /** The store cannot be reached: entries that vanish now may have lapsed only because of that. */
-  storeLost (): void { this._grace.lost() }
+  /** Records that the store cannot be reached: entries that disappear from now on may only have expired. */
+  storeLost (): void { this._grace.storeLost() }
 
   /**
-   * The store answers again.
+   * Records that the store answers again.
    *
-   * @param upTo Its revision then: what went up to it may have lapsed, what goes later is gone.
+   * @param upTo The store's current revision: removals up to it may be expired entries, later ones are real.
    */
-  storeRegained (now: number, upTo: number): void { this._grace.regained(now, upTo) }
+  storeRegained (now: number, upTo: number): void { this._grace.storeRegained(now, upTo) }
 
-  /** Takes away endpoints that stayed missing after an outage. Returns their removals. */
+  /** Removes endpoints whose entries are still missing at the end of the grace period. Returns their removals. */
   expire (now: number): PublishedChange[] {
     const endpoints = [...this._endpoints.values()]
-    this._grace.decide(endpoints.filter(({ lapsesAt }) => lapsesAt !== undefined).length, endpoints.length, now)
-    const gone: PublishedChange[] = []
+    this._grace.endIfFewMissing(endpoints.filter(({ lapsesAt }) => lapsesAt !== undefined).length, endpoints.length, now)
+    const removals: PublishedChange[] = []
     for (const { record: { id }, lapsesAt } of endpoints) {
-      if (lapsesAt === undefined || !this._grace.isOver(lapsesAt, now)) continue
-      this._endpoints.drop(id)
-      gone.push({ type: 'endpoint-gone', id, revision: this._removals.get(id)?.removal.revision ?? this._seen.endpoints })
+      if (lapsesAt === undefined || !this._grace.isExpired(lapsesAt, now)) continue
+      this._endpoints.remove(id)
+      removals.push({ type: 'endpoint-gone', id, revision: this._removals.get(id)?.removal.revision ?? this._followed.endpoints })
     }
-    return gone
+    return removals
   }
 
   /**
-   * What a peer lacks that has followed up to `note`.
+   * Returns the changes that a peer lacks which has followed the store up to `note`.
    *
-   * @param topics What it wants to know of; the delta says nothing of the others.
+   * @param topics The requested topics; the delta contains no others.
    * @example
    * const delta = state.since(note, performance.now(), ['versions'])
    */
   since (note: PublishedNote, now: number, topics: readonly PublishedTopic[] = publishedTopics): PublishedDelta {
-    const nothing: PublishedNote = { ...NOTHING_SEEN, epoch: this._epoch }
-    if (note.epoch > this._epoch) return { upTo: nothing, held: nothing, changes: [], whole: [] }
-    const from = note.epoch === this._epoch ? note : nothing
-    const asked = (told: PublishedNote, otherwise: PublishedNote): PublishedNote => ({ ...otherwise, ...Object.fromEntries(topics.map(topic => [topic, told[topic]])) })
-    const delta = this._since(from, now)
-    return { upTo: asked(this.note, from), held: asked(this.held, nothing), changes: delta.changes.filter(change => topics.includes(topicOf(change))), whole: delta.whole.filter(topic => topics.includes(topic)) }
+    const noRevisions: PublishedNote = { ...NO_REVISIONS, epoch: this._epoch }
+    if (note.epoch > this._epoch) return { upTo: noRevisions, held: noRevisions, changes: [], whole: [] }
+    const from = note.epoch === this._epoch ? note : noRevisions
+    const requested = (revisions: PublishedNote, defaults: PublishedNote): PublishedNote => ({ ...defaults, ...Object.fromEntries(topics.map(topic => [topic, revisions[topic]])) })
+    const delta = this._changesSince(from, now)
+    return { upTo: requested(this.note, from), held: requested(this.held, noRevisions), changes: delta.changes.filter(change => topics.includes(topicOf(change))), whole: delta.whole.filter(topic => topics.includes(topic)) }
   }
 
-  private _since (note: PublishedNote, now: number): Pick<PublishedDelta, 'changes' | 'whole'> {
-    const whole = publishedTopics.filter(topic => note[topic] < this._seen[topic] && this._tellsWhole(topic, note))
+  private _changesSince (note: PublishedNote, now: number): Pick<PublishedDelta, 'changes' | 'whole'> {
+    const whole = publishedTopics.filter(topic => note[topic] < this._followed[topic] && this._needsSnapshot(topic, note))
     const changes: PublishedChange[] = []
-    // What was carried over is at revision 0, and belongs to the whole.
+    // Items carried over from an earlier epoch are at revision 0 and belong to a complete snapshot.
     const from = (topic: PublishedTopic): number => whole.includes(topic) ? -1 : note[topic]
     const held = this._configuration
     if (held !== undefined && held.revision > from('configuration')) changes.push({ type: 'configuration', ...held })
@@ -210,129 +210,129 @@
     return { changes, whole }
   }
 
-  /** Takes what a peer told, unless it follows an earlier epoch. Returns the changes that were news. */
+  /** Applies a peer's delta, unless the peer follows an earlier epoch. Returns the effective changes. */
   takeDelta (delta: PublishedDelta, now: number): PublishedChange[] {
     if (delta.upTo.epoch < this._epoch) return []
     this.enter(delta.upTo.epoch, now)
-    const news: PublishedChange[] = []
+    const applied: PublishedChange[] = []
     for (const topic of publishedTopics) {
       const changes = delta.changes.filter(change => topicOf(change) === topic)
-      if (delta.whole.includes(topic) && delta.upTo[topic] > this._seen[topic]) news.push(...this.takeWhole(topic, changes, delta.upTo[topic], now))
+      if (delta.whole.includes(topic) && delta.upTo[topic] > this._followed[topic]) applied.push(...this.takeWhole(topic, changes, delta.upTo[topic], now))
       else {
-        news.push(...changes.flatMap(change => this.take(change, now)))
+        applied.push(...changes.flatMap(change => this.take(change, now)))
         this.followed(topic, delta.upTo[topic])
       }
     }
-    this._newestEndpoint = Math.max(this._newestEndpoint, delta.held.endpoints)
-    return news
+    this._newestEndpointRevision = Math.max(this._newestEndpointRevision, delta.held.endpoints)
+    return applied
   }
 
-  private readonly _takers: { readonly [Type in PublishedChange['type']]: (change: Extract<PublishedChange, { type: Type }>, now: number) => boolean } = {
+  private readonly _appliers: { readonly [Type in PublishedChange['type']]: (change: Extract<PublishedChange, { type: Type }>, now: number) => boolean } = {
     configuration: ({ revision, configuration }) => {
       const held = this._configuration
       if (held !== undefined && revision <= held.revision) return false
-      const isNews = held === undefined || isNewerDocument(configuration, held.configuration)
-      this._configuration = { revision, configuration: isNews ? configuration : held.configuration }
-      return isNews
+      const isNewer = held === undefined || isNewerConfiguration(configuration, held.configuration)
+      this._configuration = { revision, configuration: isNewer ? configuration : held.configuration }
+      return isNewer
     },
     'wanted-version': ({ revision, wanted, age = 0 }, now) => {
-      const heardAt = !this.knows('versions') ? undefined : now - (age <= LONGEST_AGE ? age : 0)
-      return this._versions.take(wanted, revision, heardAt)
+      const heardAt = !this.knows('versions') ? undefined : now - (age <= MAX_VERSION_AGE ? age : 0)
+      return this._versions.add(wanted, revision, heardAt)
     },
     endpoint: change => {
       const { revision, record } = change
       const held = this._endpoints.get(record.id)
-      if (revision <= this._knownRevision(record.id) || this._isReplaced(record, revision) || this._hasGone(record.id, revision)) return false
+      if (revision <= this._knownRevision(record.id) || this._isSuperseded(record, revision) || this._wasRemoved(record.id, revision)) return false
       if (isEarlierStart(record.born, held?.record.born ?? this._removals.get(record.id)?.born)) return false
-      if (this._isFromBefore(record)) return this._confirm(record.id, revision)
-      this._endpoints.hold({ record, revision, carried: false, lapsesAt: undefined }, this._isNamed(record.service))
-      this._removals.forget(record.id)
+      if (this._isOutdated(record)) return this._confirm(record.id, revision)
+      this._endpoints.put({ record, revision, carried: false, lapsesAt: undefined }, this._isConfiguredService(record.service))
+      this._removals.delete(record.id)
       return held === undefined || !isSameListing(held.record, record)
     },
     'endpoint-gone': (change, now) => this._remove(change, now)
   }
 
-  /** Whether an endpoint of which nothing is known went before what has been followed: everything up to there has been heard. */
-  private _hasGone (id: string, revision: number): boolean { return this._knownRevision(id) < 0 && revision <= this._seen.endpoints }
+  /** Whether an unknown endpoint was removed before the followed revision: every change up to that revision has been received. */
+  private _wasRemoved (id: string, revision: number): boolean { return this._knownRevision(id) < 0 && revision <= this._followed.endpoints }
 
-  /** The revision of what is known of an endpoint; below all others where nothing is. */
+  /** Returns the newest known revision of an endpoint; -1, which is below all others, if the endpoint is unknown. */
   private _knownRevision (id: string): number {
     return Math.max(this._endpoints.get(id)?.revision ?? -1, this._removals.get(id)?.removal.revision ?? -1)
   }
 
   /**
-   * Whether a restored store lists an endpoint as it was before something that was heard of it in an earlier epoch. The revision does
-   * not tell that, but the endpoint counts what it writes.
+   * Whether a restored store lists an endpoint in an older state than the one received in an earlier epoch. Revisions of different
+   * epochs are not comparable, but the endpoint counts its writings.
    */
-  private _isFromBefore (record: EndpointRecord): boolean {
+  private _isOutdated (record: EndpointRecord): boolean {
     const held = this._endpoints.get(record.id)
     if (held !== undefined) return held.carried && (writingsBetween(held.record, record) ?? 0) < 0
-    const gone = this._removals.get(record.id)
-    if (gone === undefined || !gone.carried) return false
-    const successor = this._endpoints.at(record.address)
-    return successor?.carried === true || (writingsBetween(gone, record) ?? 1) <= 0
+    const known = this._removals.get(record.id)
+    if (known === undefined || !known.carried) return false
+    const successor = this._endpoints.atAddress(record.address)
+    return successor?.carried === true || (writingsBetween(known, record) ?? 1) <= 0
   }
 
-  /** The store has nothing newer of an endpoint at a revision than what was carried over. */
+  /** Records that the store has no newer state of an endpoint, at a revision, than the one carried over. */
   private _confirm (id: string, revision: number): false {
     this._endpoints.confirm(id, revision)
     this._removals.confirm(id, revision)
     return false
   }
 
-  /** Whether another start of an endpoint was listed at the same address later. */
-  private _isReplaced ({ id, address }: EndpointRecord, revision: number): boolean {
-    const held = this._endpoints.at(address)
+  /** Whether another endpoint was listed later at the same address. */
+  private _isSuperseded ({ id, address }: EndpointRecord, revision: number): boolean {
+    const held = this._endpoints.atAddress(address)
     return held !== undefined && held.record.id !== id && held.revision > revision
   }
 
-  /** An entry of a service that nobody configured takes no address away: it may have been written by anyone. */
-  private _isNamed (service: string): boolean {
+  /** Whether a service is configured. An entry of an unconfigured service may have been written by anyone, so it cannot claim an address. */
+  private _isConfiguredService (service: string): boolean {
     return this.configuration === undefined || this.configuration.services.some(({ name }) => name === service)
   }
 
   /**
-   * Takes away the earlier start at an address that a newer one has taken. It stays listed until three heartbeats are missing, and
-   * requests sent there meanwhile would be turned away by the newer one.
+   * Removes the previous endpoint at an address that a newer one has taken. Its entry stays listed until three heartbeats are missing,
+   * and the newer endpoint would reject requests meant for it until then.
    */
-  private _replaced (earlier: HeldEndpoint | undefined, { revision, record }: Extract<PublishedChange, { type: 'endpoint' }>): PublishedChange[] {
-    if (earlier === undefined || earlier.record.id === record.id || !this._isNamed(record.service)) return []
-    const { id } = earlier.record
-    const gone = { type: 'endpoint-gone', id, revision } as const
-    this._endpoints.drop(id)
-    this._removals.note(gone, earlier.record)
-    return [gone]
+  private _removePredecessor (previous: HeldEndpoint | undefined, { revision, record }: Extract<PublishedChange, { type: 'endpoint' }>): PublishedChange[] {
+    if (previous === undefined || previous.record.id === record.id || !this._isConfiguredService(record.service)) return []
+    const { id } = previous.record
+    const removal = { type: 'endpoint-gone', id, revision } as const
+    this._endpoints.remove(id)
+    this._removals.add(removal, previous.record)
+    return [removal]
   }
 
-  /** A peer that has nothing, or is behind the oldest removal that is kept, gets everything. */
-  private _tellsWhole (topic: PublishedTopic, note: PublishedNote): boolean {
-    return note[topic] === 0 || (topic === 'endpoints' && note.endpoints < this._removals.forgottenUpTo)
+  /** Whether a peer needs a complete snapshot: it has nothing of the topic, or is behind the oldest removal that is kept. */
+  private _needsSnapshot (topic: PublishedTopic, note: PublishedNote): boolean {
+    return note[topic] === 0 || (topic === 'endpoints' && note.endpoints < this._removals.incompleteUpTo)
   }
 
-  private _remove (gone: Extract<PublishedChange, { type: 'endpoint-gone' }>, now: number): boolean {
-    const { id, revision, certain = false } = gone
+  private _remove (removal: Extract<PublishedChange, { type: 'endpoint-gone' }>, now: number): boolean {
+    const { id, revision, certain = false } = removal
     const held = this._endpoints.get(id)
     if (revision <= this._knownRevision(id)) return false
-    this._removals.note(gone, held?.record ?? this._removals.get(id) ?? {})
+    this._removals.add(removal, held?.record ?? this._removals.get(id) ?? {})
     if (held === undefined) return false
     const keptUntil = certain ? undefined : this._grace.keptUntil(revision, now)
     if (keptUntil !== undefined) {
       held.lapsesAt ??= keptUntil
       return false
     }
-    this._endpoints.drop(id)
+    this._endpoints.remove(id)
     return true
   }
 
-  private _takeMissing (changes: readonly PublishedChange[], upTo: number, now: number): PublishedChange[] {
+  private _removeMissing (changes: readonly PublishedChange[], upTo: number, now: number): PublishedChange[] {
     const listed = new Set(changes.flatMap(change => change.type === 'endpoint' ? [change.record.id] : []))
     const missing = [...this._endpoints.values()].filter(({ record: { id }, revision }) => !listed.has(id) && revision <= upTo)
     return missing.flatMap(({ record: { id } }) => this.take({ type: 'endpoint-gone', revision: upTo, id }, now))
   }
 }
 
-/** Operators raise the version with each change; should they forget to, what is written last counts. */
-function isNewerDocument (configuration: RoutingConfiguration, than: RoutingConfiguration): boolean {
-  if (configuration.version !== than.version) return configuration.version > than.version
-  return JSON.stringify(configuration) !== JSON.stringify(than)
+/** Operators increase the version with each change. If a change keeps the version, the configuration written last applies. */
+function isNewerConfiguration (configuration: RoutingConfiguration, other: RoutingConfiguration): boolean {
+  if (configuration.version !== other.version) return configuration.version > other.version
+  return JSON.stringify(configuration) !== JSON.stringify(other)
 }
--- a/packages/core/src/lib/routing/published/removals.ts
+++ b/packages/core/src/lib/routing/published/removals.ts
@@ -3,10 +3,10 @@
  * Copyright 2026 the drumdrift contributors
  * SPDX-License-Identifier: BSD-3-Clause
  */
-/** Endpoints that have gone, so that older news of them is not believed, and peers that are behind can be told. */
+/** Removed endpoints. They are kept to reject outdated entries of them, and to send the removals to peers that are behind. */
 import type { LastWriting } from './endpoint-record.js'
 
-/** One removal. */
+/** The removal of an endpoint. */
 export interface Removal {
   readonly type: 'endpoint-gone'
   readonly id: string
@@ -14,63 +14,63 @@
   readonly certain?: boolean | undefined
 }
 
-/** A removal, and the newest start of the endpoint that was known when it went. */
-export interface NotedRemoval extends LastWriting {
+/** A removal, with the newest start of the endpoint that was known when it was removed. */
+export interface KnownRemoval extends LastWriting {
   readonly removal: Removal
-  /** Whether it was heard in an earlier epoch of the store; its revision is 0 then. */
+  /** Whether it was received in an earlier epoch of the store; its revision is then 0. */
   readonly carried: boolean
 }
 
-/** Removals kept to be told to peers. Beyond that, a peer that is further behind gets the whole list. */
-const MOST_REMOVALS = 512
+/** Number of removals kept for peers. A peer that is further behind gets the complete list of endpoints. */
+const MAX_REMOVALS = 512
 
-/** The newest removals, one of each endpoint. */
+/** The newest removals, at most one per endpoint. */
 export class Removals {
-  /** The oldest first. */
-  private readonly _noted = new Map<string, NotedRemoval>()
-  private _forgottenUpTo = 0
+  /** By endpoint id, oldest first. */
+  private readonly _removals = new Map<string, KnownRemoval>()
+  private _incompleteUpTo = 0
 
-  /** Removals up to this revision may have been forgotten; 0 for none. */
-  get forgottenUpTo (): number { return this._forgottenUpTo }
+  /** Revision up to which removals may be missing here; 0 if none are. */
+  get incompleteUpTo (): number { return this._incompleteUpTo }
 
-  /** The removal of an endpoint; nothing for one that has not gone. */
-  get (id: string): NotedRemoval | undefined { return this._noted.get(id) }
+  /** Returns the removal of an endpoint, or `undefined` if it has not been removed. */
+  get (id: string): KnownRemoval | undefined { return this._removals.get(id) }
 
-  /** Those after a revision. */
+  /** Returns the removals after a revision. */
   after (revision: number): Removal[] {
-    return [...this._noted.values()].flatMap(({ removal }) => removal.revision > revision ? [removal] : [])
+    return [...this._removals.values()].flatMap(({ removal }) => removal.revision > revision ? [removal] : [])
   }
 
   /**
-   * An endpoint has gone.
+   * Adds a removal, and discards the oldest ones above the limit.
    *
    * @example
-   * removals.note({ type: 'endpoint-gone', id: 'engine-7', revision: 12 }, held.record)
+   * removals.add({ type: 'endpoint-gone', id: 'engine-7', revision: 12 }, held.record)
    */
-  note (removal: Removal, { born, writings }: LastWriting): void {
-    this._noted.set(removal.id, { removal, born, writings, carried: false })
-    for (const [oldest, { removal: { revision } }] of this._noted) {
-      if (this._noted.size <= MOST_REMOVALS) return
-      this._noted.delete(oldest)
-      this.forgetUpTo(revision)
+  add (removal: Removal, { born, writings }: LastWriting): void {
+    this._removals.set(removal.id, { removal, born, writings, carried: false })
+    for (const [oldest, { removal: { revision } }] of this._removals) {
+      if (this._removals.size <= MAX_REMOVALS) return
+      this._removals.delete(oldest)
+      this.markIncompleteUpTo(revision)
     }
   }
 
-  /** The store begins another epoch. */
+  /** Carries all removals over into a new epoch of the store, at revision 0. */
   carryOver (): void {
-    this._forgottenUpTo = 0
-    for (const [id, noted] of this._noted) this._noted.set(id, { ...noted, removal: { ...noted.removal, revision: 0 }, carried: true })
+    this._incompleteUpTo = 0
+    for (const [id, entry] of this._removals) this._removals.set(id, { ...entry, removal: { ...entry.removal, revision: 0 }, carried: true })
   }
 
-  /** The store has nothing newer of an endpoint up to a revision; nothing happens when it has not gone. */
+  /** Records that the store has no newer state of an endpoint up to a revision. Does nothing if the endpoint has not been removed. */
   confirm (id: string, revision: number): void {
-    const noted = this._noted.get(id)
-    if (noted !== undefined) this._noted.set(id, { ...noted, removal: { ...noted.removal, revision } })
+    const entry = this._removals.get(id)
+    if (entry !== undefined) this._removals.set(id, { ...entry, removal: { ...entry.removal, revision } })
   }
 
-  /** Removals up to a revision were not all heard. */
-  forgetUpTo (revision: number): void { this._forgottenUpTo = Math.max(this._forgottenUpTo, revision) }
+  /** Records that some removals up to a revision are missing here. */
+  markIncompleteUpTo (revision: number): void { this._incompleteUpTo = Math.max(this._incompleteUpTo, revision) }
 
-  /** An endpoint is back. */
-  forget (id: string): void { this._noted.delete(id) }
+  /** Discards the removal of an endpoint that is listed again. */
+  delete (id: string): void { this._removals.delete(id) }
 }
--- a/packages/core/src/lib/routing/weights/pull-window.ts
+++ b/packages/core/src/lib/routing/weights/pull-window.ts
@@ -4,45 +4,45 @@
  * SPDX-License-Identifier: BSD-3-Clause
  */
 /**
- * How many chunks are asked of peers at once: as many as the links bear without long queues, by additive increase and
- * multiplicative decrease.
+ * The window of concurrent pulls from peers. Additive increase and multiplicative decrease keep it as large as the links carry
+ * without long queues.
  */
 
 /**
- * A pull that takes longer shows a queue on some link, in milliseconds: six chunks that come in turn take 350 over the
- * 5 Mbit/s link of a small instance, and peers that send to several members at once let them wait for as long again. The
- * window then shrinks by the factor, and grows back by the step with each chunk that came sooner.
+ * A pull that takes at least this long indicates a queue on some link, in milliseconds. Six chunks in sequence take 350 ms over the
+ * 5 Mbit/s link of a small instance, and a peer that sends to several members at once delays them by as long again. A slow pull
+ * multiplies the window by `DECREASE_FACTOR`; a faster one adds `INCREASE_STEP`.
  */
 const SLOW_PULL = 700
-const DECREASE = 0.6
-const INCREASE = 0.25
-/** The window shrinks at most this often, in milliseconds: chunks of one queue are one signal. */
-const DECREASE_PAUSE = 300
+const DECREASE_FACTOR = 0.6
+const INCREASE_STEP = 0.25
+/** Minimum interval between decreases, in milliseconds. Slow chunks of one queue count as one signal. */
+const DECREASE_INTERVAL = 300
 
-/** The window of one transfer. */
+/** The pull window of one transfer. */
 export class PullWindow {
   private _size: number
   private _decreasedAt = -Infinity
 
   /**
-   * @param _most Its largest size.
+   * @param _maxSize The largest size of the window.
    */
-  constructor (private readonly _most: number) { this._size = _most }
+  constructor (private readonly _maxSize: number) { this._size = _maxSize }
 
-  /** Chunks that may be asked for at once. */
+  /** Number of chunks that may be requested concurrently. */
   get size (): number { return Math.floor(this._size) }
 
   /**
-   * A pull ended, well or not, after so many milliseconds.
+   * Records the duration of a pull, successful or not.
    *
    * @example
-   * pullWindow.took(now - startedAt, now)
+   * pullWindow.record(now - startedAt, now)
    */
-  took (milliseconds: number, now: number): void {
-    if (milliseconds < SLOW_PULL) this._size = Math.min(this._most, this._size + INCREASE)
-    else if (now - this._decreasedAt >= DECREASE_PAUSE) {
+  record (milliseconds: number, now: number): void {
+    if (milliseconds < SLOW_PULL) this._size = Math.min(this._maxSize, this._size + INCREASE_STEP)
+    else if (now - this._decreasedAt >= DECREASE_INTERVAL) {
       this._decreasedAt = now
-      this._size = Math.max(1, this._size * DECREASE)
+      this._size = Math.max(1, this._size * DECREASE_FACTOR)
     }
   }
 }
--- a/packages/core/src/lib/routing/weights/swarm-peers.ts
+++ b/packages/core/src/lib/routing/weights/swarm-peers.ts
@@ -3,136 +3,136 @@
  * Copyright 2026 the drumdrift contributors
  * SPDX-License-Identifier: BSD-3-Clause
  */
-/** What one member knows of the others that bring the same version: what they hold, and how well they deliver. */
+/** One member's view of the peers that transfer the same version: the chunks that they hold, their latency and their failures. */
 import type { ChunkMember } from '../../chunk-tree.js'
 
-/** One other member. */
+/** The state of one peer. */
 export interface SwarmPeer {
   readonly instance: string
   readonly availabilityZone: string
   readonly held: Set<number>
-  /** Chunks asked of it that have not come. */
+  /** Pulls in flight from this peer. */
   outstanding: number
-  /** Failures in a row. */
+  /** Consecutive failures. */
   failures: number
-  /** Until when it is passed over. */
-  avoidUntil: number
-  /** The time that its chunks take, smoothed. */
-  took: number
+  /** Time until which the peer is not used. */
+  backOffUntil: number
+  /** Exponentially weighted moving average of the peer's pull times, in milliseconds; 0 before the first chunk. */
+  averagePullTime: number
 }
 
-/** A peer that failed is passed over for so long, doubling, up to the longest. In milliseconds. */
-const FIRST_AVOIDANCE = 300
-const LONGEST_AVOIDANCE = 4_000
-const TOOK_SMOOTHING = 0.3
+/** Back-off after a peer's first failure and its upper bound, in milliseconds. It doubles with each consecutive failure. */
+const INITIAL_BACK_OFF = 300
+const MAX_BACK_OFF = 4_000
+const PULL_TIME_SMOOTHING = 0.3
 /**
- * A chunk that peers only heard of should be at one of them after this, in milliseconds: half of what a transfer takes. Then
- * its holder is taken for gone.
+ * How long an indirect report of a chunk is trusted, in milliseconds: half the time of a transfer. If no peer holds the chunk by then,
+ * its holder is assumed to have left.
  */
-const HEARSAY_LIFETIME = 2_500
+const REPORT_LIFETIME = 2_500
 /**
- * A pull from the predecessor in the ring of the zone counts as so much of one from another peer. With the choice by chance
- * alone several peers sent to one member at once, whose link then held requests up by 50 to 150 ms, and to others none did.
+ * Cost factor of a pull from the predecessor in the zone's ring, relative to other peers. With a purely random choice, several peers
+ * send to one member at once, whose link then delays requests by 50 to 150 ms, while other members receive nothing.
  */
 const PREDECESSOR_COST = 0.25
 
-/** The other members of one swarm. */
+/** The peers of one swarm. */
 export class SwarmPeers {
   private readonly _peers = new Map<string, SwarmPeer>()
-  /** Chunks that peers heard of, and when the first of them told it. */
-  private readonly _heardOf = new Map<number, number>()
-  /** How many peers hold each chunk; chunks that none holds have no entry, or 0. */
-  private readonly _holders = new Map<number, number>()
+  /** Chunks that peers have reported at other members, with the time of the first report. */
+  private readonly _reportedAt = new Map<number, number>()
+  /** Number of peers that hold each chunk; chunks without a holder have no entry, or 0. */
+  private readonly _holderCounts = new Map<number, number>()
 
   /**
-   * @param _draw Random numbers in [0, 1), to spread pulls over peers.
+   * @param _draw Returns random numbers in [0, 1), to spread pulls over peers.
    */
   constructor (private readonly _self: ChunkMember, private readonly _draw: () => number) {}
 
-  /** Adds the members that are not known yet. */
+  /** Adds the members that are not yet known. */
   add (members: readonly ChunkMember[]): void {
     for (const { instance, availabilityZone } of members) {
       if (instance === this._self.instance || this._peers.has(instance)) continue
-      this._peers.set(instance, { instance, availabilityZone, held: new Set(), outstanding: 0, failures: 0, avoidUntil: -Infinity, took: 0 })
+      this._peers.set(instance, { instance, availabilityZone, held: new Set(), outstanding: 0, failures: 0, backOffUntil: -Infinity, averagePullTime: 0 })
     }
   }
 
   get (instance: string): SwarmPeer | undefined { return this._peers.get(instance) }
 
-  /** A peer told that it holds chunks. */
-  holds (instance: string, chunks: Iterable<number>): void {
+  /** Records a peer's announcement of chunks that it holds. */
+  addChunks (instance: string, chunks: Iterable<number>): void {
     const peer = this._peers.get(instance)
     if (peer === undefined) return
     for (const chunk of chunks) {
       if (peer.held.has(chunk)) continue
       peer.held.add(chunk)
-      this._holders.set(chunk, (this._holders.get(chunk) ?? 0) + 1)
+      this._holderCounts.set(chunk, (this._holderCounts.get(chunk) ?? 0) + 1)
     }
   }
 
-  /** A peer told of chunks that some other member holds. */
-  hearOf (chunks: Iterable<number>, now: number): void {
-    for (const chunk of chunks) if (!this._heardOf.has(chunk)) this._heardOf.set(chunk, now)
+  /** Records a peer's report of chunks that another member holds. */
+  addReport (chunks: Iterable<number>, now: number): void {
+    for (const chunk of chunks) if (!this._reportedAt.has(chunk)) this._reportedAt.set(chunk, now)
   }
 
-  /** Whether some member holds a chunk, as far as is known here: a peer, or one that a peer heard of lately. */
-  somewhere (index: number, now: number): boolean {
-    return this.hold(index) || now - (this._heardOf.get(index) ?? -Infinity) < HEARSAY_LIFETIME
+  /** Whether a peer is known to hold a chunk, or a recent report says that some member does. */
+  isHeldOrReported (index: number, now: number): boolean {
+    return this.isHeld(index) || now - (this._reportedAt.get(index) ?? -Infinity) < REPORT_LIFETIME
   }
 
-  /** A peer does not hold a chunk that it told of. */
-  lacks (instance: string, index: number): void {
-    if (this._peers.get(instance)?.held.delete(index) === true) this._holders.set(index, (this._holders.get(index) ?? 1) - 1)
+  /** Records that a peer does not hold a chunk that it announced. */
+  removeChunk (instance: string, index: number): void {
+    if (this._peers.get(instance)?.held.delete(index) === true) this._holderCounts.set(index, (this._holderCounts.get(index) ?? 1) - 1)
   }
 
-  /** A peer was lost: what it holds is unknown until it tells again. */
-  lost (instance: string): void {
-    for (const index of [...this._peers.get(instance)?.held ?? []]) this.lacks(instance, index)
+  /** Records the loss of a peer: its chunks are unknown until it announces them again. */
+  removeAllChunks (instance: string): void {
+    for (const index of [...this._peers.get(instance)?.held ?? []]) this.removeChunk(instance, index)
   }
 
   /** Whether some peer holds a chunk. */
-  hold (index: number): boolean { return (this._holders.get(index) ?? 0) > 0 }
+  isHeld (index: number): boolean { return (this._holderCounts.get(index) ?? 0) > 0 }
 
-  /** Peers that hold a number of different chunks. */
-  holdersOf (chunks: number): string[] {
+  /** Returns the peers that hold exactly the given number of distinct chunks. */
+  peersWithChunkCount (chunks: number): string[] {
     return [...this._peers.values()].filter(({ held }) => held.size === chunks).map(({ instance }) => instance)
   }
 
-  /** Peers that may be asked for a chunk, all but one. */
+  /** Returns the peers that a chunk can be pulled from, except one. */
   sources (index: number, now: number, except: string): SwarmPeer[] {
-    return [...this._peers.values()].filter(({ instance, held, avoidUntil }) => instance !== except && held.has(index) && now >= avoidUntil)
+    return [...this._peers.values()].filter(({ instance, held, backOffUntil }) => instance !== except && held.has(index) && now >= backOffUntil)
   }
 
-  /** The one that is expected to deliver soonest, with some chance so that members spread. */
-  leastBusy (peers: readonly SwarmPeer[], predecessor: string): string | undefined {
+  /** Returns the peer with the lowest expected pull time, with a random factor that spreads members over peers. */
+  fastest (peers: readonly SwarmPeer[], predecessor: string): string | undefined {
     let best: { readonly instance: string, readonly cost: number } | undefined
-    for (const { instance, outstanding, took } of peers) {
-      const share = instance === predecessor ? PREDECESSOR_COST : 1
-      const cost = share * (outstanding + 1) * Math.max(1, took) * (1 + this._draw())
+    for (const { instance, outstanding, averagePullTime } of peers) {
+      const factor = instance === predecessor ? PREDECESSOR_COST : 1
+      const cost = factor * (outstanding + 1) * Math.max(1, averagePullTime) * (1 + this._draw())
       if (best === undefined || cost < best.cost) best = { instance, cost }
     }
     return best?.instance
   }
 
-  /** The time that a chunk takes from the middle one of the peers that delivered, in milliseconds; 0 while none did. */
-  get usualTook (): number {
-    const known = [...this._peers.values()].map(({ took }) => took).filter(took => took > 0).sort((left, right) => left - right)
-    return known[Math.floor(known.length / 2)] ?? 0
+  /** The median of the peers' average pull times, in milliseconds; 0 before the first chunk. */
+  get medianPullTime (): number {
+    const averages = [...this._peers.values()].map(({ averagePullTime }) => averagePullTime).filter(average => average > 0).sort((left, right) => left - right)
+    return averages[Math.floor(averages.length / 2)] ?? 0
   }
 
-  /** A chunk came after so many milliseconds. */
-  delivered (instance: string, milliseconds: number): void {
+  /** Records a successful pull and its duration. */
+  succeeded (instance: string, milliseconds: number): void {
     const peer = this._peers.get(instance)
     if (peer === undefined) return
     peer.failures = 0
-    peer.took += TOOK_SMOOTHING * (milliseconds - peer.took)
+    peer.averagePullTime += PULL_TIME_SMOOTHING * (milliseconds - peer.averagePullTime)
   }
 
-  /** A chunk did not come: the peer is passed over, longer from failure to failure. */
+  /** Records a failed pull: the peer is not used during an exponentially increasing back-off. */
   failed (instance: string, now: number): void {
     const peer = this._peers.get(instance)
     if (peer === undefined) return
-    peer.avoidUntil = now + Math.min(LONGEST_AVOIDANCE, FIRST_AVOIDANCE * 2 ** peer.failures)
+    peer.backOffUntil = now + Math.min(MAX_BACK_OFF, INITIAL_BACK_OFF * 2 ** peer.failures)
     peer.failures += 1
   }
 }
