--- a/packages/core/src/index.ts
+++ b/packages/core/src/index.ts
@@ -4,7 +4,7 @@
  * SPDX-License-Identifier: BSD-3-Clause
  */
 /**
- * The decisions of drumdrift, without input or output.
+ * The decision logic of drumdrift. Nothing in this package performs input or output.
  *
  * @packageDocumentation
  */
--- a/packages/core/src/lib/admission.ts
+++ b/packages/core/src/lib/admission.ts
@@ -4,27 +4,27 @@
  * SPDX-License-Identifier: BSD-3-Clause
  */
 /**
- * An agent's door: what may start on its endpoint. It hands out one-use tickets for requests that may not repeat,
- * bounds what runs at once, and refuses everything new once the agent is leaving. Each refusal given here is proof
- * that the request did not run.
+ * Admission control of an agent: decides which requests may start on its endpoint. It issues single-use tickets for
+ * requests that must not be repeated, bounds the number of concurrent requests, and refuses every new request once the
+ * agent is leaving. Each refusal is proof that the request did not run.
  */
 import { openGate, type EndpointGate, type SparedFor } from './routing/choice/endpoint-gate.js'
 import { joinLifecycle, type Lifecycle } from './lifecycle.js'
 
-/** Why nothing was started. All of these mean "not run". */
+/** Why a request was not started. Every reason means "not run". */
 export type AdmissionRefusal = 'leaving' | 'busy' | 'not-serving' | 'switching' | 'ticket-expired' | 'ticket-unknown'
 
-/** The answer to a wish to run. */
+/** The result of asking to run a request. */
 export type Admission =
   | { readonly type: 'admitted', readonly run: number }
   | { readonly type: 'refused', readonly reason: AdmissionRefusal }
 
-/** The answer to an offer. */
+/** The result of asking for a ticket. */
 export type OfferReply =
   | { readonly type: 'ready', readonly ticket: string }
   | { readonly type: 'refused', readonly reason: AdmissionRefusal }
 
-/** What a cancel found. `never-started` leaves a tombstone: the ticket can not be used any more. */
+/** The result of cancelling a ticket. `never-started` leaves a tombstone, so that the ticket cannot be used later. */
 export type CancelReply = 'never-started' | 'started' | 'unknown'
 
 interface Ticket {
@@ -32,17 +32,17 @@
   readonly expiresAt: number
 }
 
-/** How long a ticket may be used, by the agent's own clock, in milliseconds. */
+/** How long a ticket is valid, by the agent's own clock, in milliseconds. */
 export const TICKET_LIFETIME = 2_000
-/** How long the fate of a ticket is remembered. */
+/** How long the state of a ticket is kept after it expires, in milliseconds. */
 const TICKET_MEMORY = 30_000
-/** Tickets remembered at most; at the bound offers are refused as busy. */
+/** The maximum number of tickets kept. At the bound, offers are refused as busy. */
 const TICKET_LIMIT = 8_192
 
-/** What callers are told of an endpoint that is sent nothing because it asks for it. */
+/** The refusal reason for an endpoint that asked not to receive requests. */
 const refusalsOfSpared: Record<SparedFor, AdmissionRefusal> = { leaving: 'leaving', limited: 'busy', resting: 'busy' }
 
-/** The door of one agent. */
+/** The admission control of one agent. */
 export class AdmissionDoor {
   private readonly _tickets = new Map<string, Ticket>()
   private readonly _runs = new Set<number>()
@@ -54,9 +54,10 @@
   private _slots: number
 
   /**
-   * @param incarnation Names this start of the agent: tickets of another one are unknown here.
-   * @param slots Requests that the endpoint runs at once.
-   * @param _gate What the endpoint asks of this door, by its name.
+   * @param incarnation Identifies this run of the agent process. Tickets of another incarnation are unknown.
+   * @param slots The number of requests that the endpoint runs concurrently.
+   * @param _gate Tracks the endpoint's own notices and limits.
+   * @param _endpoint The name of the endpoint at the gate.
    */
   constructor (readonly incarnation: string, slots: number, private readonly _gate: EndpointGate = openGate, private readonly _endpoint = '') {
     this._slots = slots
@@ -66,10 +67,10 @@
   get running (): number { return this._runs.size }
   get slots (): number { return this._slots }
   get switching (): boolean { return this._switching }
-  /** Whether the endpoint is known to serve a whole, verified version (or is a plain service). */
+  /** Whether the endpoint serves a complete, verified version or is a plain service. */
   get serving (): boolean { return this._serving }
 
-  /** Moves the lifecycle forward; it never moves back. Returns whether it moved. */
+  /** Moves the lifecycle forward, never back. Returns whether it changed. */
   leave (lifecycle: Lifecycle): boolean {
     const joined = joinLifecycle(this._lifecycle, lifecycle)
     const moved = joined !== this._lifecycle
@@ -79,11 +80,11 @@
 
   setSlots (slots: number): void { this._slots = slots }
   setServing (serving: boolean): void { this._serving = serving }
-  /** While switching, nothing new starts and what runs goes on to its end. */
+  /** While switching, no new request starts; requests in flight run to completion. */
   setSwitching (switching: boolean): void { this._switching = switching }
 
   /**
-   * Offers a place for a request that may not repeat.
+   * Issues a ticket for a request that must not be repeated.
    *
    * @example
    * const reply = door.offer(now) // { type: 'ready', ticket: 'agent-1.x:1' }
@@ -98,7 +99,7 @@
     return { type: 'ready', ticket }
   }
 
-  /** Uses a ticket, once. Anything but a live, unused ticket of this incarnation is refused. */
+  /** Redeems a ticket. Only a valid, unused ticket of this incarnation is admitted. */
   go (ticket: string, now: number): Admission {
     const known = this._tickets.get(ticket)
     if (known === undefined || known.state !== 'offered') return { type: 'refused', reason: 'ticket-unknown' }
@@ -109,14 +110,14 @@
     return this._start(now)
   }
 
-  /** Starts a request that may repeat. */
+  /** Starts a request that may be repeated. */
   run (now: number): Admission {
     const reason = this._refusal(now)
     if (reason !== undefined) return { type: 'refused', reason }
     return this._start(now)
   }
 
-  /** Asks for the fate of a ticket and kills it if it was not used. */
+  /** Returns the state of a ticket and invalidates it if it has not been used. */
   cancel (ticket: string): CancelReply {
     const known = this._tickets.get(ticket)
     if (known === undefined) return 'unknown'
@@ -125,7 +126,7 @@
     return 'never-started'
   }
 
-  /** A run has ended, however it ended. */
+  /** Frees the slot of a run, whether it succeeded or failed. */
   finished (run: number): void { this._runs.delete(run) }
 
   private _start (now: number): Admission {
--- a/packages/core/src/lib/answer-stream.ts
+++ b/packages/core/src/lib/answer-stream.ts
@@ -4,8 +4,8 @@
  * SPDX-License-Identifier: BSD-3-Clause
  */
 /**
- * Puts one request's answer together from numbered frames that may come late, twice or out of order. The answer is
- * whole only when the explicit end has come and every frame before it has been passed on.
+ * Reassembles the answer to one request from numbered frames that may arrive late, duplicated or out of order. The
+ * answer is complete only when the explicit end has arrived and every frame before it has been delivered.
  */
 
 /** One numbered part of an answer. */
@@ -14,28 +14,28 @@
   readonly data: Data
 }
 
-/** Frames that may wait for a missing one; more is a fault of the sender. */
+/** The maximum number of frames buffered behind a missing one. A larger gap is a fault of the sender. */
 const LARGEST_GAP = 1_024
 
-/** What taking a frame led to. */
+/** The result of adding a frame: the parts that can now be delivered, or a protocol violation. */
 export type AnswerProgress<Data> =
   | { readonly type: 'parts', readonly data: readonly Data[], readonly whole: boolean }
   | { readonly type: 'broken', readonly detail: string }
 
-/** The reassembly of one answer of one attempt. */
+/** Reassembles the answer of one attempt. */
 export class AnswerStream<Data> {
   private readonly _early = new Map<number, Data>()
   private _next = 0
   private _count: number | undefined
 
-  /** Whether the whole answer has been passed on. */
+  /** Whether the complete answer has been delivered. */
   get whole (): boolean { return this._count === this._next }
 
-  /** Whether anything has been passed on. */
+  /** Whether any part has been delivered. */
   get started (): boolean { return this._next > 0 }
 
   /**
-   * Takes a part.
+   * Adds a part and returns the parts that are now in sequence.
    *
    * @example
    * const progress = stream.part({ sequence: 0, data: 'Nam' })
@@ -47,10 +47,10 @@
     return this._pass()
   }
 
-  /** Takes the end, which says how many parts there are. */
+  /** Adds the end frame, which carries the total number of parts. */
   end (count: number): AnswerProgress<Data> {
     const disagrees = this._count !== undefined && this._count !== count
-    if (disagrees || count < this._next) return { type: 'broken', detail: `end after ${count} parts does not fit` }
+    if (disagrees || count < this._next) return { type: 'broken', detail: `part count ${count} of the end frame does not match the parts received` }
     this._count = count
     return this._pass()
   }
--- a/packages/core/src/lib/choice.ts
+++ b/packages/core/src/lib/choice.ts
@@ -4,29 +4,29 @@
  * SPDX-License-Identifier: BSD-3-Clause
  */
 /**
- * Chooses an endpoint for a request. Own availability zone first; prompts that share a prefix go to the same
- * endpoint while that one is not much busier than the rest (consistent hashing with bounded loads, Mirrokni et al.
- * 2018); else the better of two random ones (Mitzenmacher 2001). Loads are late: what this entry itself has sent since the last
- * report is added to what was reported.
+ * Chooses an endpoint for a request. Endpoints in the entry's own availability zone are preferred. Prompts that share a
+ * prefix go to the same endpoint unless it is much busier than the others (consistent hashing with bounded loads,
+ * Mirrokni et al. 2018); otherwise the less loaded of two random endpoints is chosen (Mitzenmacher 2001). Reported
+ * loads are stale, so the requests that this entry has sent since the last report are added to them.
  */
 import type { AdmissionRefusal } from './admission.js'
 import { rendezvousTop } from './rendezvous.js'
 
-/** What an agent says of itself on every answer. */
+/** The status that an agent reports with every answer. */
 export interface EndpointStatus {
   readonly incarnation: string
   readonly lifecycle: 'serving' | 'draining' | 'stopped'
-  /** The manifest digest that is served; empty for none, and for plain services. */
+  /** The manifest digest that is served; empty if none, and for plain services. */
   readonly version: string
   readonly serving: boolean
   readonly running: number
   readonly slots: number
 }
 
-/** Ways of choosing; `affinity` is the product's, the others are for measuring against. */
+/** Selection policies. `affinity` is the default; the others serve as baselines in benchmarks. */
 export type ChoicePolicy = 'affinity' | 'two-choices' | 'least-reported' | 'round-robin' | 'random'
 
-/** One endpoint that may be chosen. */
+/** An endpoint that can be chosen. */
 export interface Candidate {
   readonly instance: string
   readonly availabilityZone: string
@@ -34,17 +34,18 @@
 
 interface Known {
   status: EndpointStatus | undefined
-  /** Requests that this entry has in progress there. */
+  /** The number of requests that this entry has in flight to the instance. */
   outstanding: number
-  /** Requests in progress there when the last report was made, as far as this entry's own go. */
+  /** The value of `outstanding` when the last report arrived. */
   outstandingAtReport: number
   avoidUntil: number
 }
 
-/** How far above the mean an endpoint's load may be before affinity gives way. */
+/** The load of an endpoint, as a multiple of the mean, above which prefix affinity is not applied. */
 const AFFINITY_BOUND = 1.25
+/** The number of endpoints in rendezvous order that a prefix may be routed to. */
 const AFFINITY_ENDPOINTS = 2
-/** How long an endpoint that refused is passed over, in milliseconds. A busy one has room again soon. */
+/** How long an endpoint is excluded after a refusal, in milliseconds. A busy endpoint soon has a free slot again. */
 const AVOID_AFTER_REFUSAL = 250
 const AVOID_AFTER_BUSY = 20
 
@@ -58,7 +59,7 @@
   random: (choice, candidates) => choice.byChance(candidates)
 }
 
-/** What one entry knows of the endpoints of one group, and its choices among them. */
+/** Tracks the endpoints of one group as seen by one entry, and chooses among them. */
 export class EndpointChoice {
   private readonly _known = new Map<string, Known>()
   private _turn = 0
@@ -69,10 +70,10 @@
   constructor (private readonly _self: Candidate, private readonly _random: () => number, private readonly _policy: ChoicePolicy = 'affinity') {}
 
   /**
-   * Chooses among candidates that are listed, not ejected and not tried before.
+   * Chooses among candidates that are listed, not ejected and not already tried for this request.
    *
-   * @param prefix The start of the prompt, or empty for none.
-   * @returns The instance, or nothing when no candidate can take work.
+   * @param prefix The start of the prompt; empty if there is none.
+   * @returns The instance, or `undefined` if no candidate accepts requests.
    *
    * @example
    * const instance = choice.choose(candidates, prompt.slice(0, 256), now)
@@ -86,7 +87,7 @@
     return choosers[this._policy](this, pool.map(candidate => candidate.instance), prefix)
   }
 
-  /** Load as a share of slots: the last report, corrected by what this entry has sent and seen end since. */
+  /** The load as a fraction of the slots: the last report, adjusted by the requests that this entry has sent and completed since. */
   load (instance: string): number {
     const known = this._known.get(instance)
     if (known === undefined) return 0
@@ -95,10 +96,10 @@
     return running / Math.max(1, known.status?.slots ?? 8)
   }
 
-  /** The last status heard from an instance. */
+  /** The last status received from an instance. */
   status (instance: string): EndpointStatus | undefined { return this._known.get(instance)?.status }
 
-  /** Slots of those of `instances` that are heard of; the rest count `assumed` each. */
+  /** The total number of slots of `instances`; `assumed` is used for each instance without a status. */
   slots (instances: readonly string[], assumed: number): number {
     return instances.reduce((sum, instance) => sum + (this._known.get(instance)?.status?.slots ?? assumed), 0)
   }
@@ -109,19 +110,19 @@
     known.outstanding = Math.max(0, known.outstanding - 1)
   }
 
-  /** Takes a status that came on an answer. */
+  /** Records a status that was received with an answer. */
   heard (instance: string, status: EndpointStatus): void {
     const known = this._entry(instance)
     known.status = status
     known.outstandingAtReport = known.outstanding
   }
 
-  /** An instance refused to start something. */
+  /** Records that an instance refused to start a request. */
   refused (instance: string, reason: AdmissionRefusal, now: number): void {
     this._entry(instance).avoidUntil = now + (reason === 'busy' ? AVOID_AFTER_BUSY : AVOID_AFTER_REFUSAL)
   }
 
-  /** Forgets instances that are no longer listed, but for those with work in progress. */
+  /** Removes instances that are no longer listed and have no requests in flight. */
   retain (instances: ReadonlySet<string>): void {
     for (const [instance, known] of this._known) {
       if (!instances.has(instance) && known.outstanding === 0) this._known.delete(instance)
@@ -157,7 +158,7 @@
     return candidates[Math.floor(this._random() * candidates.length)] ?? ''
   }
 
-  /** Own zone first, full or not, unless another zone has room. */
+  /** Endpoints in other zones with free slots; if there are none, those in the own zone, even if full. */
   private _elsewhere (open: readonly Candidate[], own: readonly Candidate[]): readonly Candidate[] {
     const others = open.filter(candidate => candidate.availabilityZone !== this._self.availabilityZone && this.load(candidate.instance) < 1)
     if (others.length > 0) return others
--- a/packages/core/src/lib/chunk-tree.ts
+++ b/packages/core/src/lib/chunk-tree.ts
@@ -4,38 +4,38 @@
  * SPDX-License-Identifier: BSD-3-Clause
  */
 /**
- * Who fetches which chunk from whom. Every process computes the same answer from the member list alone, so no
- * have-maps are exchanged and nobody coordinates.
+ * Determines which member fetches which chunk from which other member. Every process computes the same assignment from
+ * the member list alone, so neither have-maps nor a coordinator are needed.
  *
- * Members of an availability zone stand on a ring. For each chunk the ring is read from another starting point and
- * taken as a complete tree of fan-out k. Starting points step by 1/k of the ring, so that over every k chunks each
- * member is an inner node once: uplinks are loaded evenly by construction, not only on average (see
- * dev-docs/weights.md for the figures against rendezvous order per chunk).
+ * The members of an availability zone form a ring. For each chunk the ring is rotated to a different starting point and
+ * read as a complete tree with fan-out k. The starting point advances by 1/k of the ring, so that within every k chunks
+ * each member is an inner node once. This balances the load on uplinks by construction rather than on average (see
+ * dev-docs/weights.md for a comparison with rendezvous order per chunk).
  */
 import { hash32, rendezvousOrder } from './rendezvous.js'
 
-/** Where a chunk can come from. */
+/** A source of a chunk. */
 export type ChunkSource =
   | { readonly kind: 'peer', readonly instance: string }
   | { readonly kind: 'store' }
   | { readonly kind: 'origin' }
 
-/** Ways of spreading chunks; `rotation` is the product's, the others are for measuring against. */
+/** Distribution strategies. `rotation` is the default; the others serve as baselines in benchmarks. */
 export type SpreadStrategy = 'rotation' | 'rendezvous' | 'tree' | 'origin'
 
-/** One member of the group that fetches a version. */
+/** A member of the group that fetches a version. */
 export interface ChunkMember {
   readonly instance: string
   readonly availabilityZone: string
 }
 
-/** A member's place for one chunk. */
+/** The position of a member in the tree of one chunk. */
 export interface ChunkPlace {
   /** Ancestors, nearest first; empty for a member that reads from the origin. */
   readonly ancestors: readonly string[]
-  /** The members next in line when all ancestors fail: they turn to the origin before this one does. */
+  /** Fallback members if all ancestors fail; they read from the origin before this member does. */
   readonly substitutes: readonly string[]
-  /** How many members stand before this one in its zone: decides how long it waits before it may use the origin. */
+  /** The number of members before this one in its zone, which determines how long it waits before it reads from the origin. */
   readonly rank: number
 }
 
@@ -56,15 +56,15 @@
   origin: ring => ring
 }
 
-/** The placement of one version's chunks over a set of members. */
+/** Assigns the chunks of one version to a set of members. */
 export class ChunkTree {
   private readonly _rings: readonly (readonly string[])[]
   private readonly _ownRing: number
 
   /**
-   * @param self The asking member; it is added to `members` when the list does not show it yet.
-   * @param members Members of the group, in any order.
-   * @param originCopies How many members read each chunk from the origin.
+   * @param self The local member; it is added to `members` if the list does not contain it yet.
+   * @param members The members of the group, in any order.
+   * @param originCopies The number of members that read each chunk from the origin.
    */
   constructor (
     readonly self: ChunkMember,
@@ -85,7 +85,7 @@
   }
 
   /**
-   * The place of the asking member for one chunk.
+   * Returns the position of the local member in the tree of one chunk.
    *
    * @example
    * tree.place(0, manifest.chunks[0].digest) // { ancestors: ['agent-3', 'agent-1'], rank: 4 }
@@ -108,25 +108,25 @@
     return { ancestors, substitutes, rank }
   }
 
-  /** The members of the asking member's own zone other than itself, for detours. */
+  /** The other members of the local member's zone, used as alternative sources. */
   neighbours (): readonly string[] {
     return (this._rings[this._ownRing] ?? []).filter(instance => instance !== this.self.instance)
   }
 
-  /** Zones take turns in being the first, chunk by chunk. */
+  /** The rank of a zone for one chunk; the first zone rotates from chunk to chunk. */
   private _zoneRank (ring: number, chunk: number): number {
     const count = this._rings.length
     return (ring + count - (this.strategy === 'tree' ? 0 : chunk % count)) % count
   }
 
-  /** Origin copies are dealt to the zones in turn, the first zones of a chunk first. */
+  /** The number of origin copies read in a zone: copies are divided evenly, the remainder going to the first zones of a chunk. */
   private _copiesInZone (zoneRank: number): number {
     const count = this._rings.length
     const even = Math.floor(this.originCopies / count)
     return even + (zoneRank < this.originCopies % count ? 1 : 0)
   }
 
-  /** The heads of the zones before this one, up to a zone that reads from the origin. */
+  /** The first members of the zones above this one, up to a zone that reads from the origin. */
   private _headAncestors (zoneRank: number, chunk: number, chunkDigest: string): string[] {
     const heads: string[] = []
     let at = zoneRank
@@ -141,7 +141,7 @@
     return this._ordered(zoneRank, chunk, chunkDigest)[0] ?? ''
   }
 
-  /** The members of the zone that has a rank among the zones, in the order of one chunk. */
+  /** The members of the zone with the given rank, in the order of one chunk. */
   private _ordered (zoneRank: number, chunk: number, chunkDigest: string): readonly string[] {
     const count = this._rings.length
     const ring = (zoneRank + (this.strategy === 'tree' ? 0 : chunk % count)) % count
@@ -149,13 +149,13 @@
   }
 }
 
-/** The parent in a forest of `roots` complete trees laid out level by level. */
+/** The parent index in a forest of `roots` complete trees in level order. */
 function parentOf (rank: number, roots: number): number {
   return Math.floor((rank - Math.max(1, roots)) / FAN_OUT)
 }
 
 /**
- * A number in [0, 1) that is the same for one member and subject everywhere: deterministic jitter.
+ * Deterministic jitter: a number in [0, 1) that every process computes alike for a member and subject.
  *
  * @example
  * const delay = 1_000 * jitterOf('agent-3', 'service-read')
--- a/packages/core/src/lib/claims.ts
+++ b/packages/core/src/lib/claims.ts
@@ -4,43 +4,44 @@
  * SPDX-License-Identifier: BSD-3-Clause
  */
 /**
- * Records of request ids that may run at most once, spread over keepers instead of a shared store.
+ * At-most-once records of request ids, distributed over keepers instead of held in a shared store.
  *
- * Each id maps by rendezvous order to five agents, its keepers. An attempt may run only after four of the five have
- * recorded its claim and vouched that they have seen no other. A keeper vouches only once it has been listed longer
- * than the repeat window, so a replacement cannot vouch for what its predecessor knew. Four of five meet four of five
- * even when two of the keepers differ between two entries' lists (dev-docs/requests.md has the counting).
+ * Rendezvous order maps each id to five agents, its keepers. An attempt may run only after four of the five have
+ * recorded its claim and confirmed that they have seen no other attempt. A keeper confirms only once it has been listed
+ * for longer than the repeat window, so that a replacement cannot confirm ids that only its predecessor has recorded.
+ * Two sets of four out of five intersect even if two keepers differ between the instance lists of two entries
+ * (dev-docs/requests.md has the proof).
  *
- * An id that the system issued names its keepers itself: the set is the same for everyone, so a majority is enough,
- * and a keeper vouches as soon as it is the incarnation that the id names.
+ * An id issued by the system names its keepers, so every entry uses the same set and a majority is enough. A keeper
+ * confirms such an id immediately if it is the incarnation that the id names.
  */
 import { parseIssuedId, type IssuedKeeper } from './issued-id.js'
 import { rendezvousTop } from './rendezvous.js'
 
-/** How many agents keep the record of one id. */
+/** The number of agents that record each id. */
 export const KEEPER_COUNT = 5
 
-/** A keeper's answer to a claim. */
+/** A keeper's reply to a claim. */
 export type ClaimReply =
   | { readonly type: 'vouched' }
-  /** Not listed long enough to know of earlier attempts; ask again after `wait` milliseconds. */
+  /** The keeper has not been listed long enough to know of earlier attempts; retry after `wait` milliseconds. */
   | { readonly type: 'young', readonly wait: number }
-  /** Not the keeper that the id names any more, or the id is older than the repeat window. */
+  /** The keeper is not the incarnation that the id names, or the id is older than the repeat window. */
   | { readonly type: 'stranger' }
   | { readonly type: 'seen', readonly attempt: string, readonly bodyDigest: string }
   | { readonly type: 'full' }
 
-/** What an attempt may conclude from its keepers. */
+/** The outcome of an attempt's claims at its keepers. */
 export type QuorumVerdict = 'granted' | 'seen' | 'conflict' | 'young' | 'full' | 'unreachable' | 'open'
 
-/** The keepers of one id, and how many of them must vouch. */
+/** The keepers of one id, and how many of them must confirm a claim. */
 export interface Keepers {
   readonly instances: readonly string[]
   readonly needed: number
 }
 
 /**
- * The keepers of an id: those that an issued id names, else the first in the order everyone computes.
+ * Returns the keepers of an id: those named by an issued id, otherwise the first agents in rendezvous order.
  *
  * @example
  * keepersOf(agents, 'hall-1', 'notice-42').instances
@@ -52,13 +53,14 @@
   return { instances, needed: neededVouches(instances.length) }
 }
 
-/** The least number of a fixed set such that any two choices of it meet. */
+/** The smallest number of keepers such that any two subsets of that size intersect. */
 function majority (keepers: number): number {
   return Math.floor(keepers / 2) + 1
 }
 
 /**
- * How many of `keepers` must vouch. Below four, one silent keeper could hide the only record, so all must.
+ * How many of `keepers` must confirm a claim. Below four, the only record could be at a single unreachable keeper, so
+ * all must confirm.
  *
  * @example
  * neededVouches(5) // 4
@@ -73,24 +75,24 @@
   readonly at: number
 }
 
-/** Bounds of a keeper; times in milliseconds. */
+/** Limits of a keeper; times in milliseconds. */
 export interface KeeperPolicy {
-  /** How long a record is kept, and how long a keeper must have been listed before it vouches. */
+  /** How long a record is kept, and how long a keeper must have been listed before it confirms claims. */
   readonly repeatWindow: number
-  /** Records for one organisation; at the bound new claims are refused, never old ones dropped. */
+  /** The maximum number of records per organisation. At the bound, new claims are refused; records are never evicted. */
   readonly recordsPerOrganisation: number
 }
 
-/** The policy that agents use unless the settings say otherwise. */
+/** The default policy of agents. */
 export const defaultKeeperPolicy: KeeperPolicy = { repeatWindow: 600_000, recordsPerOrganisation: 4_096 }
 
-/** The records that one agent keeps. */
+/** The claim records of one agent. */
 export class ClaimKeeper {
   private readonly _records = new Map<string, Map<string, ClaimRecord>>()
   private _listedSince: number | undefined
 
   /**
-   * @param incarnation Names this start of the agent.
+   * @param incarnation Identifies this run of the agent process.
    */
   constructor (readonly incarnation: string, private readonly _policy: KeeperPolicy = defaultKeeperPolicy) {}
 
@@ -101,13 +103,13 @@
     return total
   }
 
-  /** The agent saw itself in the instance list. Only the first time counts. */
+  /** Records when the agent first found itself in the instance list. Later calls have no effect. */
   listed (now: number): void {
     this._listedSince ??= now
   }
 
   /**
-   * Records a claim, the first attempt for an id winning.
+   * Records a claim. The first attempt for an id wins.
    *
    * @example
    * keeper.claim('hall-1', 'notice-42', 'entry-1:7', bodyDigest, now)
@@ -124,14 +126,14 @@
     return wait > 0 ? { type: 'young', wait } : { type: 'vouched' }
   }
 
-  /** Takes back a claim whose attempt is known never to run. Another attempt's record stays. */
+  /** Releases the claim of an attempt that is known not to run. A record of another attempt is kept. */
   release (organisation: string, id: string, attempt: string): void {
     const records = this._records.get(organisation)
     if (records?.get(id)?.attempt === attempt) records.delete(id)
     if (records?.size === 0) this._records.delete(organisation)
   }
 
-  /** Records last as long as the repeat window; after it an id must not be vouched for again. */
+  /** Confirms an issued id only within the repeat window, since records are deleted after it. */
   private _vouchIssued (issued: readonly IssuedKeeper[], now: number): ClaimReply {
     const own = issued.find(keeper => keeper.incarnation === this.incarnation)
     if (own === undefined) return { type: 'stranger' }
@@ -144,7 +146,7 @@
     return Math.max(0, this._listedSince + this._policy.repeatWindow - now)
   }
 
-  /** Records leave in the order they came, so the oldest are always first. */
+  /** The records of an organisation, after deleting expired ones. Maps keep insertion order, so the oldest come first. */
   private _fresh (organisation: string, now: number): Map<string, ClaimRecord> {
     const records = this._records.get(organisation) ?? new Map<string, ClaimRecord>()
     this._records.set(organisation, records)
@@ -156,22 +158,22 @@
   }
 }
 
-/** Counts the keepers' answers for one attempt. */
+/** Collects the keepers' replies for one attempt. */
 export class ClaimQuorum {
   private readonly _replies = new Map<string, ClaimReply | 'unreachable'>()
 
   /**
-   * @param needed How many keepers must vouch.
+   * @param _needed How many keepers must confirm the claim.
    */
   constructor (readonly keepers: readonly string[], private readonly _needed: number, private readonly _attempt: string, private readonly _bodyDigest: string) {}
 
-  /** Takes one keeper's answer, or that it gave none. */
+  /** Records the reply of one keeper, or that it could not be reached. */
   take (keeper: string, reply: ClaimReply | 'unreachable'): void {
     this._replies.set(keeper, reply)
   }
 
   /**
-   * What follows from the answers so far.
+   * Returns the verdict on the replies received so far.
    *
    * @example
    * if (quorum.verdict() === 'granted') sendGo()
@@ -190,7 +192,7 @@
     return 'unreachable'
   }
 
-  /** How long until the youngest keepers vouch, in milliseconds. */
+  /** How long until all keepers have been listed long enough to confirm claims, in milliseconds. */
   wait (): number {
     const waits = [...this._replies.values()].map(reply => reply !== 'unreachable' && reply.type === 'young' ? reply.wait : 0)
     return Math.max(0, ...waits)
--- a/packages/core/src/lib/concurrency-limit.ts
+++ b/packages/core/src/lib/concurrency-limit.ts
@@ -4,49 +4,49 @@
  * SPDX-License-Identifier: BSD-3-Clause
  */
 /**
- * An adaptive limit on what one entry runs at once on one group of endpoints. Nobody tells an entry its share of the
- * endpoints' slots; it finds it: up by a little while answers come, down by a factor when endpoints say they are busy.
- * Until the first such word it allows all the slots that it can see: a crowd that comes at once must not wait for a
- * limit to grow, and endpoints refuse for themselves what is too much.
+ * An adaptive limit on the concurrent requests of one entry to one group of endpoints. No one assigns an entry its share
+ * of the endpoints' slots, so it estimates the share by additive increase while requests succeed and multiplicative
+ * decrease when endpoints refuse as busy. Until the first such refusal, the limit is the number of all visible slots: a
+ * sudden burst must not wait for the limit to grow, and endpoints refuse any excess themselves.
  */
 
 const INCREASE = 1
 const DECREASE = 0.85
-/** Decreases come at most this often, in milliseconds: one burst of refusals is one signal. */
+/** The least time between two decreases, in milliseconds, so that a burst of refusals counts as one signal. */
 const DECREASE_PAUSE = 100
 
-/** The limit of one group. */
+/** The concurrency limit for one group of endpoints. */
 export class ConcurrencyLimit {
   private _limit: number
   private _decreasedAt = -Infinity
-  /** Whether an endpoint has ever said that it is busy. */
+  /** Whether an endpoint has ever refused as busy. */
   private _refused = false
 
   /**
-   * @param _least The limit never falls below this.
-   * @param _most The limit never rises above this: the slots of all endpoints that the entry can see.
+   * @param _least The lower bound of the limit.
+   * @param _most The upper bound of the limit: the slots of all endpoints visible to the entry.
    */
   constructor (private readonly _least: number, private _most: number) {
     this._limit = Math.max(_least, _most)
   }
 
-  /** Requests that may run at once. */
+  /** The number of requests that may run concurrently. */
   get limit (): number { return Math.floor(this._limit) }
 
-  /** Sets the slots that are there in all. */
+  /** Sets the upper bound: the total number of slots. */
   setMost (most: number): void {
     this._most = Math.max(this._least, most)
     this._limit = this._refused ? Math.min(this._limit, this._most) : this._most
   }
 
-  /** A request ended well while `running` were in progress. An idle entry learns nothing from that. */
+  /** Records a success while `running` requests were in flight. It is ignored well below the limit, where it says nothing about capacity. */
   succeeded (running: number): void {
     if (running * 1.25 < this._limit) return
     this._limit = Math.min(this._most, this._limit + INCREASE / this._limit)
   }
 
   /**
-   * An endpoint refused as busy.
+   * Records that an endpoint refused as busy.
    *
    * @example
    * limit.refused(now)
--- a/packages/core/src/lib/documents.ts
+++ b/packages/core/src/lib/documents.ts
@@ -4,8 +4,8 @@
  * SPDX-License-Identifier: BSD-3-Clause
  */
 /**
- * The documents that the platform publishes, and the manifest of a version, with their schemas.
- * A document is taken whole or refused whole; nothing in here reads or writes anything.
+ * Schemas and validation for the documents that the platform publishes and for the manifest of a version.
+ * A document is accepted or rejected as a whole. This module performs no input or output.
  */
 import * as valibot from 'valibot'
 import type { DocumentFailure, WeightsFailure } from './failure.js'
@@ -18,13 +18,13 @@
 const poolSchema = valibot.strictObject({
   model: name,
   version: name,
-  /** The share of a pool's engines in one availability zone that may switch version at once. */
+  /** The fraction of a pool's engines in one availability zone that may switch version concurrently. */
   switchFraction: valibot.optional(fraction, 0.25),
-  /** Requests that one engine runs at once. */
+  /** The number of requests that one engine runs concurrently. */
   slots: valibot.optional(positive, 8),
-  /** Copies that may be read from the origin for one version. */
+  /** The number of copies of a version that may be read from the origin. */
   originCopies: valibot.optional(valibot.pipe(positive, valibot.maxValue(64)), 1),
-  /** The hour by which the version is to be in place, as milliseconds since 1970; told in forecasts. */
+  /** The time by which the version is to be in place, in milliseconds since the Unix epoch; used in forecasts. */
   neededBy: valibot.optional(positive)
 })
 
@@ -35,15 +35,15 @@
 
 const serviceSchema = valibot.strictObject({
   slots: valibot.optional(positive, 16),
-  /** Calls that run at most once for one request id. */
+  /** Calls that run at most once per request id. */
   neverRepeat: valibot.optional(valibot.array(callPatternSchema), [])
 })
 
 const organisationSchema = valibot.strictObject({
   weight: valibot.optional(valibot.pipe(positive, valibot.maxValue(1000)), 1),
-  /** Requests of one organisation that one entry runs at once; absent for no limit of its own. */
+  /** The maximum number of concurrent requests of the organisation per entry; absent for no limit. */
   inProgress: valibot.optional(positive),
-  /** Digests of the caller keys that stand for this organisation. */
+  /** Digests of the caller keys that authenticate as this organisation. */
   keyDigests: valibot.optional(valibot.array(digest), [])
 })
 
@@ -52,7 +52,7 @@
   pools: valibot.record(name, poolSchema),
   services: valibot.record(name, serviceSchema),
   organisations: valibot.record(name, organisationSchema),
-  /** Instances that take no new work. */
+  /** Instances that accept no new requests. */
   draining: valibot.optional(valibot.array(name), [])
 })
 
@@ -62,7 +62,7 @@
   availabilityZone: name,
   role: valibot.picklist(['entry', 'agent']),
   address: valibot.pipe(valibot.string(), valibot.regex(addressPattern)),
-  /** The pool or service that an agent's endpoint belongs to. */
+  /** The pool or service to which the agent's endpoint belongs. */
   endpoint: valibot.optional(name),
   state: valibot.picklist(['live', 'leaving'])
 })
@@ -75,18 +75,18 @@
   chunks: valibot.pipe(valibot.array(valibot.strictObject({ digest, bytes: positive })), valibot.minLength(1))
 })
 
-/** The settings that operators publish: models, pools, services and organisations. */
+/** The configuration that operators publish: models, pools, services and organisations. */
 export type Configuration = valibot.InferOutput<typeof configurationSchema>
-/** A pool of model workers as configured. */
+/** The configuration of a pool of model workers. */
 export type PoolConfiguration = valibot.InferOutput<typeof poolSchema>
-/** One line of the instance list. */
+/** An entry of the instance list. */
 export type InstanceRecord = valibot.InferOutput<typeof instanceSchema>
-/** The platform's list of instances. */
+/** The list of instances that the platform publishes. */
 export type InstanceList = valibot.InferOutput<typeof instanceListSchema>
 /** The chunks of one version of a model. Its digest is the version's identity. */
 export type Manifest = valibot.InferOutput<typeof manifestSchema>
 
-/** Either a value or the failure that explains why there is none. */
+/** The result of validation: a value or a failure. */
 export type Checked<Value, Problem> = { readonly value: Value } | { readonly failure: Problem }
 
 function issueText (issues: readonly valibot.BaseIssue<unknown>[]): string {
@@ -98,11 +98,11 @@
 }
 
 /**
- * Checks a configuration document, its cross references included.
+ * Validates a configuration document, including its cross-references.
  *
  * @example
  * const checked = checkConfiguration(JSON.parse(text))
- * if ('failure' in checked) keepTheOldOne(checked.failure)
+ * if ('failure' in checked) keepCurrent(checked.failure)
  */
 export function checkConfiguration (input: unknown): Checked<Configuration, DocumentFailure> {
   const parsed = valibot.safeParse(configurationSchema, input)
@@ -118,7 +118,7 @@
 }
 
 /**
- * Checks an instance list; two lines for one instance are refused.
+ * Validates an instance list. Duplicate instances are rejected.
  *
  * @example
  * checkInstanceList({ instances: [] })
@@ -128,15 +128,15 @@
   if (!parsed.success) return invalid(issueText(parsed.issues))
   const seen = new Set<string>()
   for (const { instance } of parsed.output.instances) {
-    if (seen.has(instance)) return invalid(`instances: ${instance} stands twice`)
+    if (seen.has(instance)) return invalid(`instances: ${instance} is listed more than once`)
     seen.add(instance)
   }
   return { value: parsed.output }
 }
 
 /**
- * Checks a manifest: its sizes must add up and stay under `limitBytes`. That its digest is the wanted one is for
- * the caller to check on the bytes themselves.
+ * Validates a manifest: the chunk sizes must add up to the total and not exceed `limitBytes`. The caller must verify the
+ * digest of the manifest's bytes.
  *
  * @example
  * checkManifest(JSON.parse(bytes.toString()), 2 ** 40)
@@ -155,7 +155,7 @@
 }
 
 /**
- * The manifest digest that a pool is to serve.
+ * Returns the manifest digest that a pool is configured to serve, or `undefined` if there is no such pool or version.
  *
  * @example
  * wantedDigest(configuration, 'drafting')
--- a/packages/core/src/lib/ejection.ts
+++ b/packages/core/src/lib/ejection.ts
@@ -4,13 +4,17 @@
  * SPDX-License-Identifier: BSD-3-Clause
  */
 /**
- * Takes endpoints out of the choice that fail or hang, for a time that doubles, and lets one request through to see
- * whether they are back. At most half of a group is out at once: when everything looks bad, the fault is elsewhere.
+ * Outlier ejection: excludes endpoints that fail or hang, for a time that doubles with each ejection, and then sends a
+ * single probe request. At most half of a group is ejected; if more endpoints look unhealthy, the fault is likely
+ * elsewhere and all of them are used.
  */
 
 const FAILURES_TO_EJECT = 3
+/** The duration of the first ejection, in milliseconds. */
 const FIRST_EJECTION = 1_000
+/** The maximum duration of an ejection, in milliseconds. */
 const LONGEST_EJECTION = 20_000
+/** The largest fraction of a group that may be ejected. */
 const LARGEST_SHARE = 0.5
 
 interface Health {
@@ -20,12 +24,12 @@
   probing: boolean
 }
 
-/** The health of the endpoints of one group, as one entry sees it. */
+/** The health of the endpoints of one group, as observed by one entry. */
 export class Ejection {
   private readonly _health = new Map<string, Health>()
 
   /**
-   * Those of `instances` that may be chosen.
+   * Returns the `instances` that may be chosen.
    *
    * @example
    * const candidates = ejection.usable(instances, now)
@@ -36,24 +40,24 @@
     return [...instances]
   }
 
-  /** A request was sent: an endpoint whose time is over gets just one until that ends. */
+  /** Records that a request was sent. An endpoint whose ejection has ended gets one probe request at a time. */
   chosen (instance: string): void {
     const health = this._health.get(instance)
     if (health !== undefined && health.failures >= FAILURES_TO_EJECT) health.probing = true
   }
 
-  /** A request ended well. */
+  /** Records a success, which clears the failures of the instance. */
   succeeded (instance: string): void {
     this._health.delete(instance)
   }
 
-  /** A request ended without trouble or proof of health, for instance because its caller hung up. */
+  /** Records that a request ended without evidence for or against health, for example because the caller disconnected. */
   ended (instance: string): void {
     const health = this._health.get(instance)
     if (health !== undefined) health.probing = false
   }
 
-  /** A request failed, or no answer came in time. */
+  /** Records that a request failed or timed out. */
   failed (instance: string, now: number): void {
     const health = this._health.get(instance) ?? { failures: 0, ejections: 0, until: 0, probing: false }
     this._health.set(instance, health)
@@ -64,7 +68,7 @@
     health.ejections += 1
   }
 
-  /** Forgets instances that are no longer listed. */
+  /** Removes instances that are no longer listed. */
   retain (instances: ReadonlySet<string>): void {
     for (const instance of this._health.keys()) if (!instances.has(instance)) this._health.delete(instance)
   }
--- a/packages/core/src/lib/engine-switch.ts
+++ b/packages/core/src/lib/engine-switch.ts
@@ -4,57 +4,57 @@
  * SPDX-License-Identifier: BSD-3-Clause
  */
 /**
- * The switch of one engine from version to version: only to a whole, verified one, when the wave before is done, and
- * only after what runs has ended. Serving is believed only from the engine's own report.
+ * Switches one engine between versions. It switches only to a complete, verified version, after the previous wave has
+ * finished and all requests in flight have ended. An engine counts as serving only on its own report.
  *
- * An agent takes its engine over before it gives any order, with a fence above the engine's last: whatever an earlier
- * agent that wakes late orders after that is refused by the engine, and tells it that it has been replaced.
+ * Before an agent sends any load order, it takes the engine over with a fencing token above the engine's last one. The
+ * engine then refuses orders from an earlier agent that resumes late, which tells that agent that it has been replaced.
  */
 import type { AdmissionDoor } from './admission.js'
 import type { InstanceRecord } from './documents.js'
 import { previousWave, SwitchGate, type SwitchProgress } from './rollout.js'
 
-/** What an engine says of itself. */
+/** The state that an engine reports. */
 export interface EngineReport {
   /** The manifest digest that is served; empty for none. */
   readonly version: string
   /** The manifest digest being loaded; empty for none. */
   readonly loading: string
-  /** The manifest digest whose load failed last; empty for none. */
+  /** The manifest digest of the last failed load; empty for none. */
   readonly failed: string
   readonly fence: number
-  /** Requests in progress there; reported late. */
+  /** Requests in flight at the engine. The report lags behind. */
   readonly running: number
 }
 
-/** What is wanted of the engine. */
+/** The version that the engine is to serve. */
 export interface SwitchTarget {
   readonly manifestDigest: string
-  /** The share of a zone's engines that may switch at once. */
+  /** The fraction of a zone's engines that may switch concurrently. */
   readonly switchFraction: number
 }
 
-/** What the agent holds and knows when it decides. */
+/** The inputs to a decision of the agent. */
 export interface SwitchSituation {
   readonly target: SwitchTarget | undefined
-  /** The manifest digest that is held whole and verified; empty for none. */
+  /** The manifest digest of the version that is held completely and verified; empty for none. */
   readonly wholeDigest: string
-  /** Members of the pool that are listed as live. */
+  /** The members of the pool that are listed as live. */
   readonly members: readonly InstanceRecord[]
-  /** Digests that the configuration knows for the pool's model: only these may be served. */
+  /** The configured digests of the pool's model. Only these may be served. */
   readonly knownDigests: ReadonlySet<string>
 }
 
-/** How a load order was answered. `refused-here`: the agent found that the engine lost chunks, and gave no order. */
+/** The result of a load order. `refused-here`: the agent found that the engine lost chunks and sent no order. */
 export type LoadResult = 'ordered' | 'stale-fence' | 'refused' | 'refused-here' | 'unreachable'
 
-/** How a take-over was answered. */
+/** The result of a take-over. */
 export type TakeOverResult = 'taken' | 'stale-fence' | 'unreachable'
 
-/** What the shell is to do, or to log. */
+/** An action for the caller to perform or log. */
 export type SwitchEffect =
   | { readonly type: 'take-over', readonly fence: number }
-  /** Another agent has taken the engine over, or may have: this one is to end. */
+  /** Another agent has taken the engine over, or may have; this agent must stop. */
   | { readonly type: 'replaced', readonly fence: number }
   | { readonly type: 'ask-progress', readonly instances: readonly string[], readonly digest: string }
   | { readonly type: 'order-load', readonly digest: string, readonly fence: number }
@@ -63,27 +63,30 @@
   | { readonly type: 'load-failed', readonly digest: string }
   | { readonly type: 'halted', readonly digest: string }
 
-/** Predecessors asked in one round, and in a second: a large wave must not cost more than control may. */
+/** Predecessors queried per round and per second. They bound the control traffic of a large wave. */
 const MOST_ASKED = 32
 const ASKED_PER_SECOND = 16
-/** A failed load is tried again after this, in milliseconds. */
+/** The delay before a failed load is retried, in milliseconds. */
 const LOAD_RETRY_PAUSE = 5_000
-/** An order that got no answer is given again after this, in milliseconds. */
+/** The delay before an unanswered order is resent, in milliseconds. */
 const ORDER_RETRY_PAUSE = 500
 /**
- * Engines report what runs late. For so long after a take-over the report may lack requests of the agent before, in
- * milliseconds.
+ * The number of running requests that an engine reports lags behind. For this long after a take-over, in milliseconds,
+ * the report may not include requests of the previous agent.
  */
 const REPORT_SETTLES = 1_500
-/** An agent that has not taken its engine over and finds so long a gap in its own time was paused, and may be replaced. */
+/**
+ * An agent that has not yet taken its engine over and sees a gap of this length between two steps, in milliseconds, was
+ * paused and may have been replaced.
+ */
 const PAUSE_SUSPECTED = 2_500
 
-/** The switch of one engine. */
+/** The version switch of one engine. */
 export class EngineSwitch {
   private _gate = new SwitchGate()
   private _gateFor = ''
   private _report: EngineReport | undefined
-  /** The digest whose load is ordered and not yet reported as done; empty for none. */
+  /** The digest of the load that was ordered and not yet reported as finished; empty for none. */
   private _ordered = ''
   private _failed = ''
   private _retryAt = 0
@@ -95,39 +98,39 @@
   private _steppedAt: number
 
   /**
-   * @param _self This agent's instance.
-   * @param _door Closed here while the engine switches or serves nothing known.
-   * @param now When the agent started.
+   * @param _self The agent's instance.
+   * @param _door The admission control, closed while the engine switches or serves no configured version.
+   * @param now The start time of the agent.
    */
   constructor (private readonly _self: string, private readonly _door: AdmissionDoor, now: number) {
     this._steppedAt = now
   }
 
-  /** The engine's last report; nothing when it could not be reached. */
+  /** The engine's last report; `undefined` if it could not be reached. */
   get engine (): EngineReport | undefined { return this._report }
-  /** Whether the rollout stands still because engines before this one failed to load. */
+  /** Whether the rollout is halted because engines in the previous wave failed to load. */
   get halted (): boolean { return this._halted }
-  /** The version that this engine failed to load; empty for none. */
+  /** The digest of the version that this engine failed to load; empty for none. */
   get failed (): string { return this._failed }
 
-  /** The fence of this agent's orders; 0 until it has taken the engine over. */
+  /** The fencing token of this agent's orders; 0 until it has taken the engine over. */
   get fence (): number { return this._fence }
 
-  /** How far this engine is with a version, for the waves after it. */
+  /** The progress of this engine with a version, queried by the next wave. */
   progress (digest: string): SwitchProgress {
     if (this._failed === digest) return 'failed'
     return this._report?.version === digest && !this._door.switching ? 'serving' : 'waiting'
   }
 
-  /** What a predecessor said of its own engine. */
+  /** Records the progress that a predecessor reported. */
   heard (instance: string, progress: SwitchProgress, now: number): void {
     this._gate.report(instance, progress, now)
   }
 
   /**
-   * The engine was looked at. Returns what is to be done next.
+   * Processes a poll of the engine and returns the next actions.
    *
-   * @param report Nothing when the engine could not be reached.
+   * @param report The engine's report; `undefined` if the engine could not be reached.
    * @example
    * for (const effect of engineSwitch.step(await engine.state(), situation, now)) carryOut(effect)
    */
@@ -142,7 +145,7 @@
     return [...effects, ...this._advance(situation, now)]
   }
 
-  /** The take-over was answered. One that came too late found another agent: which of the two is older, only the platform knows. */
+  /** Processes the result of a take-over. A stale fence means that another agent took over first; only the platform knows which of the two is older, so this one stops. */
   tookOver (fence: number, result: TakeOverResult, now: number): SwitchEffect[] {
     if (result === 'stale-fence') return this._replace(fence)
     if (result === 'unreachable' || this._replaced) return []
@@ -151,14 +154,14 @@
     return []
   }
 
-  /** The load order was answered. Only an accepted order keeps the door closed. */
+  /** Processes the result of a load order. Admission stays closed only if the order was accepted or may have been. */
   loadAnswered (digest: string, result: LoadResult, now: number): void {
     if (result === 'ordered') {
       this._ordered = digest
       return
     }
     if (result === 'unreachable') {
-      // The engine may have taken the order: the door stays closed, and the order, which may repeat, is given again.
+      // The engine may have accepted the order, so admission stays closed and the idempotent order is sent again.
       this._retryAt = now + ORDER_RETRY_PAUSE
       return
     }
@@ -167,7 +170,7 @@
     if (result === 'refused') this._failed = digest
   }
 
-  /** The door is open exactly when the engine reports a version that the configuration knows. */
+  /** Opens admission only while the engine reports a configured version and loads no other, and checks for the end of an ordered load. */
   private _observe (knownDigests: ReadonlySet<string>, now: number): SwitchEffect[] {
     const report = this._report
     const known = report !== undefined && report.version !== '' && knownDigests.has(report.version)
@@ -189,20 +192,20 @@
     return this._door.switching ? this._load(target, report, now) : this._ask(target, situation.members, report, now)
   }
 
-  /** The fence is taken from the report that was just made: if another agent comes between, the engine refuses it. */
+  /** Uses the fence of the latest report plus one. If another agent takes over in between, the engine refuses the take-over. */
   private _takeOver (report: EngineReport | undefined, gap: number): SwitchEffect[] {
     if (gap > PAUSE_SUSPECTED) return this._replace(report?.fence ?? 0)
     return report === undefined ? [] : [{ type: 'take-over', fence: report.fence + 1 }]
   }
 
-  /** One way: an agent that has been replaced serves and orders nothing more. */
+  /** Stops this agent permanently: an agent that has been replaced admits no requests and sends no orders. */
   private _replace (fence: number): SwitchEffect[] {
     this._door.leave('stopped')
     this._replaced = true
     return [{ type: 'replaced', fence }]
   }
 
-  /** Nothing is to be switched to (any more): what was closed for it opens again. */
+  /** Reopens admission when there is no version to switch to. */
   private _stay (): SwitchEffect[] {
     this._door.setSwitching(false)
     return []
@@ -228,7 +231,7 @@
     return halts ? [{ type: 'halted', digest: target.manifestDigest }, ask] : [ask]
   }
 
-  /** The door is closed: the load is ordered once nothing runs, by the agent's count and the engine's. */
+  /** Orders the load once no requests are in flight by both the agent's and the engine's count. Admission is already closed. */
   private _load (target: SwitchTarget, report: EngineReport, now: number): SwitchEffect[] {
     const settled = report.version === '' || now - this._takenAt >= REPORT_SETTLES
     if (this._door.running > 0 || report.running > 0 || !settled) return []
--- a/packages/core/src/lib/failure.ts
+++ b/packages/core/src/lib/failure.ts
@@ -4,52 +4,52 @@
  * SPDX-License-Identifier: BSD-3-Clause
  */
 /**
- * Every failure that leaves a module is one of these tagged values, so that a caller can match on `type` and an
- * operator can search for the stable `code` that a log line or an HTTP answer carries.
+ * Tagged values for every failure that crosses a module boundary. Callers match on `type`; operators search for the
+ * stable `code` in log lines and HTTP responses.
  */
 
-/** What is known about a request that did not end with a whole answer. */
+/** What is known about a request that did not receive a complete answer. */
 export type Outcome = 'not-run' | 'unknown' | 'cut'
 
-/** Stable codes towards callers; see docs/PROTOCOLS.md. */
+/** Stable error codes returned to callers; see docs/PROTOCOLS.md. */
 export type RefusalCode =
   | 'overloaded' | 'deadline-passed' | 'unknown-model' | 'unknown-service' | 'unknown-organisation'
   | 'bad-request' | 'body-too-large' | 'no-endpoint' | 'already-claimed' | 'history-unknown' | 'id-conflict'
   | 'unknown-route' | 'timed-out' | 'outcome-unknown' | 'answer-cut' | 'leaving' | 'not-allowed' | 'engine-failed' | 'no-configuration' | 'records-full'
   | 'ends-endpoints' | 'endpoints-spared'
 
-/** A refusal or failure of one request, as the caller sees it. */
+/** A refusal or failure of a request, as returned to the caller. */
 export interface RequestFailure {
   readonly type: 'request-failure'
   readonly code: RefusalCode
   readonly outcome: Outcome
-  /** Milliseconds after which asking again makes sense; 0 where it does not. */
+  /** Milliseconds after which a retry may succeed; 0 if a retry is not useful. */
   readonly retryAfter: number
   readonly detail: string
 }
 
-/** Why a published document was not taken. */
+/** Why a published document was rejected. */
 export interface DocumentFailure {
   readonly type: 'document-failure'
   readonly reason: 'invalid' | 'wrong-source' | 'older'
   readonly detail: string
 }
 
-/** Why weights could not be taken. */
+/** Why weights could not be fetched or verified. */
 export interface WeightsFailure {
   readonly type: 'weights-failure'
   readonly reason: 'bad-manifest' | 'digest-mismatch' | 'wrong-length' | 'unavailable' | 'too-large'
   readonly detail: string
 }
 
-/** Why a peer's message or connection was refused. */
+/** Why a peer's message or connection was rejected. */
 export interface PeerFailure {
   readonly type: 'peer-failure'
   readonly reason: 'malformed' | 'oversized' | 'protocol-version' | 'wrong-key' | 'connection-lost' | 'timed-out' | 'refused'
   readonly detail: string
 }
 
-/** Why a settings file was refused. */
+/** Why a settings file was rejected. */
 export interface SettingsFailure {
   readonly type: 'settings-failure'
   readonly file: string
@@ -58,7 +58,7 @@
   readonly expected: string
 }
 
-/** Any failure of the system. */
+/** Any failure that this system reports. */
 export type Failure = RequestFailure | DocumentFailure | WeightsFailure | PeerFailure | SettingsFailure
 
 /** An `Error` that carries a typed failure through promise chains. */
@@ -83,7 +83,8 @@
 }
 
 /**
- * Reads the failure out of anything thrown; foreign errors become a lost connection, the most careful reading.
+ * Extracts the failure from any thrown value. Unknown errors are reported as a lost connection, the most conservative
+ * interpretation.
  *
  * @example
  * try { await call() } catch (error) { const failure = failureOf(error) }
--- a/packages/core/src/lib/fair-queue.ts
+++ b/packages/core/src/lib/fair-queue.ts
@@ -4,24 +4,24 @@
  * SPDX-License-Identifier: BSD-3-Clause
  */
 /**
- * Start-time fair queueing over organisations (Goyal, Vin and Cheng 1996): whoever is served next is the one whose
- * request carries the smallest virtual start time, so that each backlogged organisation gets its weight's share,
- * whatever the others send. Classes multiply the weight; no class starves another.
+ * Start-time fair queueing over organisations (Goyal, Vin and Cheng 1996). The request with the smallest virtual start
+ * time is served next, so that each backlogged organisation receives a share proportional to its weight regardless of
+ * the load of the others. Request classes multiply the weight, and no class starves another.
  */
 
-/** Classes of requests, the more urgent first. */
+/** Request classes, the more urgent first. */
 export type RequestClass = 'interactive' | 'batch'
 
-/** How much of its organisation's share a class draws, relative to the others. */
+/** The relative weight of each class within its organisation's share. */
 const classWeights: Record<RequestClass, number> = { interactive: 4, batch: 1 }
 
-/** A request that waits. */
+/** A queued request. */
 export interface Waiting<Item> {
   readonly item: Item
   readonly organisation: string
   readonly requestClass: RequestClass
   readonly enqueuedAt: number
-  /** No start after this time. */
+  /** The request must not start after this time. */
   readonly deadline: number
   readonly startTag: number
 }
@@ -31,23 +31,23 @@
   finishTag: number
 }
 
-/** A queue that shares its output by weight. */
+/** A queue that serves organisations in proportion to their weights. */
 export class FairQueue<Item> {
   private readonly _flows = new Map<string, Flow<Item>>()
   private _virtualTime = 0
   private _size = 0
 
-  /** Requests that wait. */
+  /** The number of queued requests. */
   get size (): number { return this._size }
 
-  /** Requests of one organisation that wait, over its classes. */
+  /** The number of queued requests of one organisation, over all classes. */
   sizeOf (organisation: string): number {
     let total = 0
     for (const requestClass of Object.keys(classWeights)) total += this._flows.get(flowKey(organisation, requestClass))?.waiting.length ?? 0
     return total
   }
 
-  /** The sum of weights of the organisations that wait, for estimates of one's share. */
+  /** The total weight of the organisations with queued requests, used to estimate the share of each. */
   waitingWeight (weightOf: (organisation: string) => number): number {
     const organisations = new Set<string>()
     for (const flow of this._flows.values()) {
@@ -58,7 +58,7 @@
   }
 
   /**
-   * Adds a request.
+   * Enqueues a request.
    *
    * @param weight The organisation's weight, above zero.
    *
@@ -78,9 +78,9 @@
   }
 
   /**
-   * Takes the next request for which `ready` holds, or nothing.
+   * Dequeues the next request of an organisation for which `ready` holds. Returns `undefined` if there is none.
    *
-   * @param ready Lets organisations be passed over that are at their own limit.
+   * @param ready Returns false for organisations to skip because they are at their own limit.
    */
   take (ready: (organisation: string) => boolean = () => true): Waiting<Item> | undefined {
     let best: { key: string, flow: Flow<Item>, first: Waiting<Item> } | undefined
@@ -97,7 +97,7 @@
     return best.first
   }
 
-  /** Removes a request whose caller hung up. Returns whether it still waited. */
+  /** Removes a request whose caller disconnected. Returns whether it was still queued. */
   remove (waiting: Waiting<Item>): boolean {
     const key = flowKey(waiting.organisation, waiting.requestClass)
     const flow = this._flows.get(key)
@@ -109,7 +109,7 @@
     return true
   }
 
-  /** Removes and returns what can no longer start in time. */
+  /** Removes and returns the requests whose deadline has passed. */
   expire (now: number): Waiting<Item>[] {
     const expired: Waiting<Item>[] = []
     for (const flow of this._flows.values()) expired.push(...flow.waiting.filter(waiting => waiting.deadline <= now))
@@ -117,7 +117,7 @@
     return expired
   }
 
-  /** Empty flows behind the virtual time carry no information. */
+  /** Deletes an empty flow whose finish tag is not ahead of the virtual time, since it no longer affects scheduling. */
   private _tidy (key: string, flow: Flow<Item>): void {
     if (flow.waiting.length === 0 && flow.finishTag <= this._virtualTime) this._flows.delete(key)
     if (this._size === 0) this._reset()
--- a/packages/core/src/lib/issued-id.ts
+++ b/packages/core/src/lib/issued-id.ts
@@ -4,13 +4,13 @@
  * SPDX-License-Identifier: BSD-3-Clause
  */
 /**
- * Request ids that the system issues. Such an id names its keepers, their incarnations and the reading of each one's
- * own clock at the time of issue. A keeper of the same incarnation has lived through everything that can have happened
- * to the id, so it can vouch from its first second on, and no two clocks need to agree. This is what makes requests
- * that may not repeat work right after a cold start, when no keeper is old enough to vouch for a caller's own id.
+ * Request ids issued by the system. An issued id names its keepers, their incarnations and each keeper's own clock at
+ * the time of issue. A keeper of the same incarnation has recorded every claim on the id, so it can confirm claims as
+ * soon as it starts, and clocks need not be synchronised. This makes non-repeatable requests possible right after a cold
+ * start, when no keeper has been listed long enough to confirm an id chosen by a caller.
  */
 
-/** One keeper as an id names it. */
+/** A keeper as named in an issued id. */
 export interface IssuedKeeper {
   readonly instance: string
   readonly incarnation: string
@@ -24,9 +24,9 @@
 const MOST_KEEPERS = 9
 
 /**
- * Writes an id.
+ * Formats an issued id.
  *
- * @param random Makes the id unique; letters and digits.
+ * @param random A unique part, made of letters and digits.
  * @example
  * formatIssuedId('k3x9', [{ instance: 'agent-1', incarnation: 'agent-1.ab12', at: 4711 }])
  */
@@ -36,7 +36,7 @@
 }
 
 /**
- * Reads the keepers out of an id; nothing for an id that the system did not issue.
+ * Parses the keepers from an id. Returns `undefined` if the system did not issue the id.
  *
  * @example
  * parseIssuedId('issued1,k3x9,agent-1~ab12~4711')?.length // 1
--- a/packages/core/src/lib/joining.ts
+++ b/packages/core/src/lib/joining.ts
@@ -4,38 +4,39 @@
  * SPDX-License-Identifier: BSD-3-Clause
  */
 /**
- * The time between a process's start and the first document that it takes. The service, or one peer, may be stale; so
- * a few seeds are asked, and what everyone says meanwhile is held until all have answered or the time is up.
+ * The join phase between the start of a process and the first document that it adopts. The service or a single peer may
+ * be stale, so a few seeds are queried, and documents received meanwhile are held until all seeds have answered or the
+ * timeout expires.
  */
 import type { Published } from './revision-ledger.js'
 import type { Topic } from './spread.js'
 
-/** Seeds that are asked. */
+/** The number of seeds to query. */
 const JOIN_PEERS = 3
 
-/** A document that was said while joining. */
+/** A document received during the join phase. */
 export interface HeldDocument {
   readonly topic: Topic
   readonly published: Published
 }
 
-/** One process's joining. */
+/** The join phase of one process. */
 export class Joining {
   private _asked = false
-  /** Addresses that were asked and have neither answered nor failed. */
+  /** Addresses that were queried and have neither answered nor failed. */
   private readonly _pending = new Set<string>()
-  /** The newest may turn out to be invalid, so the others are kept too. */
+  /** All received documents, since the newest may turn out to be invalid. */
   private readonly _held: HeldDocument[] = []
 
   /**
-   * @param _until When to stop waiting.
+   * @param _until The time at which to stop waiting.
    */
   constructor (private readonly _until: number) {}
 
   /**
-   * The seeds to ask, the first time; nothing after that.
+   * Returns the seeds to query on the first call, and an empty array after that.
    *
-   * @param draw A number in [0, 1): where to begin, so that not all ask the same ones.
+   * @param draw A random number in [0, 1) that selects the first seed, so that processes do not all query the same ones.
    */
   ask (seeds: readonly string[], draw: number): string[] {
     if (this._asked) return []
@@ -46,22 +47,22 @@
     return chosen
   }
 
-  /** Keeps what the service or a peer said. */
+  /** Holds a document from the service or a peer. */
   hold (topic: Topic, published: Published): void {
     this._held.push({ topic, published })
   }
 
-  /** A peer has answered, or could not be reached. Others than those asked do not count. */
+  /** Records that a queried peer has answered or could not be reached. Other addresses are ignored. */
   heard (address: string): void {
     this._pending.delete(address)
   }
 
-  /** Whether nobody is waited for any more. */
+  /** Whether all queried seeds have answered or failed, or the timeout has expired. */
   over (now: number): boolean {
     return now >= this._until || (this._asked && this._pending.size === 0)
   }
 
-  /** What was held, the newest first. */
+  /** The held documents, newest first. */
   newestFirst (): HeldDocument[] {
     return [...this._held].sort((left, right) => right.published.revision - left.published.revision)
   }
--- a/packages/core/src/lib/lifecycle.ts
+++ b/packages/core/src/lib/lifecycle.ts
@@ -4,17 +4,17 @@
  * SPDX-License-Identifier: BSD-3-Clause
  */
 /**
- * The lifecycle of an agent or entry is a one-way lattice: serving < draining < stopped. Orders that race, repeat or
- * arrive late all join to the same end, so two operators need no lock. Only a new incarnation starts over.
+ * The lifecycle of an agent or entry is a lattice: serving < draining < stopped. Concurrent, repeated and late commands
+ * all join to the same state, so operators need no lock. Only a new incarnation starts at serving again.
  */
 
-/** How far a process has left. */
+/** The lifecycle state of a process. */
 export type Lifecycle = 'serving' | 'draining' | 'stopped'
 
 const order: Record<Lifecycle, number> = { serving: 0, draining: 1, stopped: 2 }
 
 /**
- * The later of two lifecycles.
+ * Returns the later of two lifecycle states.
  *
  * @example
  * joinLifecycle('draining', 'serving') // 'draining'
--- a/packages/core/src/lib/link-pacer.ts
+++ b/packages/core/src/lib/link-pacer.ts
@@ -4,22 +4,22 @@
  * SPDX-License-Identifier: BSD-3-Clause
  */
 /**
- * Keeps weight transfers within an instance's link and below live answers, which share it. Live bytes are taken from
- * the budget at once and never wait; transfers take what is left. When answers pile up unsent, transfers also give up
- * a factor of their share, and win it back bit by bit (additive increase, multiplicative decrease).
+ * Paces weight transfers on an instance's link, which they share with live answers at lower priority. Live bytes are
+ * charged to the budget immediately and never wait; transfers use the remainder. When answers queue up, the transfers'
+ * share decreases by a factor and recovers in small steps (additive increase, multiplicative decrease).
  */
 import { TokenBucket } from './token-bucket.js'
 
-/** How much may go out at once, as time on the link, in milliseconds. */
+/** The burst size as transmission time on the link, in milliseconds. */
 const BURST_MILLISECONDS = 20
 const LEAST_BURST_BYTES = 16_384
 const LEAST_SHARE = 0.1
 const DECREASE = 0.7
 const INCREASE = 0.05
-/** Share is changed at most this often, in milliseconds. */
+/** The least time between two changes of the share, in milliseconds. */
 const ADAPT_PAUSE = 100
 
-/** The link of one instance. */
+/** The pacer of one instance's link. */
 export class LinkPacer {
   private readonly _up: TokenBucket
   private readonly _down: TokenBucket
@@ -27,7 +27,7 @@
   private _adaptedAt = -Infinity
 
   /**
-   * @param bytesPerSecond The link's rate, each way.
+   * @param bytesPerSecond The rate of the link in each direction.
    */
   constructor (bytesPerSecond: number, now: number) {
     const burst = Math.max(LEAST_BURST_BYTES, bytesPerSecond * BURST_MILLISECONDS / 1000)
@@ -35,18 +35,18 @@
     this._down = new TokenBucket(bytesPerSecond, burst, now)
   }
 
-  /** The share of the link that transfers may use, 0.1 to 1. */
+  /** The fraction of the link that transfers may use, from 0.1 to 1. */
   get share (): number { return this._share }
 
-  /** Live bytes were sent; they never wait. */
+  /** Charges live bytes, which never wait. */
   live (bytes: number, now: number): void {
     this._up.spend(bytes, now)
   }
 
   /**
-   * Tells how live answers fare.
+   * Adapts the share of transfers to the congestion of live answers.
    *
-   * @param congested Whether answers wait to be sent.
+   * @param congested Whether answers are queued for sending.
    */
   adapt (congested: boolean, now: number): void {
     if (now - this._adaptedAt < ADAPT_PAUSE) return
@@ -55,9 +55,9 @@
   }
 
   /**
-   * Asks to send transfer bytes.
+   * Requests to send transfer bytes.
    *
-   * @returns Milliseconds to wait before asking again; 0 when the bytes may go now, and are counted.
+   * @returns Milliseconds to wait before requesting again; 0 if the bytes may be sent now and have been charged.
    * @example
    * const wait = pacer.upload(chunk.length, now)
    */
@@ -67,7 +67,7 @@
     return wait
   }
 
-  /** Transfer bytes came in. Returns milliseconds to stop reading for. */
+  /** Charges received transfer bytes. Returns for how many milliseconds to pause reading. */
   received (bytes: number, now: number): number {
     this._down.spend(bytes / this._share, now)
     return this._down.wait(now)
--- a/packages/core/src/lib/list-change.ts
+++ b/packages/core/src/lib/list-change.ts
@@ -4,26 +4,26 @@
  * SPDX-License-Identifier: BSD-3-Clause
  */
 /**
- * The difference between two revisions of the instance list. At 2,780 instances the list is 370 KB and changes some 700
- * times a day: sent whole, it alone would break the budget of control (docs/CAPACITY.md).
+ * The difference between two revisions of the instance list. With 2,780 instances the list has 370 KB and changes about
+ * 700 times a day, so sending it in full would exceed the budget for control traffic (docs/CAPACITY.md).
  */
 import type { InstanceList, InstanceRecord } from './documents.js'
 import type { Published } from './revision-ledger.js'
 
-/** What changed from one revision to the next that was adopted. */
+/** The difference from one revision to the next adopted one. */
 export interface ListChange {
   readonly source: string
-  /** The revision that this change builds on: only a process that holds it can use the change. */
+  /** The revision to which the change applies. Only a process that holds it can apply the change. */
   readonly base: number
   readonly revision: number
-  /** Records that are new or different. */
+  /** Records that were added or modified. */
   readonly changed: readonly InstanceRecord[]
-  /** Names that are gone. */
+  /** Names of the removed instances. */
   readonly removed: readonly string[]
 }
 
 /**
- * Works out a change.
+ * Computes the difference between two lists.
  *
  * @param base The revision of `before`.
  * @example
@@ -38,9 +38,9 @@
 }
 
 /**
- * Applies a change.
+ * Applies a change to the list that it is based on.
  *
- * @returns The document of the change's revision, to be offered to the ledger like any other.
+ * @returns The document at the revision of the change, to be offered to the ledger like any other.
  */
 export function applyListChange (before: InstanceList, change: ListChange): Published {
   const changed = new Map(change.changed.map(record => [record.instance, record]))
