--- a/packages/core/src/lib/messages.ts
+++ b/packages/core/src/lib/messages.ts
@@ -4,8 +4,8 @@
  * SPDX-License-Identifier: BSD-3-Clause
  */
 /**
- * The typed messages between the system's processes. Each call has one request and one reply, but for `run` and `go`,
- * whose reply is followed by the parts of the answer and its end (docs/PROTOCOLS.md).
+ * The typed messages between the processes of the system. Each call has one request and one reply, except `run` and
+ * `go`, whose reply is followed by the parts of the answer and its end (docs/PROTOCOLS.md).
  */
 import type { Admission, AdmissionRefusal, CancelReply, OfferReply } from './admission.js'
 import type { ClaimReply } from './claims.js'
@@ -20,10 +20,10 @@
 import type { PublishedNote, PublishedTopic } from './routing/published/published-change.js'
 import type { SpreadDocuments, SpreadNote, Topic } from './spread.js'
 
-/** Raised when a change to the messages would be misread by older processes. */
+/** The protocol version, incremented for each change to the messages that older processes would misinterpret. */
 export const PROTOCOL_VERSION = 4
 
-/** A caller's request as it goes to an agent, without its body. */
+/** A caller's request as forwarded to an agent, without its body. */
 export interface ForwardedRequest {
   readonly id: string
   readonly organisation: string
@@ -31,11 +31,11 @@
   readonly path: string
   readonly headers: Readonly<Record<string, string>>
   readonly priority: number
-  /** Events of this answer that the caller has already; the endpoint goes on after them. 0 for a new answer. */
+  /** The number of events of this answer that the caller already has; the endpoint resumes after them. 0 for a new answer. */
   readonly resumeAfter: number
-  /** The only version that may answer; empty for any. Set when an answer is resumed. */
+  /** The only version that may answer; empty if any may. Set when an answer is resumed. */
   readonly version: string
-  /** Milliseconds that are left to it; a duration, since clocks differ. */
+  /** Milliseconds until the deadline; a duration, since clocks differ between machines. */
   readonly remaining: number
 }
 
@@ -43,79 +43,79 @@
 export interface AnswerHead {
   readonly status: number
   readonly headers: Readonly<Record<string, string>>
-  /** The manifest digest that made the answer; empty for plain services. */
+  /** The manifest digest of the version that produced the answer; empty for plain services. */
   readonly version: string
 }
 
-/** A version that was named, as a process tells it to another. */
+/** A named version, as sent from one process to another. */
 export interface NamedVersion extends ModelVersion {
-  /** Milliseconds since the teller heard of it. */
+  /** Milliseconds since the sender received it. */
   readonly age: number
 }
 
-/** How far a relay knows published state. */
+/** The revisions of published state that a relay holds. */
 export interface RelayNote {
   readonly availabilityZone: string
-  /** Up to which revision of the store it has followed each topic. */
+  /** The store revision up to which it has followed each topic. */
   readonly followed: PublishedNote
-  /** The revision of the newest thing that it holds of each topic. */
+  /** The revision of the newest document that it holds for each topic. */
   readonly held: PublishedNote
-  /** Whether it reads the operators' documents from the store itself, and the store answers. */
+  /** Whether it reads the operators' documents directly from the store and the store responds. */
   readonly fresh: boolean
 }
 
-/** Asked of a peer. `run` and `go` carry the body as the frame's payload. */
+/** A request to a peer. `run` and `go` carry the body as the frame's payload. */
 export type PeerRequest =
   | { readonly type: 'hello', readonly protocol: number, readonly instance: string, readonly key: string }
   | { readonly type: 'compare', readonly note: SpreadNote, readonly address: string }
   | { readonly type: 'push', readonly documents: SpreadDocuments }
   | { readonly type: 'chunk', readonly digest: string, readonly wait: number }
-  /** `wait`: milliseconds that the peer may take to get it first. */
+  /** `wait`: how many milliseconds the peer may take to fetch the manifest first. */
   | { readonly type: 'manifest', readonly digest: string, readonly wait: number }
   | { readonly type: 'offer', readonly endpoint: string }
   | { readonly type: 'claim', readonly organisation: string, readonly id: string, readonly attempt: string, readonly bodyDigest: string }
-  /** Asks for what an issued id says of this keeper. */
+  /** Requests the data that an issued id contains about this keeper. */
   | { readonly type: 'issue' }
   | { readonly type: 'release', readonly organisation: string, readonly id: string, readonly attempt: string }
   | { readonly type: 'run', readonly endpoint: string, readonly request: ForwardedRequest }
   | { readonly type: 'go', readonly ticket: string, readonly request: ForwardedRequest }
   | { readonly type: 'cancel', readonly ticket: string }
-  /** Stops a stream of this connection; answered by its end. */
+  /** Cancels a stream of this connection; the end of the stream is the reply. */
   | { readonly type: 'hang-up', readonly call: number }
   | { readonly type: 'progress', readonly digest: string }
   | { readonly type: 'status' }
-  /** Asks for what the other side knows of published state beyond `note`; of all topics if none are named. */
+  /** Requests published state newer than `note`, of the given topics or of all topics if none are given. */
   | { readonly type: 'news', readonly note: PublishedNote, readonly topics?: readonly PublishedTopic[] | undefined }
-  /** Asks a relay how far it knows published state, now and whenever that changes, as long as the connection lasts. */
+  /** Subscribes to the revisions of published state that a relay holds, for the lifetime of the connection. */
   | { readonly type: 'follow-news' }
   /**
-   * Asks for a sign at once, to measure the way there and back. One who follows the load is told it with the answer.
+   * Requests an immediate reply, to measure the round-trip time. A subscriber to the load also receives it with the reply.
    *
-   * `sentRate` tells an agent how many requests in a millisecond the asking entry sends to the pool, and `followed` among how many
-   * engines; nothing for none.
-   * `named` tells it the version that is wanted of its pool, so that not every agent has to watch the store.
+   * `sentRate` is the number of requests per millisecond that the sending entry sends to the pool, and `followed` the number of
+   * engines among which it distributes them; both are absent if there are none.
+   * `named` is the version wanted for the agent's pool, so that not every agent has to watch the store.
    */
   | { readonly type: 'ping', readonly sentRate?: number | undefined, readonly followed?: number | undefined, readonly named?: NamedVersion | undefined }
-  /** Tells an agent which requests were at endpoints that were lost, and which were answered after all; it passes on what it did not know. */
+  /** Reports requests that were in flight at lost endpoints, and those that were answered after all. The agent forwards what is new to it. */
   | { readonly type: 'suspects', readonly news: SuspectNews }
-  /** Tells an agent what endpoints said of the requests that they take; it passes on what it did not know. */
+  /** Reports the request limits that endpoints announced. The agent forwards what is new to it. */
   | { readonly type: 'limits', readonly news: LimitNews }
-  /** Asks for the load of the engine beside the agent, now and whenever it changes, as long as the connection lasts. */
+  /** Subscribes to the load of the agent's engine, for the lifetime of the connection. */
   | { readonly type: 'follow-load' }
-  /** Asks which chunks of a version the other side holds, now and as more come, as long as the connection lasts. */
+  /** Subscribes to the set of chunks of a version that the peer holds, for the lifetime of the connection. */
   | { readonly type: 'follow-chunks', readonly identity: string }
   | { readonly type: 'leave', readonly incarnation: string, readonly lifecycle: Lifecycle, readonly operator: string }
 
-/** What a process has cost its node since its start. */
+/** The resources that a process has used since its start. */
 export interface ProcessCost {
   readonly processorMilliseconds: number
   readonly residentBytes: number
   readonly heapBytes: number
-  /** Bytes of messages between processes, sent and received, payloads not counted. */
+  /** Bytes of messages sent to and received from other processes, excluding payloads. */
   readonly controlBytes: number
 }
 
-/** A process's own account of itself, for operators. */
+/** The status that a process reports to operators. */
 export interface ProcessStatus {
   readonly instance: string
   readonly availabilityZone: string
@@ -128,7 +128,7 @@
   readonly wanted: string
   readonly version: string
   readonly state: 'serving' | 'fetching' | 'whole' | 'switching' | 'halted' | 'failed' | 'empty'
-  /** Share of the wanted version held, 0 to 1. */
+  /** The fraction of the wanted version that is held, from 0 to 1. */
   readonly progress: number
   readonly running: number
   readonly slots: number
@@ -143,7 +143,7 @@
   | { readonly type: 'done' }
   | { readonly type: 'chunk', readonly digest: string }
   | { readonly type: 'manifest', readonly digest: string }
-  /** The chunk is held or on its way here; said at once and again, so that waiting is not taken for a stall. */
+  /** The chunk is held or being fetched. Sent immediately and then periodically, so that the receiver does not assume a stall. */
   | { readonly type: 'chunk-coming' }
   | { readonly type: 'no-chunk', readonly reason: 'not-yet' | 'not-held' | 'busy' }
   | { readonly type: 'offered', readonly reply: OfferReply, readonly status: EndpointStatus }
@@ -154,20 +154,20 @@
   | { readonly type: 'progress', readonly progress: SwitchProgress }
   | { readonly type: 'status', readonly status: ProcessStatus }
   | { readonly type: 'left', readonly lifecycle: Lifecycle }
-  /** The payload holds the changes, packed. */
+  /** The payload contains the packed changes. */
   | { readonly type: 'news' }
   | { readonly type: 'news-note', readonly note: RelayNote }
   | { readonly type: 'load', readonly load: LoadReport }
-  /** Tells those who follow the load of an engine which requests were at endpoints that were lost. */
+  /** Reports to load subscribers which requests were in flight at lost endpoints. */
   | { readonly type: 'suspects', readonly news: SuspectNews }
-  /** Tells them what endpoints said of the requests that they take. */
+  /** Reports to load subscribers the request limits that endpoints announced. */
   | { readonly type: 'limits', readonly news: LimitNews }
-  /** Chunks that are newly held, and those that some other member holds, by their index. */
+  /** The indexes of chunks that are newly held, and of those that some other member holds. */
   | { readonly type: 'chunks', readonly identity: string, readonly held: readonly number[], readonly elsewhere: readonly number[] }
-  /** Parts of an answer, numbered from 0; the payload is the data. */
+  /** Parts of an answer, numbered from 0. The payload is the data. */
   | { readonly type: 'head', readonly head: AnswerHead }
   | { readonly type: 'part', readonly sequence: number, readonly events: number }
   | { readonly type: 'end', readonly count: number, readonly status: EndpointStatus }
-  /** No end will come. `notRun` is the agent's word that the endpoint was never reached. */
+  /** The stream was aborted and no end follows. With `notRun`, the agent asserts that the endpoint was never reached. */
   | { readonly type: 'broken', readonly detail: string, readonly notRun: boolean, readonly status: EndpointStatus }
   | { readonly type: 'refused', readonly reason: 'malformed' | 'protocol-version' | 'wrong-key' | 'wrong-incarnation' | 'not-supported' | AdmissionRefusal, readonly detail: string }
--- a/packages/core/src/lib/neighbourhood.ts
+++ b/packages/core/src/lib/neighbourhood.ts
@@ -4,13 +4,14 @@
  * SPDX-License-Identifier: BSD-3-Clause
  */
 /**
- * The instance list as one process sees it: who is near, who is abroad, who watches for its zone, and who was silent
- * lately. Worked out once for each list, since at 2,780 instances looking through it each second is not free.
+ * A view of the instance list from one process: the peers in its own zone and in other zones, the order of the zone's
+ * watchers, and peers that recently did not respond. It is computed once per list, since scanning 2,780 instances every
+ * second is expensive.
  */
 import type { InstanceRecord } from './documents.js'
 import { rendezvousOrder } from './rendezvous.js'
 
-/** What a process knows of itself before any list. */
+/** The configuration of a process that is known before it has an instance list. */
 export interface NeighbourhoodSelf {
   readonly instance: string
   readonly availabilityZone: string
@@ -18,14 +19,14 @@
   readonly seeds: readonly string[]
 }
 
-/** The surroundings of one process, for one list. */
+/** The peers of one process, for one instance list. */
 export class Neighbourhood {
-  /** Names of the zone's members, the watchers first. */
+  /** The instances in the zone, with its watchers first. */
   readonly order: readonly string[]
   private readonly _near: readonly string[]
   private readonly _abroad: readonly string[]
   private readonly _seeds: readonly string[]
-  /** Addresses that did not answer, with the time until which they are passed over. */
+  /** Addresses that did not respond, with the time until which they are skipped. */
   private readonly _silent = new Map<string, number>()
 
   constructor (self: NeighbourhoodSelf, instances: readonly InstanceRecord[]) {
@@ -37,15 +38,15 @@
     this._seeds = self.seeds.filter(seed => seed !== self.address)
   }
 
-  /** An address did not answer. */
+  /** Records that an address did not respond, and skips it until the given time. */
   silent (address: string, until: number): void { this._silent.set(address, until) }
 
   /**
-   * A peer's address, rather one that was not silent lately.
+   * Picks the address of a peer, preferring peers that are not marked as unresponsive.
    *
-   * @param abroad Whether it should be of another zone; if there is none, one of this zone is taken, and the reverse.
-   * @param draw A number in [0, 1).
-   * @returns A seed while no list is known; nothing when there is nobody.
+   * @param abroad Whether to prefer a peer in another zone to one in the own zone. Falls back to the other group if empty.
+   * @param draw A random number in [0, 1).
+   * @returns An address, or a seed if the list contains no peers; `undefined` if there are no seeds either.
    * @example
    * const address = neighbourhood.pick(true, random(), now)
    */
--- a/packages/core/src/lib/rendezvous.ts
+++ b/packages/core/src/lib/rendezvous.ts
@@ -4,8 +4,8 @@
  * SPDX-License-Identifier: BSD-3-Clause
  */
 /**
- * Rendezvous (highest random weight) hashing: every process that holds the same member list orders it alike,
- * without talking, and one member's coming or going moves only its own share.
+ * Rendezvous (highest random weight) hashing. Every process with the same member list computes the same order without
+ * communication, and adding or removing a member affects only the subjects assigned to it.
  */
 import murmurhash from 'murmurhash'
 
@@ -20,7 +20,7 @@
 }
 
 /**
- * Orders members for one subject, the best first. Ties break by name, so the order is total.
+ * Orders members for one subject by descending weight. Ties are broken by name, so the order is total.
  *
  * @example
  * rendezvousOrder(['a', 'b', 'c'], 'request-1') // the same on every process
@@ -34,7 +34,7 @@
 }
 
 /**
- * The first `count` members of the rendezvous order.
+ * Returns the first `count` members of the rendezvous order.
  *
  * @example
  * rendezvousTop(agents, requestId, 5)
--- a/packages/core/src/lib/retry-budget.ts
+++ b/packages/core/src/lib/retry-budget.ts
@@ -4,28 +4,28 @@
  * SPDX-License-Identifier: BSD-3-Clause
  */
 /**
- * Bounds the load that retries add: each first attempt earns a fraction of a retry, each retry spends a whole one.
- * When everything fails, retries die out instead of multiplying the load.
+ * Limits the load added by retries: each first attempt adds a fraction of a retry to the budget, and each retry spends
+ * one. During an outage, retries are suppressed instead of multiplying the load.
  */
 
-/** The extra load that retries may add, as a share of first attempts. */
+/** The maximum ratio of retries to first attempts. */
 export const RETRY_RATIO = 0.1
-/** Retries that may be saved up, so that a quiet entry can retry at all. */
+/** The maximum number of retries accumulated, so that an entry with little traffic can retry at all. */
 const RETRY_RESERVE = 10
 
-/** The budget of one entry for one endpoint group. */
+/** The retry budget of one entry for one endpoint group. */
 export class RetryBudget {
   private _credit = RETRY_RESERVE
 
   constructor (private readonly _ratio: number = RETRY_RATIO) {}
 
-  /** A request was tried for the first time. */
+  /** Records the first attempt of a request. */
   attempted (): void {
     this._credit = Math.min(RETRY_RESERVE, this._credit + this._ratio)
   }
 
   /**
-   * Spends one retry if there is one.
+   * Spends one retry if the budget allows it. Returns whether it did.
    *
    * @example
    * if (!budget.trySpend()) giveUp()
--- a/packages/core/src/lib/revision-ledger.ts
+++ b/packages/core/src/lib/revision-ledger.ts
@@ -4,27 +4,27 @@
  * SPDX-License-Identifier: BSD-3-Clause
  */
 /**
- * Holds the newest accepted document of one published topic. Revisions only go up: whatever a stale service, a peer
- * or a late-waking process says, nothing takes the holder back. A document is refused whole or taken whole.
+ * Holds the newest accepted document of one published topic. Revisions are monotonic: a stale service, peer or process
+ * that resumes late cannot revert the holder to an older revision. A document is accepted or rejected as a whole.
  */
 import type { Checked } from './documents.js'
 import type { DocumentFailure } from './failure.js'
 
 /** A document as the platform publishes it. */
 export interface Published {
-  /** The identity of the service that numbers the revisions. */
+  /** The identity of the service that assigns the revisions. */
   readonly source: string
   readonly revision: number
   readonly document: unknown
 }
 
-/** What became of an offered document. */
+/** The result of offering a document. */
 export type Acceptance =
   | { readonly type: 'adopted', readonly revision: number }
   | { readonly type: 'same' }
   | { readonly type: 'refused', readonly failure: DocumentFailure }
 
-/** A ledger for one topic. */
+/** The ledger of one topic. */
 export class RevisionLedger<Document> {
   private readonly _source: string
   private readonly _check: (input: unknown) => Checked<Document, DocumentFailure>
@@ -33,36 +33,36 @@
   private _refusedRevision = 0
 
   /**
-   * @param source The only service identity whose revisions count.
-   * @param check Turns the raw document into a checked one, or says why not.
+   * @param source The identity of the only service whose revisions are accepted.
+   * @param check Validates a raw document.
    */
   constructor (source: string, check: (input: unknown) => Checked<Document, DocumentFailure>) {
     this._source = source
     this._check = check
   }
 
-  /** The revision in force; 0 before the first. */
+  /** The revision in force; 0 if no document has been accepted. */
   get revision (): number { return this._published?.revision ?? 0 }
 
-  /** The highest revision seen, in force or refused: asking for it again is pointless. */
+  /** The highest revision received, whether in force or refused as invalid; it need not be requested again. */
   get seenRevision (): number { return Math.max(this.revision, this._refusedRevision) }
 
-  /** The checked document in force. */
+  /** The validated document in force. */
   get document (): Document | undefined { return this._document }
 
-  /** The document in force as it was published, to pass on. */
+  /** The document in force as published, for forwarding to peers. */
   get published (): Published | undefined { return this._published }
 
   /**
-   * Offers a document.
+   * Adopts a document if it is valid and newer than the one in force.
    *
    * @example
    * const acceptance = ledger.offer({ source: 'surtaal', revision: 7, document })
    */
   offer (published: Published): Acceptance {
-    if (published.source !== this._source) return refuse('wrong-source', `source ${published.source} is not ${this._source}`)
+    if (published.source !== this._source) return refuse('wrong-source', `source is ${published.source}, expected ${this._source}`)
     if (!Number.isSafeInteger(published.revision) || published.revision < 1) return refuse('invalid', 'revision is not a positive integer')
-    if (published.revision < this.revision) return refuse('older', `revision ${published.revision} is below ${this.revision}`)
+    if (published.revision < this.revision) return refuse('older', `revision ${published.revision} is older than ${this.revision}`)
     if (published.revision === this.revision) return { type: 'same' }
     const checked = this._check(published.document)
     if ('failure' in checked) {
--- a/packages/core/src/lib/rollout.ts
+++ b/packages/core/src/lib/rollout.ts
@@ -4,29 +4,30 @@
  * SPDX-License-Identifier: BSD-3-Clause
  */
 /**
- * Decides when one engine may switch to the wanted version. No coordinator: the members of a pool in one availability
- * zone stand in rendezvous order and are cut into waves; an engine goes when the wave before it is done. The first
- * wave is the trial of the version: if it fails, later waves never start and the old version stays.
+ * Decides when an engine may switch to the wanted version, without a coordinator. The members of a pool in one
+ * availability zone are put in rendezvous order and divided into waves; an engine may switch when the previous wave is
+ * done. The first wave acts as a canary: if it fails, later waves do not start and keep the old version.
  */
 import type { ChunkMember } from './chunk-tree.js'
 import { rendezvousOrder } from './rendezvous.js'
 
-/** What a predecessor says of its engine, for one wanted version. */
+/** The progress of an engine with one wanted version, as reported to its successors. */
 export type SwitchProgress = 'waiting' | 'serving' | 'failed' | 'unreachable'
 
-/** What an agent may do about its switch. */
+/** Whether an agent may start its switch. */
 export type SwitchDecision =
   | { readonly type: 'go' }
   | { readonly type: 'wait', readonly ask: readonly string[] }
   | { readonly type: 'halt', readonly failed: readonly string[] }
 
-/** How long a whole wave may stay silent before the next one goes without it, in milliseconds. */
+/** How long a member of a wave may be unreachable before the next wave no longer waits for it, in milliseconds. */
 export const WAVE_PATIENCE = 10_000
 
 /**
- * The agents that switch before `self` does: the wave just before its own.
+ * Returns the agents in the wave immediately before that of `self`.
  *
- * A zone with one worker of the pool would lose all of it at once, so the lone workers of all zones form one group.
+ * A zone with a single worker of the pool would lose all its capacity during the switch, so the single workers of all
+ * zones form one group.
  *
  * @example
  * previousWave('agent-5', poolMembers, 0.25, digest)
@@ -50,12 +51,12 @@
   return [...new Set([self, ...group.map(member => member.instance)])]
 }
 
-/** Follows the wave before this engine's own, for one wanted version. */
+/** Tracks the progress of the previous wave for one wanted version. */
 export class SwitchGate {
   private readonly _progress = new Map<string, SwitchProgress>()
   private readonly _silentSince = new Map<string, number>()
 
-  /** Takes what a predecessor said, or that it said nothing. */
+  /** Records the progress of a predecessor, or that it could not be reached. */
   report (instance: string, progress: SwitchProgress, now: number): void {
     this._progress.set(instance, progress)
     if (progress !== 'unreachable') this._silentSince.delete(instance)
@@ -63,10 +64,10 @@
   }
 
   /**
-   * May this engine switch now?
+   * Decides whether this engine may switch now.
    *
-   * @param predecessors From `previousWave`, over the newest instance list: dead instances leave it.
-   * @param firstLoad Whether the engine serves nothing yet, so that no capacity is lost by loading.
+   * @param predecessors The result of `previousWave` for the newest instance list, which omits dead instances.
+   * @param firstLoad Whether the engine serves no version yet, so that loading takes no capacity away.
    *
    * @example
    * if (gate.decide(predecessors, false, now).type === 'go') orderLoad()
--- a/packages/core/src/lib/spread.ts
+++ b/packages/core/src/lib/spread.ts
@@ -4,16 +4,17 @@
  * SPDX-License-Identifier: BSD-3-Clause
  */
 /**
- * Carries published documents from the platform's service to every process, with few reads at the service.
+ * Distributes published documents from the platform's service to every process with few reads at the service.
  *
- * In each availability zone a few watchers, chosen by rendezvous order over the instance list, watch the service. A
- * process that adopts a new revision pushes it down a tree over its zone; watchers of other zones get theirs from the
- * service. Every second each process also compares notes with one random peer, in its zone or, now and then, in
- * another: that repairs what the push lost, and heals zones that were cut off. A process that has not heard, even at
- * second hand, of the service for a while reads it itself, with growing, jittered pauses.
+ * In each availability zone, a few watchers, chosen by rendezvous order over the instance list, watch the service. A
+ * process that adopts a new revision pushes it down a broadcast tree over its zone; the watchers of other zones receive
+ * it from the service. Every second, each process also runs anti-entropy with a random peer, alternating between its own
+ * zone and others, which repairs lost pushes and partitioned zones. A process without a direct or indirect confirmation
+ * from the service for some time reads the service itself, with exponential backoff and jitter.
  *
- * A process that starts knows nothing and could be taken back by a stale service or peer. So it asks a few peers first,
- * and takes the newest of what they and the service said once all have answered, or the time is up.
+ * A process that starts holds no revision, so a stale service or peer could make it adopt an old one. It therefore
+ * queries a few peers first, and adopts the newest document from them and the service once all have answered or the
+ * join timeout has expired.
  */
 import { jitterOf } from './chunk-tree.js'
 import type { Configuration, InstanceList, InstanceRecord } from './documents.js'
@@ -28,42 +29,42 @@
 export type Topic = 'configuration' | 'instances'
 export const topics: readonly Topic[] = ['configuration', 'instances']
 
-/** What a process holds, told to a peer. Ages are milliseconds since somebody was told by the service. */
+/** The revisions that a process holds, as sent to a peer. Ages are milliseconds since the service last confirmed them to any process. */
 export interface SpreadNote {
   readonly revisions: Readonly<Record<Topic, number>>
   readonly ages: Readonly<Record<Topic, number>>
 }
 
-/** Documents on their way from one process to another; the list as a change when the other holds its base. */
+/** Documents sent from one process to another. The instance list is sent as a change if the receiver holds its base. */
 export interface SpreadDocuments {
   readonly documents: readonly { readonly topic: Topic, readonly published: Published }[]
   readonly change?: ListChange | undefined
   readonly ages: Readonly<Record<Topic, number>>
 }
 
-/** What the shell is to do. */
+/** An action for the caller to perform. */
 export type SpreadEffect =
-  /** Ask the service; `watch` asks it to answer only when there is something newer. */
+  /** Read from the service. With `watch`, the service answers only when it has a newer revision. */
   | { readonly type: 'read-service', readonly topic: Topic, readonly after: number, readonly watch: boolean }
   | { readonly type: 'compare', readonly address: string, readonly note: SpreadNote }
   | { readonly type: 'push', readonly address: string, readonly documents: SpreadDocuments }
   | { readonly type: 'adopted', readonly topic: Topic, readonly revision: number }
   | { readonly type: 'refused', readonly topic: Topic, readonly failure: DocumentFailure }
 
-/** Bounds; times in milliseconds. */
+/** Parameters of the distribution; times in milliseconds. */
 export interface SpreadPolicy {
   readonly watchersPerZone: number
   readonly fanOut: number
   readonly comparePause: number
-  /** Age of the last word from the service after which a process reads it itself. */
+  /** The age of the last confirmation from the service after which a process reads the service itself. */
   readonly patience: number
   readonly firstBackoff: number
   readonly longestBackoff: number
-  /** The same for a zone's watchers, who are few: a service that comes back must be noticed within seconds. */
+  /** The longest backoff of a zone's watchers. They are few and must notice a recovered service within seconds. */
   readonly longestWatcherBackoff: number
-  /** The same for a process that holds nothing yet. */
+  /** The longest backoff of a process that holds no instance list yet. */
   readonly longestEmptyBackoff: number
-  /** How long a process that starts asks peers before it takes what the service says. */
+  /** How long a starting process waits for peers before it adopts documents from the service. */
   readonly joinPatience: number
 }
 
@@ -80,22 +81,22 @@
   joinPatience: 1_500
 }
 
-/** Every how many comparisons a peer of another zone is asked. */
+/** Every n-th comparison is made with a peer in another zone. */
 const ABROAD_EVERY = 2
 const NEVER = -Infinity
 
-/** Where this process stands. */
+/** The identity and location of this process. */
 export interface SpreadSelf {
   readonly instance: string
   readonly availabilityZone: string
   readonly address: string
-  /** Peers to ask before the first instance list is known. */
+  /** Peers to contact until an instance list is available. */
   readonly seeds: readonly string[]
   readonly source: string
 }
 
 interface ServiceState {
-  /** When the service last confirmed what is held, by this process's clock; the confirmation may be second hand. */
+  /** When the service last confirmed the held revision, directly or through a peer, by this process's clock. */
   confirmedAt: number
   reading: boolean
   nextReadAt: number
@@ -104,21 +105,21 @@
 
 type Ledgers = { readonly configuration: RevisionLedger<Configuration>, readonly instances: RevisionLedger<InstanceList> }
 
-/** What one process knows of the published documents, and how it passes them on. */
+/** Holds the published documents of one process and distributes them to its peers. */
 export class Spread {
   private readonly _ledgers: Ledgers
   private readonly _service: Record<Topic, ServiceState>
   private _compareAt: number
   private _comparisons = 0
-  /** How the list in force differs from the one before. */
+  /** The change from the previous instance list to the one in force. */
   private _change: ListChange | undefined
-  /** Until this process has joined; then nothing. */
+  /** The join phase; `undefined` once it is over. */
   private _joining: Joining | undefined
   private _neighbourhood: Neighbourhood
 
   /**
    * @param _random Draws from [0, 1); seeded in tests.
-   * @param newLedger Makes the ledger of the configuration; tests give one that lacks a protection.
+   * @param newLedger Creates the ledger of the configuration. Tests replace it with one that lacks a safeguard.
    */
   constructor (
     private readonly _self: SpreadSelf,
@@ -143,17 +144,17 @@
   /** The configuration in force here. */
   get configuration (): Configuration | undefined { return this._ledgers.configuration.document }
 
-  /** The instances listed, this one included or not as the list has it. */
+  /** The listed instances, which may include this one. */
   get instances (): readonly InstanceRecord[] { return this._ledgers.instances.document?.instances ?? [] }
 
-  /** The revision in force here; 0 before the first. */
+  /** The revision in force; 0 if none has been adopted. */
   revision (topic: Topic): number { return this._ledgers[topic].revision }
 
-  /** Milliseconds since the service confirmed, at first or second hand, that there is nothing newer. */
+  /** Milliseconds since the service confirmed, directly or through a peer, that the held revision is the newest. */
   age (topic: Topic, now: number): number { return now - this._service[topic].confirmedAt }
 
   /**
-   * Time has passed. Call it a few times a second.
+   * Runs due reads and comparisons. Must be called several times a second.
    *
    * @example
    * for (const effect of spread.tick(now)) carryOut(effect)
@@ -166,9 +167,9 @@
   }
 
   /**
-   * The service answered a read or a watch, or could not be reached.
+   * Handles the result of a read or watch.
    *
-   * @param answer The document, or 'unchanged' when there is none above the revision that was asked from.
+   * @param answer The document, or 'unchanged' if the service has none newer than the requested revision.
    */
   serviceAnswered (topic: Topic, answer: Published | 'unchanged' | 'unreachable', now: number): SpreadEffect[] {
     const state = this._service[topic]
@@ -188,12 +189,12 @@
     return effects
   }
 
-  /** What this process holds, for a peer. */
+  /** The revisions that this process holds, for a peer. */
   note (now: number): SpreadNote {
     return { revisions: { configuration: this.revision('configuration'), instances: this.revision('instances') }, ages: this._ages(now) }
   }
 
-  /** A peer told what it holds: the answer carries what it lacks. `behind` says whether to compare notes in return. */
+  /** Handles the note of a peer. The reply contains the documents it lacks; `behind` tells whether the peer has newer ones. */
   compared (note: SpreadNote, now: number): { readonly reply: SpreadDocuments, readonly behind: boolean } {
     const lacking = topics.filter(topic => this.revision(topic) > note.revisions[topic])
     const byChange = lacking.includes('instances') && this._change?.base === note.revisions.instances
@@ -203,10 +204,10 @@
   }
 
   /**
-   * Documents came from a peer.
+   * Handles documents from a peer.
    *
-   * @param way Whether they were pushed down the tree, or came in answer to a comparison and so past the tree: then the
-   * zone's first member is told, whose pushes reach the whole zone.
+   * @param way Whether the documents were pushed down the tree or received in reply to a comparison. In the latter case
+   * they bypassed the tree, so they are pushed to the zone's first member, whose pushes reach the whole zone.
    */
   received (incoming: SpreadDocuments, way: 'pushed' | 'compared', now: number): SpreadEffect[] {
     const effects: SpreadEffect[] = []
@@ -225,28 +226,28 @@
     return effects
   }
 
-  /** A peer that was compared with told what it holds itself: its word on the service's age counts. */
+  /** Handles the note with which a peer replied to a comparison, including the ages of its confirmations. */
   answered (address: string, note: SpreadNote, now: number): SpreadEffect[] {
     for (const topic of topics) this._hearAge(topic, note.revisions[topic], note.ages[topic], now)
     this._joining?.heard(address)
     return this._joinIfOver(now)
   }
 
-  /** A peer that was to be compared with could not be reached: it is passed over for a while. */
+  /** Handles a failed comparison: the peer is skipped for some time. */
   unanswered (address: string, now: number): SpreadEffect[] {
     this._neighbourhood.silent(address, now + this._policy.patience * 2)
     this._joining?.heard(address)
     return this._joinIfOver(now)
   }
 
-  /** Whether this process is one of its zone's watchers. */
+  /** Whether this process is a watcher of its zone. */
   isWatcher (): boolean {
     const order = this._neighbourhood.order
     const rank = order.indexOf(this._self.instance)
     return rank >= 0 && rank < this._policy.watchersPerZone
   }
 
-  /** At the start, a few seeds are asked at once; when all have answered or the time is up, the newest is taken. */
+  /** Queries a few seeds at the start, and ends the join phase when all have answered or the timeout has expired. */
   private _join (now: number): SpreadEffect[] {
     const joining = this._joining
     if (joining === undefined) return []
@@ -263,7 +264,7 @@
     return joining.newestFirst().flatMap(({ topic, published }) => this._take(topic, published, now))
   }
 
-  /** The list that a change leads to, if this process holds its base; else a comparison will bring it whole. */
+  /** The list that results from a change, if this process holds its base. Otherwise a later comparison delivers the full list. */
   private _built (change: ListChange | undefined): { readonly topic: Topic, readonly published: Published }[] {
     const held = this._ledgers.instances.document
     if (change === undefined || held === undefined || change.base !== this.revision('instances')) return []
@@ -281,14 +282,14 @@
     return [{ type: 'adopted', topic, revision: acceptance.revision }, ...this._push(topic, now)]
   }
 
-  /** What changed is kept, to be pushed in place of the whole list. */
+  /** Computes the change from the previous list, which is sent to peers in place of the full list. */
   private _adoptedList (before: { readonly revision: number, readonly list: InstanceList | undefined }, published: Published): void {
     this._neighbourhood = new Neighbourhood(this._self, this.instances)
     const after = this._ledgers.instances.document
     this._change = before.list === undefined || after === undefined ? undefined : listChange(before.list, before.revision, published, after)
   }
 
-  /** Children in a tree over the zone, laid out in the order that starts with the watchers. */
+  /** Pushes a document to this process's children in the tree over the zone, in which the watchers come first. */
   private _push (topic: Topic, now: number): SpreadEffect[] {
     const order = this._neighbourhood.order
     const rank = order.indexOf(this._self.instance)
@@ -326,17 +327,17 @@
     return []
   }
 
-  /** A process that holds nothing serves nothing, so it asks more often than one that only waits for news. */
+  /** A process without an instance list cannot serve, so it retries more often than one that only waits for updates. */
   private _longestBackoff (): number {
     if (this.isWatcher()) return this._policy.longestWatcherBackoff
     return this.revision('instances') === 0 ? this._policy.longestEmptyBackoff : this._policy.longestBackoff
   }
 
-  /** Compares with one peer; with one near and one abroad while nothing is heard of the service. */
+  /** Starts a comparison with one peer; with a peer in the own zone and one in another while confirmations are overdue. */
   private _compare (now: number): SpreadEffect[] {
     this._compareAt = now + this._policy.comparePause * (0.75 + this._random() / 2)
     this._comparisons += 1
-    // A zone that hears nothing of the service may be cut off from it: other zones may not be.
+    // The zone may be partitioned from the service while other zones are not.
     const unheard = this.age('configuration', now) > this._policy.patience
     const abroad = this._comparisons % ABROAD_EVERY === 0
     const chosen = unheard ? [this._peer(false, now), this._peer(true, now)] : [this._peer(abroad, now)]
@@ -344,12 +345,12 @@
     return [...new Set(chosen)].flatMap(address => address === undefined ? [] : [{ type: 'compare', address, note } as const])
   }
 
-  /** A random peer, near or abroad; before the first list, a seed. */
+  /** A random peer in the own or another zone, or a seed if there is no instance list yet. */
   private _peer (abroad: boolean, now: number): string | undefined {
     return this._neighbourhood.pick(abroad, this._random(), now)
   }
 
-  /** @param byChange Whether the list goes as the change that led to it. */
+  /** @param byChange Whether to send the instance list as a change to the previous one. */
   private _documents (which: readonly Topic[], byChange: boolean, now: number): SpreadDocuments {
     const whole = byChange ? which.filter(topic => topic !== 'instances') : which
     const documents = whole.flatMap(topic => {
@@ -364,7 +365,7 @@
     return { configuration: bounded('configuration'), instances: bounded('instances') }
   }
 
-  /** A peer at the same or a higher revision heard of the service more lately than this process did. */
+  /** Adopts a peer's more recent confirmation from the service if the peer holds the same revision. */
   private _hearAge (topic: Topic, revision: number, age: number, now: number): void {
     if (revision < this._ledgers[topic].seenRevision || !(age >= 0)) return
     if (revision > this._ledgers[topic].seenRevision) return
--- a/packages/core/src/lib/subset.ts
+++ b/packages/core/src/lib/subset.ts
@@ -4,16 +4,16 @@
  * SPDX-License-Identifier: BSD-3-Clause
  */
 /**
- * Deterministic subsets (Site Reliability Engineering, chapter 20): each entry uses a part of the endpoints only, so that
- * connections and choices stay few, and each endpoint is used by as many entries as any other, give or take one.
+ * Deterministic subsetting (Site Reliability Engineering, chapter 20). Each entry uses only a subset of the endpoints,
+ * which limits the number of connections, and the numbers of entries that use any two endpoints differ by at most one.
  */
 import { rendezvousOrder } from './rendezvous.js'
 
 /**
- * The endpoints that one entry uses.
+ * Returns the endpoints that an entry uses.
  *
- * @param index The entry's place among the entries of its zone.
- * @param size Endpoints in a subset; all of them when there are no more.
+ * @param index The index of the entry among the entries of its zone.
+ * @param size The number of endpoints in a subset. All endpoints are returned if there are no more than this.
  * @example
  * endpointSubset(3, endpoints, 24)
  */
--- a/packages/core/src/lib/token-bucket.ts
+++ b/packages/core/src/lib/token-bucket.ts
@@ -4,17 +4,17 @@
  * SPDX-License-Identifier: BSD-3-Clause
  */
 /**
- * A token bucket that may be overdrawn: a caller that must spend (a live answer on a shared link) spends at once,
- * and others (weight transfers) wait until the balance is back above zero.
+ * A token bucket that can be overdrawn. High-priority traffic (live answers on a shared link) spends immediately, and
+ * other traffic (weight transfers) waits until the balance is no longer negative.
  */
 export class TokenBucket {
   private _balance: number
   private _at: number
 
   /**
-   * @param perSecond Tokens that come back each second.
-   * @param burst The most that can be saved up.
-   * @param now The clock's reading in milliseconds.
+   * @param perSecond The number of tokens added per second.
+   * @param burst The capacity of the bucket.
+   * @param now The current time in milliseconds.
    */
   constructor (readonly perSecond: number, readonly burst: number, now: number) {
     this._balance = burst
@@ -22,7 +22,7 @@
   }
 
   /**
-   * Spends tokens, overdrawing if need be.
+   * Spends tokens, overdrawing the balance if necessary.
    *
    * @example
    * bucket.spend(answer.length, now)
@@ -32,7 +32,7 @@
     this._balance -= tokens
   }
 
-  /** Spends only if the balance covers it. Returns whether it did. */
+  /** Spends tokens if the balance is sufficient. Returns whether it was. */
   trySpend (tokens: number, now: number): boolean {
     this._refill(now)
     if (this._balance < tokens) return false
@@ -40,7 +40,7 @@
     return true
   }
 
-  /** Milliseconds until the balance is above zero; 0 when it is. */
+  /** Milliseconds until the balance is no longer negative; 0 if it is not. */
   wait (now: number): number {
     this._refill(now)
     if (this._balance >= 0) return 0
--- a/packages/core/src/lib/transfer.ts
+++ b/packages/core/src/lib/transfer.ts
@@ -4,38 +4,38 @@
  * SPDX-License-Identifier: BSD-3-Clause
  */
 /**
- * Decides, for one member, which chunk to ask of whom and when: the window of chunks in flight, the ladder of
- * ancestors when a parent is dead, slow or corrupt, the staggered way to the store and the origin, and the end of a
- * transfer whose version changed in mid-copy. It moves no bytes: effects say what the shell is to do.
+ * Schedules the transfer of one version to one member: the window of chunks in flight, the fallback to further ancestors
+ * when a parent is dead, slow or sends corrupt data, the staggered fallback to the store and the origin, and the
+ * cancellation when the wanted version changes. It performs no input or output: the caller carries out its effects.
  */
 import { ChunkTree, type ChunkMember, type ChunkSource, type SpreadStrategy } from './chunk-tree.js'
 import type { Manifest } from './documents.js'
 
-/** What the shell is to do. */
+/** An action for the caller to perform. */
 export type TransferEffect =
   | { readonly type: 'fetch', readonly attempt: number, readonly index: number, readonly digest: string, readonly bytes: number, readonly source: ChunkSource, readonly timeout: number }
   | { readonly type: 'abandon', readonly attempt: number }
   | { readonly type: 'whole', readonly manifestDigest: string }
 
-/** Why an attempt gave no chunk. */
+/** Why an attempt delivered no chunk. */
 export type FetchProblem = 'corrupt' | 'timed-out' | 'unreachable' | 'not-yet' | 'not-held'
 
-/** Bounds of a transfer; times in milliseconds. */
+/** Parameters of a transfer; times in milliseconds. */
 export interface TransferPolicy {
-  /** Chunks in flight at once: bounds the memory that a transfer takes. */
+  /** The maximum number of chunks in flight, which bounds the memory of a transfer. */
   readonly window: number
   readonly strategy: SpreadStrategy
-  /** Members that read each chunk from the origin when nothing fails. */
+  /** The number of members that read each chunk from the origin in the absence of failures. */
   readonly originCopies: number
-  /** Added wait, for each rank in the zone, before a member may turn to the store or origin. */
+  /** The additional delay per rank in the zone before a member falls back to the store or origin. */
   readonly originStagger: number
-  /** How long a peer that failed is passed over. */
+  /** How long a failed peer is skipped the first time. */
   readonly penalty: number
-  /** The least time that an attempt gets. */
+  /** The minimum timeout of an attempt. */
   readonly leastTimeout: number
 }
 
-/** The policy that the daemons use unless the settings say otherwise. */
+/** The default policy of the daemons. */
 export const defaultTransferPolicy: TransferPolicy = {
   window: 32,
   strategy: 'rotation',
@@ -51,7 +51,7 @@
   readonly source: ChunkSource
   readonly startedAt: number
   deadline: number
-  /** Whether a second source was asked because this one takes long. */
+  /** Whether a second source has been requested because this one is slow, or this is that second request. */
   hedged: boolean
 }
 
@@ -61,38 +61,40 @@
 }
 
 interface Want {
-  /** When no ancestor could be asked for the first time; nothing until then. */
+  /** When no ancestor was usable for the first time; `undefined` until then. */
   strandedSince: number | undefined
-  /** Sources that gave nothing for this chunk, with how often. */
+  /** The number of failed attempts for this chunk by source. */
   readonly tried: Map<string, number>
   notBefore: number
 }
 
-/** How often one source may say that it has no chunk yet before the next is asked. */
+/** How often a source may report that it does not have the chunk yet before the next source is tried. */
 const NOT_YET_PATIENCE = 3
-/** The origin gets so many times the usual, since it gives no signs. */
+/** The timeout of the store and origin as a multiple of the typical duration, since they send no progress signals. */
 const TIMEOUT_FACTOR = 6
+/** The weight of a new sample in the moving average of fetch durations. */
 const SMOOTHING = 0.2
-/** How long a chunk whose ancestors all failed is waited for before the origin is asked, in milliseconds, rank 0. */
+/** How long a member of rank 0 waits, once all ancestors of a chunk have failed, before it reads from the origin, in milliseconds. */
 const ORIGIN_FIRST_WAIT = 600
-/** Before a source that had nothing is asked again, in milliseconds. */
+/** The delay before a source that did not have the chunk is retried, in milliseconds. */
 const RETRY_PAUSE = 150
-/** Penalties double up to this, in milliseconds. */
+/** The maximum penalty, in milliseconds. Penalties double until they reach it. */
 const LONGEST_PENALTY = 20_000
-/** A flight older than this, and than twice the usual, is slow; in milliseconds. */
+/** A fetch is slow if it takes longer than this, in milliseconds, and longer than `SLOW_FACTOR` times the typical duration. */
 const SLOW_AFTER = 1_000
 const SLOW_FACTOR = 2
+/** The age, in milliseconds, at which a fetch is slow while the typical duration is unknown. */
 const SLOW_WHILE_UNKNOWN = 10_000
-/** By how much the window widens for slow flights. */
+/** The factor by which the window is enlarged to allow for slow fetches. */
 const WIDE_WINDOW = 4
-/** A second source is asked when a flight is slow this many times over. */
+/** A fetch is hedged when its age reaches this multiple of the age at which it is slow. */
 const HEDGE_FACTOR = 2
-/** Second sources asked in one turn. */
+/** The maximum number of hedges started per tick. */
 const MOST_HEDGES = 4
 
-/** The transfer of one version to one member, as the shell drives it. */
+/** The transfer of one version to one member, driven by the caller. */
 export interface TransferCourse {
-  /** The share of chunks that are held, 0 to 1. */
+  /** The fraction of chunks that are held, from 0 to 1. */
   readonly progress: number
   setMembers (members: readonly ChunkMember[]): void
   tick (now: number): TransferEffect[]
@@ -102,7 +104,7 @@
   cancel (): TransferEffect[]
 }
 
-/** A transfer in which chunks are awaited at ancestors in a tree, which pass them on as they come. */
+/** A transfer that requests chunks from ancestors in a tree, which forward them as they receive them. */
 export class Transfer implements TransferCourse {
   private readonly _manifest: Manifest
   private readonly _digest: string
@@ -119,7 +121,7 @@
   private _whole = false
 
   /**
-   * @param held Digests that are held already, from an earlier version or an earlier start: not fetched again.
+   * @param held The digests of chunks already held, from an earlier version or run, which are not fetched again.
    */
   constructor (self: ChunkMember, members: readonly ChunkMember[], manifestDigest: string, manifest: Manifest, held: ReadonlySet<string>, policy: TransferPolicy = defaultTransferPolicy) {
     this._self = self
@@ -130,21 +132,21 @@
     manifest.chunks.forEach((chunk, index) => { if (!held.has(chunk.digest)) this._missing.add(index) })
   }
 
-  /** The share of chunks that are held, 0 to 1. */
+  /** The fraction of chunks that are held, from 0 to 1. */
   get progress (): number { return 1 - this._missing.size / this._manifest.chunks.length }
 
-  /** The version that is fetched. */
+  /** The manifest digest of the version that is fetched. */
   get manifestDigest (): string { return this._digest }
   /** Whether every chunk is held and verified. */
   get whole (): boolean { return this._whole }
 
-  /** Takes a new member list; flights under way go on. */
+  /** Replaces the member list. Fetches in flight continue. */
   setMembers (members: readonly ChunkMember[]): void {
     this._tree = new ChunkTree(this._self, members, this._policy.originCopies, this._policy.strategy)
   }
 
   /**
-   * Fills the window and times out what takes too long. Call it after each event and every 50 ms or so.
+   * Fills the window and times out overdue fetches. Must be called after each event and about every 50 ms.
    *
    * @example
    * for (const effect of transfer.tick(now)) carryOut(effect)
@@ -167,7 +169,7 @@
     return effects
   }
 
-  /** A verified chunk has been kept. Several indexes may share its digest. */
+  /** Records that a verified chunk has been stored. Several indexes may share its digest. */
   arrived (attempt: number, now: number): TransferEffect[] {
     const flight = this._flights.get(attempt)
     if (flight === undefined) return []
@@ -186,13 +188,13 @@
     return [...effects, ...this.tick(now)]
   }
 
-  /** The source of an attempt says that it holds the chunk, or awaits it itself, and will send it. */
+  /** Extends the deadline of an attempt whose source signals that it holds or is fetching the chunk and will send it. */
   coming (attempt: number, now: number): void {
     const flight = this._flights.get(attempt)
     if (flight !== undefined) flight.deadline = Math.max(flight.deadline, now + this._timeout(flight.source))
   }
 
-  /** An attempt gave nothing. A peer that is dead or corrupt is passed over for a while, with all its flights. */
+  /** Records a failed attempt. A peer that is dead or sends corrupt data is skipped for some time, and its fetches are abandoned. */
   failed (attempt: number, problem: FetchProblem, now: number): TransferEffect[] {
     const flight = this._flights.get(attempt)
     if (flight === undefined) return []
@@ -205,7 +207,7 @@
     return [...effects, ...this.tick(now)]
   }
 
-  /** Ends the transfer, for a version that is no longer wanted. */
+  /** Cancels the transfer of a version that is no longer wanted. */
   cancel (): TransferEffect[] {
     const effects = [...this._flights.keys()].map(attempt => ({ type: 'abandon', attempt }) as const)
     this._flights.clear()
@@ -215,8 +217,8 @@
   }
 
   /**
-   * Flights that may be started. Those that wait long at a source that does not have the chunk yet take no memory here
-   * and would clog the window, so they count only against a wider one.
+   * The number of fetches that may be started. Slow fetches mostly wait for a source that does not have the chunk yet. They
+   * use no memory here and would block the window, so they count only towards an enlarged one.
    */
   private _room (now: number): number {
     let young = 0
@@ -225,13 +227,13 @@
     return Math.min(this._policy.window - young, wide)
   }
 
-  /** Until a window's worth has come, nothing is known of what is usual: on slow links a window takes seconds. */
+  /** The age at which a fetch is slow. Until a window of chunks has arrived, the typical duration is unknown: on slow links, a window takes seconds. */
   private _slowAfter (): number {
     if (this._arrivals < this._policy.window) return SLOW_WHILE_UNKNOWN
     return Math.max(SLOW_AFTER, SLOW_FACTOR * this._observed)
   }
 
-  /** A chunk that takes long is asked of a second source too; whichever comes first is kept. */
+  /** Requests slow chunks from a second source as well. The first copy to arrive is kept. */
   private _hedge (now: number): TransferEffect[] {
     const effects: TransferEffect[] = []
     const slow = [...this._flights.values()].filter(flight => !flight.hedged && flight.source.kind === 'peer' && now - flight.startedAt >= HEDGE_FACTOR * this._slowAfter())
@@ -281,7 +283,7 @@
     return undefined
   }
 
-  /** The store goes first; the origin takes what the store refused. */
+  /** Alternates between the origin and the store, choosing the one with fewer failed attempts for the chunk and the origin on a tie. */
   private _upstream (want: Want): ChunkSource {
     const store = want.tried.get('store') ?? 0
     const origin = want.tried.get('origin') ?? 0
@@ -307,7 +309,7 @@
     const count = (want.tried.get(name) ?? 0) + 1
     const patient = problem === 'not-yet' || problem === 'not-held'
     want.tried.set(name, patient ? count : Math.max(count, NOT_YET_PATIENCE))
-    // A peer that holds nothing yet may not have heard of the version: settings reach peers within milliseconds.
+    // A peer without any chunk may not have received the configuration of the version yet, which takes milliseconds.
     if (flight.source.kind !== 'peer' || problem === 'not-held') want.notBefore = now + RETRY_PAUSE
   }
 
@@ -336,7 +338,7 @@
     return effects
   }
 
-  /** A source that has just answered serves its queue: what else waits there is not stalled. */
+  /** Clears the penalty of a source that has responded and extends the deadlines of its other fetches, since it is serving its queue. */
   private _alive (source: ChunkSource, now: number): void {
     if (source.kind === 'peer') this._penalties.delete(source.instance)
     for (const flight of this._flights.values()) {
@@ -364,8 +366,8 @@
   }
 
   /**
-   * Peers give signs while a chunk is to come, but on a crowded machine or link signs are late too. The origin gives none
-   * and is limited by its link, so it gets more time.
+   * Peers signal progress while a chunk is pending, but on a loaded machine or link the signals are late too, so the minimum
+   * timeout allows for that. The origin sends no signals and is limited by its link, so its timeout is longer.
    */
   private _timeout (source: ChunkSource): number {
     if (source.kind === 'peer') return this._policy.leastTimeout
