--- a/packages/core/src/lib/engine-switch.ts
+++ b/packages/core/src/lib/engine-switch.ts
@@ -145,7 +145,10 @@
     return [...effects, ...this._advance(situation, now)]
   }
 
-  /** Processes the result of a take-over. A stale fence means that another agent took over first; only the platform knows which of the two is older, so this one stops. */
+  /**
+   * Processes the result of a take-over. A stale fence means that another agent took over first. Only the platform knows
+   * which of the two is older, so this one stops.
+   */
   tookOver (fence: number, result: TakeOverResult, now: number): SwitchEffect[] {
     if (result === 'stale-fence') return this._replace(fence)
     if (result === 'unreachable' || this._replaced) return []
--- a/packages/core/src/lib/subset.ts
+++ b/packages/core/src/lib/subset.ts
@@ -5,7 +5,7 @@
  */
 /**
  * Deterministic subsetting (Site Reliability Engineering, chapter 20). Each entry uses only a subset of the endpoints,
- * which limits the number of connections, and the numbers of entries that use any two endpoints differ by at most one.
+ * which limits the number of connections, and the number of entries per endpoint is balanced to within one.
  */
 import { rendezvousOrder } from './rendezvous.js'
 
--- a/packages/core/src/test/lib/admission_test.ts
+++ b/packages/core/src/test/lib/admission_test.ts
@@ -20,14 +20,14 @@
 
 describe('AdmissionDoor', () => {
   const closed: [name: string, close: (door: AdmissionDoor) => void, reason: string][] = [
-    ['nothing is served', door => door.setServing(false), 'not-serving'],
-    ['it switches', door => door.setSwitching(true), 'switching'],
-    ['it drains', door => { door.leave('draining') }, 'leaving'],
-    ['it has stopped', door => { door.leave('stopped') }, 'leaving'],
-    ['it is full', door => { door.run(0); door.run(0) }, 'busy']
+    ['no version is served', door => door.setServing(false), 'not-serving'],
+    ['the engine is switching', door => door.setSwitching(true), 'switching'],
+    ['draining', door => { door.leave('draining') }, 'leaving'],
+    ['stopped', door => { door.leave('stopped') }, 'leaving'],
+    ['all slots are in use', door => { door.run(0); door.run(0) }, 'busy']
   ]
   for (const [name, close, reason] of closed) {
-    it(`refuses everything when ${name}, tickets given before included`, () => {
+    it(`refuses new requests and issued tickets when ${name}`, () => {
       const door = openDoor()
       const ticket = ticketOf(door)
       close(door)
@@ -37,25 +37,25 @@
     })
   }
 
-  it('starts a ticket once', () => {
+  it('admits a ticket once', () => {
     const door = openDoor()
     const ticket = ticketOf(door)
     assert.equal(door.go(ticket, 10).type, 'admitted')
     assert.deepEqual(door.go(ticket, 11), { type: 'refused', reason: 'ticket-unknown' })
   })
 
-  it('refuses a ticket that comes late, and for good', () => {
+  it('refuses an expired ticket permanently', () => {
     const door = openDoor()
     const ticket = ticketOf(door)
     assert.deepEqual(door.go(ticket, TICKET_LIFETIME), { type: 'refused', reason: 'ticket-expired' })
     assert.deepEqual(door.go(ticket, 1), { type: 'refused', reason: 'ticket-unknown' })
   })
 
-  it('knows no ticket of another incarnation', () => {
+  it('refuses a ticket of another incarnation', () => {
     assert.deepEqual(openDoor().go('agent-1.bb:1', 0), { type: 'refused', reason: 'ticket-unknown' })
   })
 
-  it('tells the fate of a ticket and kills an unused one', () => {
+  it('returns the state of a cancelled ticket and invalidates an unused one', () => {
     const door = openDoor()
     const unused = ticketOf(door)
     const used = ticketOf(door)
@@ -66,7 +66,7 @@
     assert.deepEqual(door.go(unused, 2), { type: 'refused', reason: 'ticket-unknown' })
   })
 
-  it('makes room when a run ends', () => {
+  it('frees a slot when a run ends', () => {
     const door = openDoor(1)
     const admission = door.run(0)
     assert.equal(door.run(0).type, 'refused')
@@ -74,7 +74,7 @@
     assert.equal(door.run(0).type, 'admitted')
   })
 
-  it('leaves one way only', () => {
+  it('moves the lifecycle only forward', () => {
     const door = openDoor()
     assert.deepEqual(['draining', 'serving', 'stopped', 'draining'].map(lifecycle => door.leave(lifecycle as 'serving')), [true, false, true, false])
     assert.equal(door.lifecycle, 'stopped')
--- a/packages/core/src/test/lib/answer-stream_test.ts
+++ b/packages/core/src/test/lib/answer-stream_test.ts
@@ -23,15 +23,15 @@
 
 describe('AnswerStream', () => {
   const cases: [name: string, steps: Step[], text: string, whole: boolean, broken: boolean][] = [
-    ['in order', [0, 1, 2, 'end 3'], 'abc', true, false],
-    ['out of order', [2, 'end 3', 0, 1], 'abc', true, false],
-    ['twice', [0, 0, 1, 1, 2, 0, 'end 3'], 'abc', true, false],
-    ['without its end', [0, 1, 2], 'abc', false, false],
-    ['with a gap', [0, 2, 'end 3'], 'a', false, false],
-    ['with an end that is too early', [0, 1, 2, 'end 2'], 'abc', false, true],
-    ['with two ends that disagree', [0, 1, 'end 2', 'end 3'], 'ab', true, true],
-    ['with a part beyond the end', ['end 2', 5], '', false, true],
-    ['with a part far ahead', [5000], '', false, true]
+    ['delivers parts received in order', [0, 1, 2, 'end 3'], 'abc', true, false],
+    ['reorders parts received out of order', [2, 'end 3', 0, 1], 'abc', true, false],
+    ['ignores duplicate parts', [0, 0, 1, 1, 2, 0, 'end 3'], 'abc', true, false],
+    ['is incomplete without the end', [0, 1, 2], 'abc', false, false],
+    ['is incomplete with a gap', [0, 2, 'end 3'], 'a', false, false],
+    ['rejects an end with too small a count', [0, 1, 2, 'end 2'], 'abc', false, true],
+    ['rejects two ends with different counts', [0, 1, 'end 2', 'end 3'], 'ab', true, true],
+    ['rejects a part beyond the end', ['end 2', 5], '', false, true],
+    ['rejects a part too far ahead', [5000], '', false, true]
   ]
   for (const [name, steps, text, whole, broken] of cases) {
     it(name, () => assert.deepEqual(play(steps), { text, whole, broken }))
--- a/packages/core/src/test/lib/choice_test.ts
+++ b/packages/core/src/test/lib/choice_test.ts
@@ -25,10 +25,10 @@
 
 describe('EndpointChoice', () => {
   const cases: [name: string, reports: Record<string, EndpointStatus>, allowed: string[]][] = [
-    ['stays in its own zone', {}, ['a', 'b', 'c']],
-    ['leaves the zone when all of it is full', { a: status(4), b: status(4), c: status(5) }, ['x', 'y']],
-    ['stays when everything is full', { a: status(4), b: status(4), c: status(4), x: status(4), y: status(4) }, ['a', 'b', 'c']],
-    ['avoids those that leave', { a: status(0, { lifecycle: 'draining' }), b: status(0, { lifecycle: 'stopped' }) }, ['c']]
+    ['prefers its own zone', {}, ['a', 'b', 'c']],
+    ['chooses another zone when its own zone is full', { a: status(4), b: status(4), c: status(5) }, ['x', 'y']],
+    ['prefers its own zone when all zones are full', { a: status(4), b: status(4), c: status(4), x: status(4), y: status(4) }, ['a', 'b', 'c']],
+    ['excludes draining and stopped instances', { a: status(0, { lifecycle: 'draining' }), b: status(0, { lifecycle: 'stopped' }) }, ['c']]
   ]
   for (const [name, reports, allowed] of cases) {
     it(name, () => {
@@ -36,14 +36,14 @@
       for (let index = 0; index < 40; index += 1) assert.ok(allowed.includes(choice.choose([...near, ...far], '', 0) ?? ''))
     })
   }
-  it('sends one prompt to one endpoint until that is much busier than the rest', () => {
+  it('keeps a prompt on one endpoint until it is much busier than the others', () => {
     const choice = choiceWith({})
     const favourite = choice.choose(near, 'prompt', 0) ?? ''
     assert.equal(choice.choose(near, 'prompt', 0), favourite)
     for (let index = 0; index < 6; index += 1) choice.sent(favourite)
     assert.notEqual(choice.choose(near, 'prompt', 0), favourite)
   })
-  it('adds what it sent since the last report, and takes off what has ended', () => {
+  it('adjusts the reported load by requests sent and completed since the last report', () => {
     const choice = choiceWith({ a: status(2) })
     assert.equal(choice.load('a'), 0.5)
     choice.sent('a')
@@ -51,21 +51,21 @@
     choice.ended('a')
     assert.equal(choice.load('a'), 0.5)
   })
-  it('passes over one that refused, for a moment', () => {
+  it('excludes an instance for a short time after a refusal', () => {
     const choice = choiceWith({})
     choice.refused('a', 'leaving', 0)
     choice.refused('b', 'leaving', 0)
     assert.equal(choice.choose(near, '', 100), 'c')
     choice.refused('c', 'busy', 90)
     assert.equal(choice.choose(near, '', 100), undefined)
-    assert.equal(choice.choose(near, '', 110), 'c', 'a busy one is asked again soon')
+    assert.equal(choice.choose(near, '', 110), 'c', 'a busy instance is chosen again soon')
     assert.notEqual(choice.choose(near, '', 300), undefined)
   })
 })
 
 describe('Ejection', () => {
   const instances = ['a', 'b', 'c', 'd']
-  it('ejects after three failures, probes once, and takes back on success', () => {
+  it('ejects after three failures, sends one probe and reinstates on success', () => {
     const ejection = new Ejection()
     for (let index = 0; index < 3; index += 1) ejection.failed('a', 0)
     assert.deepEqual(ejection.usable(instances, 500), ['b', 'c', 'd'])
@@ -75,13 +75,13 @@
     ejection.succeeded('a')
     assert.deepEqual(ejection.usable(instances, 1_000), instances)
   })
-  it('doubles the time of those that fail again', () => {
+  it('doubles the ejection time after another failure', () => {
     const ejection = new Ejection()
     for (let index = 0; index < 4; index += 1) ejection.failed('a', 0)
     assert.ok(!ejection.usable(instances, 1_500).includes('a'))
     assert.ok(ejection.usable(instances, 2_000).includes('a'))
   })
-  it('never ejects more than half', () => {
+  it('never ejects more than half of the instances', () => {
     const ejection = new Ejection()
     for (const instance of ['a', 'b', 'c']) for (let index = 0; index < 3; index += 1) ejection.failed(instance, 0)
     assert.deepEqual(ejection.usable(instances, 10), instances)
--- a/packages/core/src/test/lib/chunk-tree_test.ts
+++ b/packages/core/src/test/lib/chunk-tree_test.ts
@@ -21,7 +21,7 @@
   const shapes: [members: number, zones: number, copies: number][] = [[1, 1, 1], [2, 2, 1], [7, 3, 1], [24, 3, 1], [24, 3, 2], [24, 3, 4], [40, 5, 1], [40, 5, 7]]
   for (const strategy of ['rotation', 'rendezvous', 'tree'] as const) {
     for (const [count, zones, copies] of shapes) {
-      it(`${strategy}: ${count} members in ${zones} zones reach the origin through ${copies} copies`, () => {
+      it(`${strategy}: ${count} members in ${zones} zones form consistent trees with ${copies} origin copies`, () => {
         const members = membersOf(count, zones)
         const trees = treesOf(members, copies, strategy)
         for (let chunk = 0; chunk < CHUNKS; chunk += 1) {
@@ -29,17 +29,17 @@
           const roots = [...places.values()].filter(place => place.ancestors.length === 0)
           assert.equal(roots.length, Math.min(count, copies))
           for (const [instance, place] of places) {
-            assert.ok(!place.ancestors.includes(instance), 'nobody waits for itself')
+            assert.ok(!place.ancestors.includes(instance), 'no member is its own ancestor')
             assert.equal(new Set(place.ancestors).size, place.ancestors.length)
             const [parent, ...rest] = place.ancestors
-            if (parent !== undefined) assert.deepEqual(places.get(parent)?.ancestors, rest, 'all see the same tree')
+            if (parent !== undefined) assert.deepEqual(places.get(parent)?.ancestors, rest, 'all members compute the same tree')
           }
         }
       })
     }
   }
 
-  it('loads uplinks evenly: over many chunks nobody sends much more than one copy', () => {
+  it('balances uplinks: over many chunks no member sends much more than one copy', () => {
     const members = membersOf(24, 3)
     const sent = new Map<string, number>()
     for (const tree of treesOf(members, 1, 'rotation')) {
@@ -51,7 +51,7 @@
     assert.ok(Math.max(...sent.values()) <= CHUNKS * 1.1, `${Math.max(...sent.values())} of ${CHUNKS}`)
   })
 
-  it('crosses into each other zone once for each chunk', () => {
+  it('transfers each chunk into every other zone once', () => {
     const members = membersOf(24, 3)
     const zoneOf = new Map(members.map(member => [member.instance, member.availabilityZone]))
     const trees = treesOf(members, 1, 'rotation')
@@ -64,7 +64,7 @@
     }
   })
 
-  it('sends everyone to the origin when asked to', () => {
+  it('reads every chunk from the origin with the origin strategy', () => {
     const tree = new ChunkTree({ instance: 'agent-3', availabilityZone: 'zone-0' }, membersOf(9, 3), 1, 'origin')
     assert.deepEqual(tree.place(5, '').ancestors, [])
   })
--- a/packages/core/src/test/lib/documents_test.ts
+++ b/packages/core/src/test/lib/documents_test.ts
@@ -18,13 +18,13 @@
 
 describe('checkConfiguration', () => {
   const refused: [name: string, input: unknown, mention: RegExp][] = [
-    ['no object', null, /document/],
+    ['a value that is not an object', null, /document/],
     ['an unknown key', { ...good, extra: 1 }, /extra/],
-    ['a version that the model lacks', { ...good, pools: { drafting: { model: 'chat', version: 'v2' } } }, /no version v2/],
-    ['a pool and a service of one name', { ...good, services: { drafting: {} } }, /same name/],
+    ['a version that the model does not have', { ...good, pools: { drafting: { model: 'chat', version: 'v2' } } }, /no version v2/],
+    ['a pool and a service with the same name', { ...good, services: { drafting: {} } }, /same name/],
     ['a negative weight', { ...good, organisations: { a: { weight: -1 } } }, /weight/],
-    ['no slots', { ...good, pools: { drafting: { model: 'chat', version: 'v1', slots: 0 } } }, /slots/],
-    ['a digest that is none', { ...good, models: { chat: { versions: { v1: 'xyz' } } } }, /versions/]
+    ['zero slots', { ...good, pools: { drafting: { model: 'chat', version: 'v1', slots: 0 } } }, /slots/],
+    ['a malformed digest', { ...good, models: { chat: { versions: { v1: 'xyz' } } } }, /versions/]
   ]
   for (const [name, input, mention] of refused) {
     it(`refuses ${name}`, () => {
@@ -34,7 +34,7 @@
       assert.match(checked.failure.detail, mention)
     })
   }
-  it('takes a good one and fills in defaults', () => {
+  it('accepts a valid document and applies defaults', () => {
     const checked = checkConfiguration(good)
     assert.ok('value' in checked)
     assert.equal(checked.value.pools.drafting?.switchFraction, 0.25)
@@ -46,27 +46,27 @@
 describe('checkInstanceList', () => {
   const cases: [name: string, input: unknown, good: boolean][] = [
     ['one instance', { instances: [instance] }, true],
-    ['one instance twice', { instances: [instance, instance] }, false],
-    ['a host name for an address', { instances: [{ ...instance, address: 'host:7400' }] }, false],
+    ['a duplicate instance', { instances: [instance, instance] }, false],
+    ['a host name as an address', { instances: [{ ...instance, address: 'host:7400' }] }, false],
     ['an unknown state', { instances: [{ ...instance, state: 'gone' }] }, false]
   ]
   for (const [name, input, expected] of cases) {
-    it(`${expected ? 'takes' : 'refuses'} ${name}`, () => assert.equal('value' in checkInstanceList(input), expected))
+    it(`${expected ? 'accepts' : 'refuses'} ${name}`, () => assert.equal('value' in checkInstanceList(input), expected))
   }
 })
 
 describe('checkManifest', () => {
   const chunk = { digest, bytes: 10 }
   const cases: [name: string, input: unknown, reason: string | undefined][] = [
-    ['sizes that add up', { model: 'chat', version: 'v1', bytes: 20, chunks: [chunk, chunk] }, undefined],
-    ['sizes that do not', { model: 'chat', version: 'v1', bytes: 21, chunks: [chunk, chunk] }, 'bad-manifest'],
-    ['a negative size', { model: 'chat', version: 'v1', bytes: 0, chunks: [{ digest, bytes: -1 }] }, 'bad-manifest'],
-    ['no chunks', { model: 'chat', version: 'v1', bytes: 0, chunks: [] }, 'bad-manifest'],
-    ['too many bytes', { model: 'chat', version: 'v1', bytes: 2000, chunks: [{ digest, bytes: 2000 }] }, 'too-large'],
-    ['nothing', undefined, 'bad-manifest']
+    ['chunk sizes that add up to the total', { model: 'chat', version: 'v1', bytes: 20, chunks: [chunk, chunk] }, undefined],
+    ['chunk sizes that do not add up to the total', { model: 'chat', version: 'v1', bytes: 21, chunks: [chunk, chunk] }, 'bad-manifest'],
+    ['a negative chunk size', { model: 'chat', version: 'v1', bytes: 0, chunks: [{ digest, bytes: -1 }] }, 'bad-manifest'],
+    ['an empty list of chunks', { model: 'chat', version: 'v1', bytes: 0, chunks: [] }, 'bad-manifest'],
+    ['a manifest above the size limit', { model: 'chat', version: 'v1', bytes: 2000, chunks: [{ digest, bytes: 2000 }] }, 'too-large'],
+    ['an undefined value', undefined, 'bad-manifest']
   ]
   for (const [name, input, reason] of cases) {
-    it(`${reason === undefined ? 'takes' : 'refuses'} ${name}`, () => {
+    it(`${reason === undefined ? 'accepts' : 'refuses'} ${name}`, () => {
       const checked = checkManifest(input, 1000)
       assert.equal('failure' in checked ? checked.failure.reason : undefined, reason)
     })
--- a/packages/core/src/test/lib/engine-switch_test.ts
+++ b/packages/core/src/test/lib/engine-switch_test.ts
@@ -21,7 +21,7 @@
   return { target: { manifestDigest: 'v2', switchFraction: 0.5 }, wholeDigest: 'v2', members: alone, knownDigests: new Set(['v1', 'v2']), ...change }
 }
 
-/** A switch whose agent has taken its engine over at time 0. */
+/** Returns a switch whose agent took its engine over at time 0. */
 function taken (): { engineSwitch: EngineSwitch, door: AdmissionDoor } {
   const door = new AdmissionDoor('a.1', 4)
   const engineSwitch = new EngineSwitch('a', door, 0)
@@ -33,21 +33,21 @@
 const types = (effects: readonly SwitchEffect[]): string[] => effects.map(effect => effect.type)
 
 describe('EngineSwitch', () => {
-  it('takes the engine over before anything else, above its last fence', () => {
+  it('first takes the engine over with a fence above its last one', () => {
     const engineSwitch = new EngineSwitch('a', new AdmissionDoor('a.1', 4), 0)
     assert.deepEqual(engineSwitch.step(report({ fence: 6 }), situation(), 100), [{ type: 'take-over', fence: 7 }])
   })
 
   const ends: [name: string, act: (engineSwitch: EngineSwitch) => SwitchEffect[]][] = [
-    ['another agent was faster', engineSwitch => engineSwitch.tookOver(7, 'stale-fence', 200)],
-    ['it was paused before it took over', engineSwitch => engineSwitch.step(report(), situation(), 9_000)],
-    ['a newer agent has the engine', engineSwitch => {
+    ['another agent took over first', engineSwitch => engineSwitch.tookOver(7, 'stale-fence', 200)],
+    ['it was paused before the take-over', engineSwitch => engineSwitch.step(report(), situation(), 9_000)],
+    ['a newer agent has taken the engine over', engineSwitch => {
       engineSwitch.tookOver(7, 'taken', 200)
       return engineSwitch.step(report({ fence: 8 }), situation(), 300)
     }]
   ]
   for (const [name, act] of ends) {
-    it(`ends when ${name}`, () => {
+    it(`stops when ${name}`, () => {
       const door = new AdmissionDoor('a.1', 4)
       const engineSwitch = new EngineSwitch('a', door, 0)
       engineSwitch.step(report({ fence: 6 }), situation(), 100)
@@ -58,14 +58,14 @@
   }
 
   const steps: [name: string, engine: EngineReport | undefined, at: SwitchSituation, effects: string[], serving: boolean][] = [
-    ['loads a whole version', report(), situation(), ['began', 'order-load'], true],
-    ['waits for the version to be whole', report(), situation({ wholeDigest: '' }), [], true],
-    ['waits while another load goes on', report({ loading: 'v1' }), situation(), [], false],
-    ['waits for what the engine says runs', report({ running: 2 }), situation(), ['began'], true],
-    ['does nothing when the wanted version is served', report({ version: 'v2' }), situation(), [], true],
-    ['does not serve a version that the configuration does not know', report({ version: 'v0' }), situation({ target: undefined }), [], false],
+    ['loads a complete version', report(), situation(), ['began', 'order-load'], true],
+    ['waits until the version is complete', report(), situation({ wholeDigest: '' }), [], true],
+    ['waits while another load is in progress', report({ loading: 'v1' }), situation(), [], false],
+    ['waits for requests that the engine reports as running', report({ running: 2 }), situation(), ['began'], true],
+    ['takes no action when the wanted version is served', report({ version: 'v2' }), situation(), [], true],
+    ['does not serve a version that is not configured', report({ version: 'v0' }), situation({ target: undefined }), [], false],
     ['does not serve without a report', undefined, situation(), [], false],
-    ['loads at once into an empty engine', report({ version: '' }), situation({ members }), ['began', 'order-load'], false]
+    ['loads an empty engine without waiting for the previous wave', report({ version: '' }), situation({ members }), ['began', 'order-load'], false]
   ]
   for (const [name, engine, at, effects, serving] of steps) {
     it(name, () => {
@@ -75,7 +75,7 @@
     })
   }
 
-  it('asks the wave before its own, and stops when that failed', () => {
+  it('queries the previous wave and halts when it failed', () => {
     const pair = ['a', 'b'].map(self => {
       const door = new AdmissionDoor(`${self}.1`, 4)
       const engineSwitch = new EngineSwitch(self, door, 0)
@@ -84,13 +84,13 @@
       return { engineSwitch, first: types(engineSwitch.step(report(), situation({ members }), SETTLED)) }
     })
     const second = pair.find(({ first }) => first.includes('ask-progress'))
-    assert.equal(pair.filter(({ first }) => first.includes('began')).length, 1, 'one goes first')
+    assert.equal(pair.filter(({ first }) => first.includes('began')).length, 1, 'exactly one engine starts first')
     for (const name of ['a', 'b']) second?.engineSwitch.heard(name, 'failed', SETTLED)
     assert.deepEqual(types(second?.engineSwitch.step(report(), situation({ members }), SETTLED + 200) ?? []), ['halted', 'ask-progress'])
     assert.equal(second?.engineSwitch.halted, true)
   })
 
-  it('asks a large wave a few at a time', () => {
+  it('limits the rate at which it queries a large wave', () => {
     const many: InstanceRecord[] = Array.from({ length: 200 }, (_, index) => ({ ...(members[0] as InstanceRecord), instance: `m-${index}` }))
     const last = many.map(({ instance }) => instance).find(self => {
       const engineSwitch = new EngineSwitch(self, new AdmissionDoor(`${self}.1`, 4), 0)
@@ -108,7 +108,7 @@
     assert.ok(asked >= 128 && asked <= 192, `${asked}`)
   })
 
-  it('waits for its own requests, then loads, then opens on the engine\'s word', () => {
+  it('waits for its requests, loads, and reopens admission when the engine reports the version', () => {
     const { engineSwitch, door } = taken()
     engineSwitch.step(report(), situation({ target: undefined }), 5_000)
     const run = door.run(0)
@@ -125,7 +125,7 @@
 
   const answers: [result: 'stale-fence' | 'refused' | 'refused-here' | 'unreachable', open: boolean][] = [['stale-fence', true], ['refused', true], ['refused-here', true], ['unreachable', false]]
   for (const [result, open] of answers) {
-    it(`keeps the door ${open ? 'open' : 'closed'} after a load order that was answered "${result}"`, () => {
+    it(`keeps admission ${open ? 'open' : 'closed'} after a load order with the result "${result}"`, () => {
       const { engineSwitch, door } = taken()
       engineSwitch.step(report(), situation(), SETTLED)
       engineSwitch.loadAnswered('v2', result, SETTLED)
@@ -133,7 +133,7 @@
     })
   }
 
-  it('goes back to the old version when a load fails, and does not try again by itself', () => {
+  it('keeps serving the old version when a load fails and does not retry the load', () => {
     const { engineSwitch, door } = taken()
     engineSwitch.step(report(), situation(), SETTLED)
     engineSwitch.loadAnswered('v2', 'ordered', SETTLED)
--- a/packages/core/src/test/lib/list-change_test.ts
+++ b/packages/core/src/test/lib/list-change_test.ts
@@ -18,12 +18,12 @@
 
 describe('ListChange', () => {
   const cases: [name: string, after: InstanceRecord[], changed: string[], removed: string[]][] = [
-    ['nothing', before.instances, [], []],
-    ['one leaves', [record('p1'), record('p2', { state: 'leaving' }), record('p3')], ['p2'], []],
-    ['one is gone', [record('p1'), record('p3')], [], ['p2']],
-    ['one is new', [...before.instances, record('p4')], ['p4'], []],
-    ['one is replaced', [record('p1'), record('p3'), record('p2', { address: '10.0.0.9:1' })], ['p2'], []],
-    ['all are gone', [], [], ['p1', 'p2', 'p3']]
+    ['no change', before.instances, [], []],
+    ['a record is modified', [record('p1'), record('p2', { state: 'leaving' }), record('p3')], ['p2'], []],
+    ['a record is removed', [record('p1'), record('p3')], [], ['p2']],
+    ['a record is added', [...before.instances, record('p4')], ['p4'], []],
+    ['an instance is replaced', [record('p1'), record('p3'), record('p2', { address: '10.0.0.9:1' })], ['p2'], []],
+    ['all records are removed', [], [], ['p1', 'p2', 'p3']]
   ]
   for (const [name, after, changed, removed] of cases) {
     it(name, () => {
@@ -38,7 +38,7 @@
     })
   }
 
-  it('travels in place of the list, and only helps who holds its base', () => {
+  it('is sent in place of the list and applies only to its base', () => {
     const spreads = before.instances.map(({ instance, address, availabilityZone }) => {
       const spread = new Spread({ instance, address, availabilityZone, seeds: [], source: 's' }, () => 0.5, 0)
       spread.tick(0)
@@ -54,14 +54,14 @@
     assert.equal(behind.instances.length, 4)
     empty.received(reply, 'pushed', 0)
     assert.equal(empty.revision('instances'), 0)
-    assert.equal(ahead.compared(empty.note(0), 0).reply.documents.length, 1, 'who lacks the base gets the list')
+    assert.equal(ahead.compared(empty.note(0), 0).reply.documents.length, 1, 'a peer without the base receives the full list')
   })
 })
 
 describe('endpointSubset', () => {
   const shapes: [entries: number, endpoints: number, size: number][] = [[76, 480, 24], [7, 100, 24], [3, 12, 24], [10, 48, 24]]
   for (const [entries, count, size] of shapes) {
-    it(`${entries} entries use ${count} endpoints evenly, ${size} each at the most`, () => {
+    it(`${entries} entries use ${count} endpoints evenly, with at most ${size} each`, () => {
       const endpoints = Array.from({ length: count }, (_, index) => `agent-${index}`)
       const used = new Map(endpoints.map(endpoint => [endpoint, 0]))
       for (let index = 0; index < entries; index += 1) {
--- a/packages/core/src/test/lib/once-attempt_test.ts
+++ b/packages/core/src/test/lib/once-attempt_test.ts
@@ -26,25 +26,25 @@
 
 describe('OnceAttempt', () => {
   const cases: [name: string, steps: Step[], effects: string[]][] = [
-    ['begins with an offer', [], ['send-offer']],
-    ['claims at every keeper once it has a ticket', [ready], Array.from({ length: 5 }, () => 'send-claim')],
-    ['goes on four vouches', granted, ['send-go']],
-    ['goes once, whatever comes after', [...granted, vouch('e')], []],
-    ['tries elsewhere when the offer is refused', [attempt => attempt.offered({ type: 'refused', reason: 'busy' })], ['try-elsewhere']],
-    ['tries elsewhere when the agent is away', [attempt => attempt.offered('unreachable')], ['try-elsewhere']],
-    ['does not run what was seen before', [ready, seen], [...released, 'give-up already-claimed unknown']],
-    ['is not run when keepers are silent', [ready, attempt => attempt.lost()], [...released, 'give-up no-endpoint not-run']],
-    ['asks for the fate of a go that got lost', [...granted, attempt => attempt.lost()], ['send-cancel']],
-    ['may be tried elsewhere once the ticket is known to be dead', [...granted, attempt => attempt.lost(), attempt => attempt.cancelled('never-started')], [...released, 'try-elsewhere']],
-    ['is unknown when it had started', [...granted, attempt => attempt.lost(), attempt => attempt.cancelled('started')], ['give-up outcome-unknown unknown']],
-    ['is unknown when the agent is away', [...granted, attempt => attempt.lost(), attempt => attempt.cancelled('unreachable')], ['give-up outcome-unknown unknown']],
-    ['may be tried elsewhere when the ticket is refused', [...granted, attempt => attempt.refused('ticket-expired')], [...released, 'try-elsewhere']],
-    ['has started when the agent says so', [...granted, attempt => attempt.started()], ['started']],
-    ['is not run when the endpoint was never reached', [...granted, attempt => attempt.started(), attempt => attempt.neverReached()], [...released, 'give-up engine-failed not-run']]
+    ['starts with an offer', [], ['send-offer']],
+    ['sends a claim to every keeper once it has a ticket', [ready], Array.from({ length: 5 }, () => 'send-claim')],
+    ['sends go after four confirmations', granted, ['send-go']],
+    ['sends go only once', [...granted, vouch('e')], []],
+    ['retries on another endpoint when the offer is refused', [attempt => attempt.offered({ type: 'refused', reason: 'busy' })], ['try-elsewhere']],
+    ['retries on another endpoint when the agent is unreachable', [attempt => attempt.offered('unreachable')], ['try-elsewhere']],
+    ['does not run an id that was claimed before', [ready, seen], [...released, 'give-up already-claimed unknown']],
+    ['fails as not run when keepers do not reply', [ready, attempt => attempt.lost()], [...released, 'give-up no-endpoint not-run']],
+    ['cancels the ticket when the reply to go is lost', [...granted, attempt => attempt.lost()], ['send-cancel']],
+    ['retries on another endpoint once the ticket is invalidated', [...granted, attempt => attempt.lost(), attempt => attempt.cancelled('never-started')], [...released, 'try-elsewhere']],
+    ['fails as unknown when the request had started', [...granted, attempt => attempt.lost(), attempt => attempt.cancelled('started')], ['give-up outcome-unknown unknown']],
+    ['fails as unknown when the cancel cannot be delivered', [...granted, attempt => attempt.lost(), attempt => attempt.cancelled('unreachable')], ['give-up outcome-unknown unknown']],
+    ['retries on another endpoint when the ticket is refused', [...granted, attempt => attempt.refused('ticket-expired')], [...released, 'try-elsewhere']],
+    ['has started when the agent reports the start', [...granted, attempt => attempt.started()], ['started']],
+    ['fails as not run when the endpoint was never reached', [...granted, attempt => attempt.started(), attempt => attempt.neverReached()], [...released, 'give-up engine-failed not-run']]
   ]
   for (const [name, steps, effects] of cases) it(name, () => assert.deepEqual(lastOf(steps), effects))
 
-  it('is committed from the go on', () => {
+  it('is committed once go has been sent', () => {
     const attempt = new OnceAttempt('entry-1.x:1', 'agent-9', keepers, 'body')
     attempt.begin()
     for (const step of granted.slice(0, -1)) step(attempt)
--- a/packages/core/src/test/lib/rollout_test.ts
+++ b/packages/core/src/test/lib/rollout_test.ts
@@ -16,11 +16,11 @@
 
 describe('previousWave', () => {
   const cases: [name: string, zones: number[], fraction: number, waves: number][] = [
-    ['a quarter of eight at once', [8], 0.25, 4],
-    ['at least one at once', [3], 0.25, 3],
-    ['all at once', [6], 1, 1],
-    ['zones by themselves', [4, 4, 4], 0.5, 2],
-    ['the lone workers of three zones one after the other', [1, 1, 1], 0.25, 3]
+    ['a quarter of eight concurrently', [8], 0.25, 4],
+    ['at least one at a time', [3], 0.25, 3],
+    ['all concurrently', [6], 1, 1],
+    ['each zone separately', [4, 4, 4], 0.5, 2],
+    ['the single workers of three zones one after the other', [1, 1, 1], 0.25, 3]
   ]
   for (const [name, zones, fraction, waves] of cases) {
     it(`${name}: ${waves} waves`, () => {
@@ -32,7 +32,7 @@
       assert.equal(Math.max(...members.map(member => depth(member.instance))), waves)
     })
   }
-  it('never takes all of a pool at once when it has two members or more', () => {
+  it('never switches all members of a pool with two or more members concurrently', () => {
     for (const zones of [[2], [1, 1], [2, 1], [3, 2, 1]]) {
       const members = pool(zones)
       const first = members.filter(member => previousWave(member.instance, members, 0.25, 'digest').length === 0)
@@ -43,13 +43,13 @@
 
 describe('SwitchGate', () => {
   const cases: [name: string, reports: Record<string, SwitchProgress>, at: number, decision: string][] = [
-    ['waits for all of the wave', { a: 'serving', b: 'waiting' }, 0, 'wait'],
-    ['goes when all serve', { a: 'serving', b: 'serving' }, 0, 'go'],
-    ['halts when half of the wave failed', { a: 'failed', b: 'serving' }, 0, 'halt'],
-    ['waits for a silent one at first', { a: 'serving', b: 'unreachable' }, WAVE_PATIENCE - 1, 'wait'],
-    ['goes without a silent one in the end', { a: 'serving', b: 'unreachable' }, WAVE_PATIENCE, 'go'],
-    ['goes when the whole wave is silent for long', { a: 'unreachable', b: 'unreachable' }, WAVE_PATIENCE, 'go'],
-    ['knows nothing yet', {}, 0, 'wait']
+    ['waits for every member of the wave', { a: 'serving', b: 'waiting' }, 0, 'wait'],
+    ['allows the switch when all members serve', { a: 'serving', b: 'serving' }, 0, 'go'],
+    ['halts when half of the wave has failed', { a: 'failed', b: 'serving' }, 0, 'halt'],
+    ['waits for an unreachable member at first', { a: 'serving', b: 'unreachable' }, WAVE_PATIENCE - 1, 'wait'],
+    ['stops waiting for an unreachable member after the timeout', { a: 'serving', b: 'unreachable' }, WAVE_PATIENCE, 'go'],
+    ['allows the switch when the whole wave is unreachable for the timeout', { a: 'unreachable', b: 'unreachable' }, WAVE_PATIENCE, 'go'],
+    ['waits without any reports', {}, 0, 'wait']
   ]
   for (const [name, reports, at, decision] of cases) {
     it(name, () => {
@@ -58,7 +58,7 @@
       assert.equal(gate.decide(['a', 'b'], false, at).type, decision)
     })
   }
-  it('lets an engine that serves nothing load at once', () => {
+  it('allows an engine that serves no version to load at once', () => {
     assert.equal(new SwitchGate().decide(['a'], true, 0).type, 'go')
   })
 })
--- a/packages/core/src/test/lib/sharing_test.ts
+++ b/packages/core/src/test/lib/sharing_test.ts
@@ -28,9 +28,9 @@
 
 describe('FairQueue', () => {
   const cases: [name: string, flows: [organisation: string, weight: number, count: number][], taken: Record<string, number>][] = [
-    ['equal weights share alike, however much one sends', [['a', 1, 1000], ['b', 1, 100]], { a: 50, b: 50 }],
-    ['weights are kept', [['a', 3, 1000], ['b', 1, 1000]], { a: 75, b: 25 }],
-    ['what one leaves goes to the others', [['a', 1, 1000], ['b', 1, 10]], { a: 90, b: 10 }]
+    ['gives equal weights equal shares regardless of load', [['a', 1, 1000], ['b', 1, 100]], { a: 50, b: 50 }],
+    ['shares in proportion to weights', [['a', 3, 1000], ['b', 1, 1000]], { a: 75, b: 25 }],
+    ['gives the unused share to the others', [['a', 1, 1000], ['b', 1, 10]], { a: 90, b: 10 }]
   ]
   for (const [name, flows, taken] of cases) {
     it(name, () => {
@@ -40,7 +40,7 @@
       for (const [organisation, count] of Object.entries(taken)) assert.ok(Math.abs((result.get(organisation) ?? 0) - count) <= 1, JSON.stringify([...result]))
     })
   }
-  it('gives one who comes late no credit for the time before', () => {
+  it('gives no credit to an organisation for the time before its first request', () => {
     const queue = new FairQueue<number>()
     fill(queue, 'a', 1, 500)
     takeMany(queue, 200)
@@ -48,21 +48,21 @@
     const result = takeMany(queue, 100)
     assert.ok(Math.abs((result.get('b') ?? 0) - 50) <= 1)
   })
-  it('lets batch through beside interactive, at a smaller share', () => {
+  it('serves batch alongside interactive with a smaller share', () => {
     const queue = new FairQueue<number>()
     fill(queue, 'a', 1, 200, 'interactive')
     fill(queue, 'a', 1, 200, 'batch')
     const classes = Array.from({ length: 100 }, () => queue.take()?.requestClass)
     assert.ok(Math.abs(classes.filter(taken => taken === 'batch').length - 20) <= 1)
   })
-  it('passes over those who are not ready, and keeps their place', () => {
+  it('skips organisations that are not ready and keeps their position', () => {
     const queue = new FairQueue<number>()
     fill(queue, 'a', 1, 1)
     fill(queue, 'b', 1, 1)
     assert.equal(queue.take(organisation => organisation !== 'a')?.organisation, 'b')
     assert.equal(queue.take()?.organisation, 'a')
   })
-  it('gives up what is past its deadline, and removes what is gone', () => {
+  it('expires requests past their deadline and removes cancelled ones', () => {
     const queue = new FairQueue<number>()
     const gone = queue.add(1, { organisation: 'a', requestClass: 'batch', weight: 1, now: 0, deadline: 50 })
     queue.add(2, { organisation: 'a', requestClass: 'batch', weight: 1, now: 0, deadline: 60 })
@@ -75,7 +75,7 @@
 })
 
 describe('RetryBudget', () => {
-  it('adds at most a tenth of load, beyond its reserve', () => {
+  it('adds at most a tenth of the load beyond its reserve', () => {
     const budget = new RetryBudget()
     let retries = 0
     for (let request = 0; request < 1000; request += 1) {
@@ -88,7 +88,7 @@
 })
 
 describe('ConcurrencyLimit', () => {
-  it('allows all that it can see until an endpoint says that it is busy', () => {
+  it('allows all visible slots until an endpoint refuses as busy', () => {
     const limit = new ConcurrencyLimit(1, 8)
     assert.equal(limit.limit, 8)
     limit.setMost(100)
@@ -97,7 +97,7 @@
     limit.setMost(200)
     assert.equal(limit.limit, 85)
   })
-  it('falls once for one burst of refusals and rises while it is used', () => {
+  it('decreases once per burst of refusals and increases while it is used', () => {
     const limit = new ConcurrencyLimit(1, 100)
     for (let index = 0; index < 20; index += 1) limit.refused(1000 + index)
     assert.equal(limit.limit, 85)
@@ -106,7 +106,7 @@
     limit.setMost(10)
     assert.equal(limit.limit, 10)
   })
-  it('learns nothing while idle, and never closes', () => {
+  it('does not increase while idle and never falls below its minimum', () => {
     const limit = new ConcurrencyLimit(2, 40)
     limit.refused(0)
     const before = limit.limit
@@ -118,19 +118,19 @@
 })
 
 describe('TokenBucket', () => {
-  it('may be overdrawn, and says how long until it is level', () => {
+  it('can be overdrawn and returns the time until the balance recovers', () => {
     const bucket = new TokenBucket(1000, 100, 0)
     bucket.spend(600, 0)
     assert.equal(bucket.wait(0), 500)
     assert.equal(bucket.trySpend(1, 400), false)
     assert.equal(bucket.wait(500), 0)
-    assert.equal(bucket.trySpend(100, 5_000), true, 'no more than the burst is saved')
+    assert.equal(bucket.trySpend(100, 5_000), true, 'the balance is limited to the burst')
     assert.equal(bucket.trySpend(1, 5_000), false)
   })
 })
 
 describe('LinkPacer', () => {
-  it('keeps transfers to the rate, and lets live answers take from it', () => {
+  it('limits transfers to the rate that live answers leave', () => {
     const rate = 1_000_000
     const sentWithin = (live: number): number => {
       const pacer = new LinkPacer(rate, 0)
@@ -145,7 +145,7 @@
     assert.ok(Math.abs(sentWithin(rate * 0.4) - rate * 0.6) < rate * 0.05)
     assert.ok(sentWithin(rate * 2) < rate * 0.05)
   })
-  it('yields while answers pile up and recovers after', () => {
+  it('reduces the share while answers queue up and restores it afterwards', () => {
     const pacer = new LinkPacer(1000, 0)
     for (let now = 0; now < 2_000; now += 100) pacer.adapt(true, now)
     assert.equal(pacer.share, 0.1)
--- a/packages/core/src/test/lib/spread_test.ts
+++ b/packages/core/src/test/lib/spread_test.ts
@@ -18,7 +18,7 @@
   return new Spread({ ...record, seeds, source: 's' }, () => 0.5, 0)
 }
 
-/** A process that has no peers to ask, and so believes the service from the start. */
+/** Returns a process without seeds, which therefore ends its join phase at the first tick. */
 function processOf (index: number): Spread {
   const spread = starting(index, [])
   spread.tick(-1)
@@ -32,44 +32,44 @@
 const types = (effects: readonly SpreadEffect[]): string[] => effects.map(effect => effect.type)
 
 describe('Spread', () => {
-  it('reads the service at the start, and asks a seed', () => {
+  it('reads the service and queries its seeds at the start', () => {
     const effects = starting(3).tick(500)
     assert.deepEqual(types(effects).sort(), ['compare', 'compare', 'read-service', 'read-service'])
   })
 
   const joins: [name: string, act: (spread: Spread) => void, revision: number][] = [
-    ['waits for peers before it believes the service', () => {}, 0],
-    ['believes a peer that knows better than a stale service', spread => {
+    ['waits for peers before it adopts a document of the service', () => {}, 0],
+    ['prefers the newer document of a peer to that of a stale service', spread => {
       const peer = processOf(1)
       publish(peer, 'configuration', 9)
       spread.received(peer.compared(spread.note(0), 0).reply, 'compared', 0)
       spread.answered('10.0.0.0:1', peer.note(0), 0)
       spread.unanswered('10.0.0.29:1', 0)
     }, 9],
-    ['takes the newest valid one when the newest is not', spread => {
+    ['adopts the newest valid document when the newest is invalid', spread => {
       const say = (revision: number, document: unknown): void => { spread.received({ documents: [{ topic: 'configuration', published: { source: 's', revision, document } }], ages: starting(1).note(0).ages }, 'pushed', 0) }
       say(9, empty)
       say(11, { pools: 1 })
       spread.tick(defaultSpreadPolicy.joinPatience)
     }, 9],
-    ['takes the newest of what peers say, not the first', spread => {
+    ['adopts the newest document received from peers, not the first', spread => {
       for (const revision of [5, 9, 7]) spread.received({ documents: [{ topic: 'configuration', published: { source: 's', revision, document: empty } }], ages: starting(1).note(0).ages }, 'pushed', 0)
       spread.tick(defaultSpreadPolicy.joinPatience)
     }, 9],
-    ['believes the service when peers know nothing', spread => {
+    ['adopts the document of the service when peers hold none', spread => {
       spread.answered('10.0.0.0:1', starting(1).note(0), 0)
       spread.answered('10.0.0.29:1', starting(2).note(0), 0)
     }, 3],
-    ['believes the service when peers are away', spread => {
+    ['adopts the document of the service when peers are unreachable', spread => {
       spread.unanswered('10.0.0.0:1', 0)
       spread.unanswered('10.0.0.29:1', 0)
     }, 3],
-    ['does not take the answers of others for those that it asked', spread => {
+    ['ignores answers of peers that it did not query', spread => {
       spread.answered('10.0.0.7:1', starting(7).note(0), 0)
       spread.answered('10.0.0.8:1', starting(8).note(0), 0)
     }, 0],
-    ['waits for all that it asked', spread => { spread.unanswered('10.0.0.0:1', 0) }, 0],
-    ['believes the service when peers are silent for long', spread => { spread.tick(defaultSpreadPolicy.joinPatience) }, 3]
+    ['waits for all queried peers', spread => { spread.unanswered('10.0.0.0:1', 0) }, 0],
+    ['adopts the document of the service when the join timeout expires', spread => { spread.tick(defaultSpreadPolicy.joinPatience) }, 3]
   ]
   for (const [name, act, revision] of joins) {
     it(`at its start, ${name}`, () => {
@@ -81,7 +81,7 @@
     })
   }
 
-  it('has two watchers in each zone, and only they go on reading', () => {
+  it('has two watchers per zone, and only they continue to read', () => {
     const spreads = records.map((_, index) => processOf(index))
     for (const spread of spreads) publish(spread, 'instances', 1)
     assert.equal(spreads.filter(spread => spread.isWatcher()).length, 6)
@@ -92,17 +92,17 @@
     }
   })
 
-  it('reaches all of a zone by pushes from its first watcher', () => {
+  it('reaches every member of a zone by pushes from its first watcher', () => {
     const spreads = new Map(records.map((record, index) => [record.address, processOf(index)]))
     for (const spread of spreads.values()) publish(spread, 'instances', 1)
     for (const zone of ['zone-0', 'zone-1', 'zone-2']) {
       const members = records.filter(record => record.availabilityZone === zone)
       const pushes = members.map(record => publish(spreads.get(record.address) as Spread, 'configuration', 1).filter(effect => effect.type === 'push').length)
-      assert.equal(pushes.reduce((sum, count) => sum + count, 0), members.length - 1, 'a tree has one edge less than members')
+      assert.equal(pushes.reduce((sum, count) => sum + count, 0), members.length - 1, 'a tree has one edge fewer than it has members')
     }
   })
 
-  it('gives a peer what it lacks, and asks back when it is behind', () => {
+  it('sends a peer the documents it lacks and reports whether it is behind', () => {
     const [ahead, behind] = [processOf(0), processOf(1)]
     publish(ahead, 'configuration', 7)
     const answer = ahead.compared(behind.note(0), 0)
@@ -113,7 +113,7 @@
     assert.equal(behind.revision('configuration'), 7)
   })
 
-  it('tells the first of its zone what came past the tree', () => {
+  it('pushes a document that bypassed the tree to the first member of its zone', () => {
     const spreads = records.map((_, index) => processOf(index))
     for (const spread of spreads) publish(spread, 'instances', 1)
     const ahead = spreads[1] as Spread
@@ -129,10 +129,10 @@
   const refusals: [name: string, revision: number, document: unknown, source: string][] = [
     ['a stale revision', 3, empty, 's'],
     ['an invalid document', 9, { pools: 1 }, 's'],
-    ['another source', 9, empty, 't']
+    ['a document of another source', 9, empty, 't']
   ]
   for (const [name, revision, document, source] of refusals) {
-    it(`keeps what it has against ${name}`, () => {
+    it(`keeps its document when it receives ${name}`, () => {
       const spread = processOf(0)
       publish(spread, 'configuration', 7)
       spread.serviceAnswered('configuration', { source, revision, document }, 10)
@@ -140,7 +140,7 @@
     })
   }
 
-  it('does not take a stale service for a living one', () => {
+  it('does not count a stale answer as a confirmation by the service', () => {
     const spread = processOf(0)
     publish(spread, 'configuration', 7, 0)
     publish(spread, 'configuration', 3, 1_000)
@@ -149,7 +149,7 @@
     assert.equal(spread.age('configuration', 2_000), 500)
   })
 
-  it('hears at second hand that the service is well, from peers that hold as much', () => {
+  it('adopts a confirmation by the service from a peer with the same revision', () => {
     const [watcher, other] = [processOf(0), processOf(1)]
     publish(watcher, 'configuration', 7, 4_000)
     publish(other, 'configuration', 7, 0)
@@ -158,7 +158,7 @@
     assert.equal(other.age('configuration', 5_000), 1_000)
   })
 
-  it('turns to the service itself when it hears nothing, and backs off when that is away', () => {
+  it('reads the service itself without a confirmation and backs off while it is unreachable', () => {
     const spread = records.map((_, index) => processOf(index)).find(candidate => {
       publish(candidate, 'instances', 1)
       publish(candidate, 'configuration', 1)
--- a/packages/core/src/test/lib/transfer_test.ts
+++ b/packages/core/src/test/lib/transfer_test.ts
@@ -23,7 +23,7 @@
   return effects.filter((effect): effect is Fetch => effect.type === 'fetch')
 }
 
-/** Runs a transfer to its end; `answer` says what becomes of each fetch. */
+/** Runs a transfer until it is complete or `until` is reached; `answer` returns the outcome of each fetch. */
 function play (transfer: Transfer, answer: (fetch: Fetch, now: number) => FetchProblem | 'good' | 'silence', until = 60_000): { whole: boolean, fetched: Fetch[], took: number } {
   const fetched: Fetch[] = []
   let open: Fetch[] = []
@@ -49,40 +49,40 @@
 }
 
 describe('Transfer', () => {
-  it('keeps to its window and asks its parent first', () => {
+  it('fills its window and fetches from a peer or the origin first', () => {
     const effects = fetches(start().tick(0))
     assert.equal(effects.length, 3)
     assert.ok(effects.every(fetch => fetch.source.kind === 'peer' || fetch.source.kind === 'origin'))
   })
 
-  it('fetches each chunk once when nothing fails', () => {
+  it('fetches each chunk once without failures', () => {
     const { whole, fetched } = play(start(), () => 'good')
     assert.ok(whole)
     assert.equal(fetched.length, manifest.chunks.length)
   })
 
-  it('does not fetch what is held already', () => {
+  it('does not fetch chunks that are already held', () => {
     const { whole, fetched } = play(start(['d0', 'd3', 'd7']), () => 'good')
     assert.ok(whole)
     assert.deepEqual(fetched.map(fetch => fetch.digest).sort(), ['d1', 'd2', 'd4', 'd5', 'd6'])
   })
 
   const troubles: [name: string, answer: (fetch: Fetch, now: number) => FetchProblem | 'good' | 'silence'][] = [
-    ['all peers are dead', fetch => fetch.source.kind === 'peer' ? 'unreachable' : 'good'],
-    ['all peers hold nothing', fetch => fetch.source.kind === 'peer' ? 'not-held' : 'good'],
-    ['all peers have stalled', fetch => fetch.source.kind === 'peer' ? 'silence' : 'good'],
-    ['all peers corrupt what they send', fetch => fetch.source.kind === 'peer' ? 'corrupt' : 'good'],
-    ['the origin is away and the store has it', fetch => fetch.source.kind === 'origin' ? 'not-held' : 'good'],
-    ['one peer corrupts', fetch => fetch.source.kind === 'peer' && fetch.source.instance === 'agent-1' ? 'corrupt' : 'good'],
-    ['everything is away for 20 s', (_fetch, now) => now < 20_000 ? 'unreachable' : 'good']
+    ['all peers are unreachable', fetch => fetch.source.kind === 'peer' ? 'unreachable' : 'good'],
+    ['no peer holds a chunk', fetch => fetch.source.kind === 'peer' ? 'not-held' : 'good'],
+    ['all peers stall', fetch => fetch.source.kind === 'peer' ? 'silence' : 'good'],
+    ['all peers send corrupt chunks', fetch => fetch.source.kind === 'peer' ? 'corrupt' : 'good'],
+    ['the origin has no chunk and the store does', fetch => fetch.source.kind === 'origin' ? 'not-held' : 'good'],
+    ['one peer sends corrupt chunks', fetch => fetch.source.kind === 'peer' && fetch.source.instance === 'agent-1' ? 'corrupt' : 'good'],
+    ['all sources are unreachable for 20 s', (_fetch, now) => now < 20_000 ? 'unreachable' : 'good']
   ]
   for (const [name, answer] of troubles) {
-    it(`becomes whole though ${name}`, () => {
+    it(`completes although ${name}`, () => {
       assert.ok(play(start(), answer).whole)
     })
   }
 
-  it('passes a failed peer over, with all that was asked of it', () => {
+  it('skips a failed peer and abandons its other fetches', () => {
     const transfer = start([], 8)
     const asked = fetches(transfer.tick(0)).filter(fetch => fetch.source.kind === 'peer')
     const first = asked[0] as Fetch
@@ -93,7 +93,7 @@
     assert.ok(fetches(effects).every(fetch => JSON.stringify(fetch.source) !== JSON.stringify(first.source)))
   })
 
-  it('takes a sign that a chunk is coming for life, and its absence for a stall', () => {
+  it('extends the timeout on progress signals and abandons the fetch without them', () => {
     const outcomes = [true, false].map(signs => {
       const transfer = start([], 1)
       const [fetch] = fetches(transfer.tick(0))
@@ -106,7 +106,7 @@
     assert.deepEqual(outcomes, ['waiting', 'abandoned'])
   })
 
-  it('goes to the origin in the order of ranks when its parents are lost, not all at once', () => {
+  it('staggers reads from the origin by rank when all peers are unreachable', () => {
     const times = members.map(member => {
       const transfer = new Transfer(member, members, 'manifest', manifest, new Set(['d1', 'd2', 'd3', 'd4', 'd5', 'd6', 'd7']), defaultTransferPolicy)
       return play(transfer, fetch => fetch.source.kind === 'peer' ? 'unreachable' : 'good').took
@@ -114,12 +114,12 @@
     assert.ok(new Set(times).size >= 3, `ended at ${times.join(', ')}`)
   })
 
-  it('ends at once when its version is not wanted any more', () => {
+  it('abandons all fetches when cancelled', () => {
     const transfer = start()
     const asked = fetches(transfer.tick(0))
     const effects = transfer.cancel()
     assert.deepEqual(effects.map(effect => effect.type), asked.map(() => 'abandon'))
     assert.deepEqual(transfer.tick(100), [])
-    assert.deepEqual(transfer.arrived(asked[0]?.attempt ?? 0, 100), [], 'a late chunk changes nothing')
+    assert.deepEqual(transfer.arrived(asked[0]?.attempt ?? 0, 100), [], 'a late chunk is ignored')
   })
 })
