--- a/packages/core/src/lib/admission.ts
+++ b/packages/core/src/lib/admission.ts
@@ -33,14 +33,14 @@
 }
 
 /** How long a ticket is valid, by the agent's own clock, in milliseconds. */
-export const TICKET_LIFETIME = 2_000
+export const TICKET_LIFETIME_MILLISECONDS = 2_000
 /** How long the state of a ticket is kept after it expires, in milliseconds. */
-const TICKET_MEMORY = 30_000
+const TICKET_RETENTION_MILLISECONDS = 30_000
 /** The maximum number of tickets kept. At the bound, offers are refused as busy. */
-const TICKET_LIMIT = 8_192
+const MAX_TICKETS = 8_192
 
 /** The refusal reason for an endpoint that asked not to receive requests. */
-const refusalsOfSpared: Record<SparedFor, AdmissionRefusal> = { leaving: 'leaving', limited: 'busy', resting: 'busy' }
+const refusalsBySparedReason: Record<SparedFor, AdmissionRefusal> = { leaving: 'leaving', limited: 'busy', resting: 'busy' }
 
 /** The admission control of one agent. */
 export class AdmissionDoor {
@@ -87,42 +87,42 @@
    * Issues a ticket for a request that must not be repeated.
    *
    * @example
-   * const reply = door.offer(now) // { type: 'ready', ticket: 'agent-1.x:1' }
+   * const reply = admission.offer(now) // { type: 'ready', ticket: 'agent-1.x:1' }
    */
   offer (now: number): OfferReply {
-    this._forget(now)
-    const reason = this._refusal(now)
+    this._deleteExpired(now)
+    const reason = this._refusalReason(now)
     if (reason !== undefined) return { type: 'refused', reason }
-    if (this._tickets.size >= TICKET_LIMIT) return { type: 'refused', reason: 'busy' }
+    if (this._tickets.size >= MAX_TICKETS) return { type: 'refused', reason: 'busy' }
     const ticket = `${this.incarnation}:${this._nextTicket++}`
-    this._tickets.set(ticket, { state: 'offered', expiresAt: now + TICKET_LIFETIME })
+    this._tickets.set(ticket, { state: 'offered', expiresAt: now + TICKET_LIFETIME_MILLISECONDS })
     return { type: 'ready', ticket }
   }
 
   /** Redeems a ticket. Only a valid, unused ticket of this incarnation is admitted. */
   go (ticket: string, now: number): Admission {
-    const known = this._tickets.get(ticket)
-    if (known === undefined || known.state !== 'offered') return { type: 'refused', reason: 'ticket-unknown' }
-    if (known.expiresAt <= now) return this._kill(known, 'ticket-expired')
-    const reason = this._refusal(now)
-    if (reason !== undefined) return this._kill(known, reason)
-    known.state = 'started'
+    const record = this._tickets.get(ticket)
+    if (record === undefined || record.state !== 'offered') return { type: 'refused', reason: 'ticket-unknown' }
+    if (record.expiresAt <= now) return this._invalidate(record, 'ticket-expired')
+    const reason = this._refusalReason(now)
+    if (reason !== undefined) return this._invalidate(record, reason)
+    record.state = 'started'
     return this._start(now)
   }
 
   /** Starts a request that may be repeated. */
   run (now: number): Admission {
-    const reason = this._refusal(now)
+    const reason = this._refusalReason(now)
     if (reason !== undefined) return { type: 'refused', reason }
     return this._start(now)
   }
 
   /** Returns the state of a ticket and invalidates it if it has not been used. */
   cancel (ticket: string): CancelReply {
-    const known = this._tickets.get(ticket)
-    if (known === undefined) return 'unknown'
-    if (known.state === 'started') return 'started'
-    known.state = 'dead'
+    const record = this._tickets.get(ticket)
+    if (record === undefined) return 'unknown'
+    if (record.state === 'started') return 'started'
+    record.state = 'dead'
     return 'never-started'
   }
 
@@ -136,23 +136,23 @@
     return { type: 'admitted', run }
   }
 
-  private _kill (ticket: Ticket, reason: AdmissionRefusal): Admission {
+  private _invalidate (ticket: Ticket, reason: AdmissionRefusal): Admission {
     ticket.state = 'dead'
     return { type: 'refused', reason }
   }
 
-  private _refusal (now: number): AdmissionRefusal | undefined {
+  private _refusalReason (now: number): AdmissionRefusal | undefined {
     if (this._lifecycle !== 'serving') return 'leaving'
     if (this._switching) return 'switching'
     if (!this._serving) return 'not-serving'
     if (this._runs.size >= this._slots) return 'busy'
-    const spared = this._gate.sparedFor(this._endpoint, now)
-    return spared === undefined ? undefined : refusalsOfSpared[spared]
+    const sparedFor = this._gate.sparedFor(this._endpoint, now)
+    return sparedFor === undefined ? undefined : refusalsBySparedReason[sparedFor]
   }
 
-  private _forget (now: number): void {
+  private _deleteExpired (now: number): void {
     for (const [name, ticket] of this._tickets) {
-      if (ticket.expiresAt + TICKET_MEMORY > now) break
+      if (ticket.expiresAt + TICKET_RETENTION_MILLISECONDS > now) break
       this._tickets.delete(name)
     }
   }
--- a/packages/core/src/lib/answer-stream.ts
+++ b/packages/core/src/lib/answer-stream.ts
@@ -15,7 +15,7 @@
 }
 
 /** The maximum number of frames buffered behind a missing one. A larger gap is a fault of the sender. */
-const LARGEST_GAP = 1_024
+const MAX_GAP = 1_024
 
 /** The result of adding a frame: the parts that can now be delivered, or a protocol violation. */
 export type AnswerProgress<Data> =
@@ -24,15 +24,15 @@
 
 /** Reassembles the answer of one attempt. */
 export class AnswerStream<Data> {
-  private readonly _early = new Map<number, Data>()
-  private _next = 0
-  private _count: number | undefined
+  private readonly _buffered = new Map<number, Data>()
+  private _nextSequence = 0
+  private _totalParts: number | undefined
 
   /** Whether the complete answer has been delivered. */
-  get whole (): boolean { return this._count === this._next }
+  get whole (): boolean { return this._totalParts === this._nextSequence }
 
   /** Whether any part has been delivered. */
-  get started (): boolean { return this._next > 0 }
+  get started (): boolean { return this._nextSequence > 0 }
 
   /**
    * Adds a part and returns the parts that are now in sequence.
@@ -41,27 +41,27 @@
    * const progress = stream.part({ sequence: 0, data: 'Nam' })
    */
   part (part: AnswerPart<Data>): AnswerProgress<Data> {
-    const beyond = this._count !== undefined && part.sequence >= this._count
-    if (beyond || part.sequence >= this._next + LARGEST_GAP) return { type: 'broken', detail: `part ${part.sequence} is out of range` }
-    if (part.sequence >= this._next) this._early.set(part.sequence, part.data)
-    return this._pass()
+    const beyond = this._totalParts !== undefined && part.sequence >= this._totalParts
+    if (beyond || part.sequence >= this._nextSequence + MAX_GAP) return { type: 'broken', detail: `part ${part.sequence} is out of range` }
+    if (part.sequence >= this._nextSequence) this._buffered.set(part.sequence, part.data)
+    return this._deliver()
   }
 
   /** Adds the end frame, which carries the total number of parts. */
   end (count: number): AnswerProgress<Data> {
-    const disagrees = this._count !== undefined && this._count !== count
-    if (disagrees || count < this._next) return { type: 'broken', detail: `part count ${count} of the end frame does not match the parts received` }
-    this._count = count
-    return this._pass()
+    const disagrees = this._totalParts !== undefined && this._totalParts !== count
+    if (disagrees || count < this._nextSequence) return { type: 'broken', detail: `part count ${count} of the end frame does not match the parts received` }
+    this._totalParts = count
+    return this._deliver()
   }
 
-  private _pass (): AnswerProgress<Data> {
+  private _deliver (): AnswerProgress<Data> {
     const data: Data[] = []
     for (;;) {
-      const part = this._early.get(this._next)
+      const part = this._buffered.get(this._nextSequence)
       if (part === undefined) break
-      this._early.delete(this._next)
-      this._next += 1
+      this._buffered.delete(this._nextSequence)
+      this._nextSequence += 1
       data.push(part)
     }
     return { type: 'parts', data, whole: this.whole }
--- a/packages/core/src/lib/chunk-tree.ts
+++ b/packages/core/src/lib/chunk-tree.ts
@@ -30,26 +30,26 @@
 }
 
 /** The position of a member in the tree of one chunk. */
-export interface ChunkPlace {
+export interface ChunkPosition {
   /** Ancestors, nearest first; empty for a member that reads from the origin. */
   readonly ancestors: readonly string[]
   /** Fallback members if all ancestors fail; they read from the origin before this member does. */
-  readonly substitutes: readonly string[]
+  readonly fallbacks: readonly string[]
   /** The number of members before this one in its zone, which determines how long it waits before it reads from the origin. */
   readonly rank: number
 }
 
 const FAN_OUT = 2
-const SUBSTITUTES = 2
+const MAX_FALLBACKS = 2
 
-type Orderer = (ring: readonly string[], chunk: number, chunkDigest: string) => readonly string[]
+type MemberOrder = (ring: readonly string[], chunk: number, chunkDigest: string) => readonly string[]
 
 function rotate (ring: readonly string[], start: number): readonly string[] {
   const offset = start % ring.length
   return [...ring.slice(offset), ...ring.slice(0, offset)]
 }
 
-const orderers: Record<SpreadStrategy, Orderer> = {
+const memberOrders: Record<SpreadStrategy, MemberOrder> = {
   rotation: (ring, chunk) => rotate(ring, Math.floor(chunk * ring.length / FAN_OUT) + Math.floor(chunk / FAN_OUT)),
   rendezvous: (ring, _chunk, chunkDigest) => rendezvousOrder(ring, chunkDigest),
   tree: ring => ring,
@@ -88,24 +88,24 @@
    * Returns the position of the local member in the tree of one chunk.
    *
    * @example
-   * tree.place(0, manifest.chunks[0].digest) // { ancestors: ['agent-3', 'agent-1'], rank: 4 }
+   * tree.position(0, manifest.chunks[0].digest) // { ancestors: ['agent-3', 'agent-1'], fallbacks: [], rank: 4 }
    */
-  place (chunk: number, chunkDigest: string): ChunkPlace {
-    if (this.strategy === 'origin') return { ancestors: [], substitutes: [], rank: 0 }
-    const ordered = orderers[this.strategy](this._rings[this._ownRing] ?? [], chunk, chunkDigest)
+  position (chunk: number, chunkDigest: string): ChunkPosition {
+    if (this.strategy === 'origin') return { ancestors: [], fallbacks: [], rank: 0 }
+    const ordered = memberOrders[this.strategy](this._rings[this._ownRing] ?? [], chunk, chunkDigest)
     const rank = ordered.indexOf(this.self.instance)
     const zoneRank = this._zoneRank(this._ownRing, chunk)
-    const copiesHere = this._copiesInZone(zoneRank)
+    const zoneCopies = this._copiesInZone(zoneRank)
     const ancestors: string[] = []
     let at = rank
-    while (at >= Math.max(1, copiesHere)) {
-      at = parentOf(at, copiesHere)
+    while (at >= Math.max(1, zoneCopies)) {
+      at = parentOf(at, zoneCopies)
       ancestors.push(ordered[at] ?? '')
     }
-    if (copiesHere === 0) ancestors.push(...this._headAncestors(zoneRank, chunk, chunkDigest))
-    const next = copiesHere === 0 ? this._ordered(0, chunk, chunkDigest) : ordered.slice(0, rank)
-    const substitutes = next.slice(1, 1 + SUBSTITUTES).filter(instance => !ancestors.includes(instance))
-    return { ancestors, substitutes, rank }
+    if (zoneCopies === 0) ancestors.push(...this._zoneAncestors(zoneRank, chunk, chunkDigest))
+    const next = zoneCopies === 0 ? this._ordered(0, chunk, chunkDigest) : ordered.slice(0, rank)
+    const fallbacks = next.slice(1, 1 + MAX_FALLBACKS).filter(instance => !ancestors.includes(instance))
+    return { ancestors, fallbacks, rank }
   }
 
   /** The other members of the local member's zone, used as alternative sources. */
@@ -127,17 +127,17 @@
   }
 
   /** The first members of the zones above this one, up to a zone that reads from the origin. */
-  private _headAncestors (zoneRank: number, chunk: number, chunkDigest: string): string[] {
+  private _zoneAncestors (zoneRank: number, chunk: number, chunkDigest: string): string[] {
     const heads: string[] = []
     let at = zoneRank
     while (this._copiesInZone(at) === 0) {
       at = Math.floor((at - 1) / FAN_OUT)
-      heads.push(this._head(at, chunk, chunkDigest))
+      heads.push(this._firstMember(at, chunk, chunkDigest))
     }
     return heads
   }
 
-  private _head (zoneRank: number, chunk: number, chunkDigest: string): string {
+  private _firstMember (zoneRank: number, chunk: number, chunkDigest: string): string {
     return this._ordered(zoneRank, chunk, chunkDigest)[0] ?? ''
   }
 
@@ -145,7 +145,7 @@
   private _ordered (zoneRank: number, chunk: number, chunkDigest: string): readonly string[] {
     const count = this._rings.length
     const ring = (zoneRank + (this.strategy === 'tree' ? 0 : chunk % count)) % count
-    return orderers[this.strategy](this._rings[ring] ?? [], chunk, chunkDigest)
+    return memberOrders[this.strategy](this._rings[ring] ?? [], chunk, chunkDigest)
   }
 }
 
--- a/packages/core/src/lib/claims.ts
+++ b/packages/core/src/lib/claims.ts
@@ -50,7 +50,7 @@
   const issued = parseIssuedId(id)
   if (issued !== undefined) return { instances: issued.map(keeper => keeper.instance), needed: majority(issued.length) }
   const instances = rendezvousTop(agents, `${organisation}\n${id}`, KEEPER_COUNT)
-  return { instances, needed: neededVouches(instances.length) }
+  return { instances, needed: requiredConfirmations(instances.length) }
 }
 
 /** The smallest number of keepers such that any two subsets of that size intersect. */
@@ -65,7 +65,7 @@
  * @example
  * neededVouches(5) // 4
  */
-export function neededVouches (keepers: number): number {
+export function requiredConfirmations (keepers: number): number {
   return keepers >= 4 ? keepers - 1 : Math.max(1, keepers)
 }
 
@@ -115,14 +115,14 @@
    * keeper.claim('hall-1', 'notice-42', 'entry-1:7', bodyDigest, now)
    */
   claim (organisation: string, id: string, attempt: string, bodyDigest: string, now: number): ClaimReply {
-    const records = this._fresh(organisation, now)
-    const known = records.get(id)
-    if (known !== undefined && known.attempt !== attempt) return { type: 'seen', attempt: known.attempt, bodyDigest: known.bodyDigest }
-    if (known === undefined && records.size >= this._policy.recordsPerOrganisation) return { type: 'full' }
-    if (known === undefined) records.set(id, { attempt, bodyDigest, at: now })
+    const records = this._unexpiredRecords(organisation, now)
+    const existing = records.get(id)
+    if (existing !== undefined && existing.attempt !== attempt) return { type: 'seen', attempt: existing.attempt, bodyDigest: existing.bodyDigest }
+    if (existing === undefined && records.size >= this._policy.recordsPerOrganisation) return { type: 'full' }
+    if (existing === undefined) records.set(id, { attempt, bodyDigest, at: now })
     const issued = parseIssuedId(id)
-    if (issued !== undefined) return this._vouchIssued(issued, now)
-    const wait = this._youngFor(now)
+    if (issued !== undefined) return this._confirmIssued(issued, now)
+    const wait = this._remainingWait(now)
     return wait > 0 ? { type: 'young', wait } : { type: 'vouched' }
   }
 
@@ -134,20 +134,20 @@
   }
 
   /** Confirms an issued id only within the repeat window, since records are deleted after it. */
-  private _vouchIssued (issued: readonly IssuedKeeper[], now: number): ClaimReply {
+  private _confirmIssued (issued: readonly IssuedKeeper[], now: number): ClaimReply {
     const own = issued.find(keeper => keeper.incarnation === this.incarnation)
     if (own === undefined) return { type: 'stranger' }
     const age = now - own.at
     return age >= -1 && age < this._policy.repeatWindow ? { type: 'vouched' } : { type: 'stranger' }
   }
 
-  private _youngFor (now: number): number {
+  private _remainingWait (now: number): number {
     if (this._listedSince === undefined) return this._policy.repeatWindow
     return Math.max(0, this._listedSince + this._policy.repeatWindow - now)
   }
 
   /** The records of an organisation, after deleting expired ones. Maps keep insertion order, so the oldest come first. */
-  private _fresh (organisation: string, now: number): Map<string, ClaimRecord> {
+  private _unexpiredRecords (organisation: string, now: number): Map<string, ClaimRecord> {
     const records = this._records.get(organisation) ?? new Map<string, ClaimRecord>()
     this._records.set(organisation, records)
     for (const [id, record] of records) {
--- a/packages/core/src/lib/concurrency-limit.ts
+++ b/packages/core/src/lib/concurrency-limit.ts
@@ -10,10 +10,10 @@
  * sudden burst must not wait for the limit to grow, and endpoints refuse any excess themselves.
  */
 
-const INCREASE = 1
-const DECREASE = 0.85
+const INCREASE_STEP = 1
+const DECREASE_FACTOR = 0.85
 /** The least time between two decreases, in milliseconds, so that a burst of refusals counts as one signal. */
-const DECREASE_PAUSE = 100
+const DECREASE_INTERVAL_MILLISECONDS = 100
 
 /** The concurrency limit for one group of endpoints. */
 export class ConcurrencyLimit {
@@ -23,11 +23,11 @@
   private _refused = false
 
   /**
-   * @param _least The lower bound of the limit.
-   * @param _most The upper bound of the limit: the slots of all endpoints visible to the entry.
+   * @param _minimum The lower bound of the limit.
+   * @param _maximum The upper bound of the limit: the slots of all endpoints visible to the entry.
    */
-  constructor (private readonly _least: number, private _most: number) {
-    this._limit = Math.max(_least, _most)
+  constructor (private readonly _minimum: number, private _maximum: number) {
+    this._limit = Math.max(_minimum, _maximum)
   }
 
   /** The number of requests that may run concurrently. */
@@ -35,14 +35,14 @@
 
   /** Sets the upper bound: the total number of slots. */
   setMost (most: number): void {
-    this._most = Math.max(this._least, most)
-    this._limit = this._refused ? Math.min(this._limit, this._most) : this._most
+    this._maximum = Math.max(this._minimum, most)
+    this._limit = this._refused ? Math.min(this._limit, this._maximum) : this._maximum
   }
 
   /** Records a success while `running` requests were in flight. It is ignored well below the limit, where it says nothing about capacity. */
   succeeded (running: number): void {
     if (running * 1.25 < this._limit) return
-    this._limit = Math.min(this._most, this._limit + INCREASE / this._limit)
+    this._limit = Math.min(this._maximum, this._limit + INCREASE_STEP / this._limit)
   }
 
   /**
@@ -52,9 +52,9 @@
    * limit.refused(now)
    */
   refused (now: number): void {
-    if (now - this._decreasedAt < DECREASE_PAUSE) return
+    if (now - this._decreasedAt < DECREASE_INTERVAL_MILLISECONDS) return
     this._decreasedAt = now
     this._refused = true
-    this._limit = Math.max(this._least, this._limit * DECREASE)
+    this._limit = Math.max(this._minimum, this._limit * DECREASE_FACTOR)
   }
 }
--- a/packages/core/src/lib/documents.ts
+++ b/packages/core/src/lib/documents.ts
@@ -12,7 +12,7 @@
 
 const name = valibot.pipe(valibot.string(), valibot.regex(/^[a-z0-9][a-z0-9._-]{0,62}$/i))
 const digest = valibot.pipe(valibot.string(), valibot.regex(/^[0-9a-f]{64}$/))
-const positive = valibot.pipe(valibot.number(), valibot.integer(), valibot.minValue(1))
+const positiveInteger = valibot.pipe(valibot.number(), valibot.integer(), valibot.minValue(1))
 const fraction = valibot.pipe(valibot.number(), valibot.minValue(0.01), valibot.maxValue(1))
 
 const poolSchema = valibot.strictObject({
@@ -21,11 +21,11 @@
   /** The fraction of a pool's engines in one availability zone that may switch version concurrently. */
   switchFraction: valibot.optional(fraction, 0.25),
   /** The number of requests that one engine runs concurrently. */
-  slots: valibot.optional(positive, 8),
+  slots: valibot.optional(positiveInteger, 8),
   /** The number of copies of a version that may be read from the origin. */
-  originCopies: valibot.optional(valibot.pipe(positive, valibot.maxValue(64)), 1),
+  originCopies: valibot.optional(valibot.pipe(positiveInteger, valibot.maxValue(64)), 1),
   /** The time by which the version is to be in place, in milliseconds since the Unix epoch; used in forecasts. */
-  neededBy: valibot.optional(positive)
+  neededBy: valibot.optional(positiveInteger)
 })
 
 const callPatternSchema = valibot.strictObject({
@@ -34,15 +34,15 @@
 })
 
 const serviceSchema = valibot.strictObject({
-  slots: valibot.optional(positive, 16),
+  slots: valibot.optional(positiveInteger, 16),
   /** Calls that run at most once per request id. */
   neverRepeat: valibot.optional(valibot.array(callPatternSchema), [])
 })
 
 const organisationSchema = valibot.strictObject({
-  weight: valibot.optional(valibot.pipe(positive, valibot.maxValue(1000)), 1),
+  weight: valibot.optional(valibot.pipe(positiveInteger, valibot.maxValue(1000)), 1),
   /** The maximum number of concurrent requests of the organisation per entry; absent for no limit. */
-  inProgress: valibot.optional(positive),
+  inProgress: valibot.optional(positiveInteger),
   /** Digests of the caller keys that authenticate as this organisation. */
   keyDigests: valibot.optional(valibot.array(digest), [])
 })
@@ -71,8 +71,8 @@
 const manifestSchema = valibot.strictObject({
   model: name,
   version: name,
-  bytes: positive,
-  chunks: valibot.pipe(valibot.array(valibot.strictObject({ digest, bytes: positive })), valibot.minLength(1))
+  bytes: positiveInteger,
+  chunks: valibot.pipe(valibot.array(valibot.strictObject({ digest, bytes: positiveInteger })), valibot.minLength(1))
 })
 
 /** The configuration that operators publish: models, pools, services and organisations. */
@@ -89,7 +89,7 @@
 /** The result of validation: a value or a failure. */
 export type Checked<Value, Problem> = { readonly value: Value } | { readonly failure: Problem }
 
-function issueText (issues: readonly valibot.BaseIssue<unknown>[]): string {
+function formatIssues (issues: readonly valibot.BaseIssue<unknown>[]): string {
   return issues.slice(0, 3).map(issue => `${valibot.getDotPath(issue) ?? 'document'}: ${issue.message}`).join('; ')
 }
 
@@ -106,7 +106,7 @@
  */
 export function checkConfiguration (input: unknown): Checked<Configuration, DocumentFailure> {
   const parsed = valibot.safeParse(configurationSchema, input)
-  if (!parsed.success) return invalid(issueText(parsed.issues))
+  if (!parsed.success) return invalid(formatIssues(parsed.issues))
   const configuration = parsed.output
   for (const [pool, { model, version }] of Object.entries(configuration.pools)) {
     if (configuration.models[model]?.versions[version] === undefined) {
@@ -125,7 +125,7 @@
  */
 export function checkInstanceList (input: unknown): Checked<InstanceList, DocumentFailure> {
   const parsed = valibot.safeParse(instanceListSchema, input)
-  if (!parsed.success) return invalid(issueText(parsed.issues))
+  if (!parsed.success) return invalid(formatIssues(parsed.issues))
   const seen = new Set<string>()
   for (const { instance } of parsed.output.instances) {
     if (seen.has(instance)) return invalid(`instances: ${instance} is listed more than once`)
@@ -143,7 +143,7 @@
  */
 export function checkManifest (input: unknown, limitBytes: number): Checked<Manifest, WeightsFailure> {
   const parsed = valibot.safeParse(manifestSchema, input)
-  if (!parsed.success) return badManifest(issueText(parsed.issues))
+  if (!parsed.success) return badManifest(formatIssues(parsed.issues))
   const total = parsed.output.chunks.reduce((sum, chunk) => sum + chunk.bytes, 0)
   if (total !== parsed.output.bytes) return badManifest(`chunks add up to ${total} bytes, not ${parsed.output.bytes}`)
   if (total > limitBytes) return { failure: { type: 'weights-failure', reason: 'too-large', detail: `${total} bytes` } }
--- a/packages/core/src/lib/ejection.ts
+++ b/packages/core/src/lib/ejection.ts
@@ -11,16 +11,16 @@
 
 const FAILURES_TO_EJECT = 3
 /** The duration of the first ejection, in milliseconds. */
-const FIRST_EJECTION = 1_000
+const FIRST_EJECTION_MILLISECONDS = 1_000
 /** The maximum duration of an ejection, in milliseconds. */
-const LONGEST_EJECTION = 20_000
+const MAX_EJECTION_MILLISECONDS = 20_000
 /** The largest fraction of a group that may be ejected. */
-const LARGEST_SHARE = 0.5
+const MAX_EJECTED_FRACTION = 0.5
 
 interface Health {
   failures: number
   ejections: number
-  until: number
+  ejectedUntil: number
   probing: boolean
 }
 
@@ -36,7 +36,7 @@
    */
   usable (instances: readonly string[], now: number): string[] {
     const good = instances.filter(instance => this._usable(instance, now))
-    if (good.length >= instances.length * LARGEST_SHARE) return good
+    if (good.length >= instances.length * MAX_EJECTED_FRACTION) return good
     return [...instances]
   }
 
@@ -59,12 +59,12 @@
 
   /** Records that a request failed or timed out. */
   failed (instance: string, now: number): void {
-    const health = this._health.get(instance) ?? { failures: 0, ejections: 0, until: 0, probing: false }
+    const health = this._health.get(instance) ?? { failures: 0, ejections: 0, ejectedUntil: 0, probing: false }
     this._health.set(instance, health)
     health.failures += 1
     health.probing = false
     if (health.failures < FAILURES_TO_EJECT) return
-    health.until = now + Math.min(LONGEST_EJECTION, FIRST_EJECTION * 2 ** health.ejections)
+    health.ejectedUntil = now + Math.min(MAX_EJECTION_MILLISECONDS, FIRST_EJECTION_MILLISECONDS * 2 ** health.ejections)
     health.ejections += 1
   }
 
@@ -76,6 +76,6 @@
   private _usable (instance: string, now: number): boolean {
     const health = this._health.get(instance)
     if (health === undefined || health.failures < FAILURES_TO_EJECT) return true
-    return now >= health.until && !health.probing
+    return now >= health.ejectedUntil && !health.probing
   }
 }
--- a/packages/core/src/lib/engine-switch.ts
+++ b/packages/core/src/lib/engine-switch.ts
@@ -64,46 +64,46 @@
   | { readonly type: 'halted', readonly digest: string }
 
 /** Predecessors queried per round and per second. They bound the control traffic of a large wave. */
-const MOST_ASKED = 32
-const ASKED_PER_SECOND = 16
+const MAX_QUERIES_PER_ROUND = 32
+const QUERIES_PER_SECOND = 16
 /** The delay before a failed load is retried, in milliseconds. */
-const LOAD_RETRY_PAUSE = 5_000
+const LOAD_RETRY_MILLISECONDS = 5_000
 /** The delay before an unanswered order is resent, in milliseconds. */
-const ORDER_RETRY_PAUSE = 500
+const ORDER_RETRY_MILLISECONDS = 500
 /**
  * The number of running requests that an engine reports lags behind. For this long after a take-over, in milliseconds,
  * the report may not include requests of the previous agent.
  */
-const REPORT_SETTLES = 1_500
+const REPORT_LAG_MILLISECONDS = 1_500
 /**
  * An agent that has not yet taken its engine over and sees a gap of this length between two steps, in milliseconds, was
  * paused and may have been replaced.
  */
-const PAUSE_SUSPECTED = 2_500
+const PAUSE_THRESHOLD_MILLISECONDS = 2_500
 
 /** The version switch of one engine. */
 export class EngineSwitch {
   private _gate = new SwitchGate()
-  private _gateFor = ''
+  private _gateDigest = ''
   private _report: EngineReport | undefined
   /** The digest of the load that was ordered and not yet reported as finished; empty for none. */
-  private _ordered = ''
-  private _failed = ''
+  private _orderedDigest = ''
+  private _failedDigest = ''
   private _retryAt = 0
   private _halted = false
-  private _askAt = 0
+  private _nextQueryAt = 0
   private _fence = 0
-  private _takenAt = 0
+  private _takenOverAt = 0
   private _replaced = false
-  private _steppedAt: number
+  private _lastStepAt: number
 
   /**
    * @param _self The agent's instance.
-   * @param _door The admission control, closed while the engine switches or serves no configured version.
+   * @param _admission The admission control, closed while the engine switches or serves no configured version.
    * @param now The start time of the agent.
    */
-  constructor (private readonly _self: string, private readonly _door: AdmissionDoor, now: number) {
-    this._steppedAt = now
+  constructor (private readonly _self: string, private readonly _admission: AdmissionDoor, now: number) {
+    this._lastStepAt = now
   }
 
   /** The engine's last report; `undefined` if it could not be reached. */
@@ -111,15 +111,15 @@
   /** Whether the rollout is halted because engines in the previous wave failed to load. */
   get halted (): boolean { return this._halted }
   /** The digest of the version that this engine failed to load; empty for none. */
-  get failed (): string { return this._failed }
+  get failed (): string { return this._failedDigest }
 
   /** The fencing token of this agent's orders; 0 until it has taken the engine over. */
   get fence (): number { return this._fence }
 
   /** The progress of this engine with a version, queried by the next wave. */
   progress (digest: string): SwitchProgress {
-    if (this._failed === digest) return 'failed'
-    return this._report?.version === digest && !this._door.switching ? 'serving' : 'waiting'
+    if (this._failedDigest === digest) return 'failed'
+    return this._report?.version === digest && !this._admission.switching ? 'serving' : 'waiting'
   }
 
   /** Records the progress that a predecessor reported. */
@@ -136,11 +136,11 @@
    */
   step (report: EngineReport | undefined, situation: SwitchSituation, now: number): SwitchEffect[] {
     this._report = report
-    const gap = now - this._steppedAt
-    this._steppedAt = now
+    const gap = now - this._lastStepAt
+    this._lastStepAt = now
     if (this._replaced) return []
     if (this._fence === 0) return this._takeOver(report, gap)
-    if (report !== undefined && report.fence > this._fence) return this._replace(report.fence)
+    if (report !== undefined && report.fence > this._fence) return this._stopReplaced(report.fence)
     const effects = this._observe(situation.knownDigests, now)
     return [...effects, ...this._advance(situation, now)]
   }
@@ -150,36 +150,36 @@
    * which of the two is older, so this one stops.
    */
   tookOver (fence: number, result: TakeOverResult, now: number): SwitchEffect[] {
-    if (result === 'stale-fence') return this._replace(fence)
+    if (result === 'stale-fence') return this._stopReplaced(fence)
     if (result === 'unreachable' || this._replaced) return []
     this._fence = fence
-    this._takenAt = now
+    this._takenOverAt = now
     return []
   }
 
   /** Processes the result of a load order. Admission stays closed only if the order was accepted or may have been. */
   loadAnswered (digest: string, result: LoadResult, now: number): void {
     if (result === 'ordered') {
-      this._ordered = digest
+      this._orderedDigest = digest
       return
     }
     if (result === 'unreachable') {
       // The engine may have accepted the order, so admission stays closed and the idempotent order is sent again.
-      this._retryAt = now + ORDER_RETRY_PAUSE
+      this._retryAt = now + ORDER_RETRY_MILLISECONDS
       return
     }
-    this._door.setSwitching(false)
-    this._retryAt = now + (result === 'refused-here' ? ORDER_RETRY_PAUSE : LOAD_RETRY_PAUSE)
-    if (result === 'refused') this._failed = digest
+    this._admission.setSwitching(false)
+    this._retryAt = now + (result === 'refused-here' ? ORDER_RETRY_MILLISECONDS : LOAD_RETRY_MILLISECONDS)
+    if (result === 'refused') this._failedDigest = digest
   }
 
   /** Opens admission only while the engine reports a configured version and loads no other, and checks for the end of an ordered load. */
   private _observe (knownDigests: ReadonlySet<string>, now: number): SwitchEffect[] {
     const report = this._report
-    const known = report !== undefined && report.version !== '' && knownDigests.has(report.version)
-    this._door.setServing(known && report.loading === '')
-    if (report === undefined || this._ordered === '' || report.loading !== '') return []
-    const digest = this._ordered
+    const configured = report !== undefined && report.version !== '' && knownDigests.has(report.version)
+    this._admission.setServing(configured && report.loading === '')
+    if (report === undefined || this._orderedDigest === '' || report.loading !== '') return []
+    const digest = this._orderedDigest
     if (report.version === digest) return this._finish(digest)
     return report.failed === digest ? this._fail(digest, now) : []
   }
@@ -187,72 +187,72 @@
   private _advance (situation: SwitchSituation, now: number): SwitchEffect[] {
     const { target, wholeDigest } = situation
     const report = this._report
-    if (target === undefined || report === undefined || this._ordered !== '' || report.loading !== '') return []
+    if (target === undefined || report === undefined || this._orderedDigest !== '' || report.loading !== '') return []
     const wanted = target.manifestDigest
-    if (report.version === wanted || wholeDigest !== wanted) return this._stay()
-    if (this._failed === wanted && (now < this._retryAt || report.version !== '')) return this._stay()
+    if (report.version === wanted || wholeDigest !== wanted) return this._reopenAdmission()
+    if (this._failedDigest === wanted && (now < this._retryAt || report.version !== '')) return this._reopenAdmission()
     if (now < this._retryAt) return []
-    return this._door.switching ? this._load(target, report, now) : this._ask(target, situation.members, report, now)
+    return this._admission.switching ? this._orderLoad(target, report, now) : this._queryPredecessors(target, situation.members, report, now)
   }
 
   /** Uses the fence of the latest report plus one. If another agent takes over in between, the engine refuses the take-over. */
   private _takeOver (report: EngineReport | undefined, gap: number): SwitchEffect[] {
-    if (gap > PAUSE_SUSPECTED) return this._replace(report?.fence ?? 0)
+    if (gap > PAUSE_THRESHOLD_MILLISECONDS) return this._stopReplaced(report?.fence ?? 0)
     return report === undefined ? [] : [{ type: 'take-over', fence: report.fence + 1 }]
   }
 
   /** Stops this agent permanently: an agent that has been replaced admits no requests and sends no orders. */
-  private _replace (fence: number): SwitchEffect[] {
-    this._door.leave('stopped')
+  private _stopReplaced (fence: number): SwitchEffect[] {
+    this._admission.leave('stopped')
     this._replaced = true
     return [{ type: 'replaced', fence }]
   }
 
   /** Reopens admission when there is no version to switch to. */
-  private _stay (): SwitchEffect[] {
-    this._door.setSwitching(false)
+  private _reopenAdmission (): SwitchEffect[] {
+    this._admission.setSwitching(false)
     return []
   }
 
-  private _ask (target: SwitchTarget, members: readonly InstanceRecord[], report: EngineReport, now: number): SwitchEffect[] {
-    if (this._gateFor !== target.manifestDigest) {
+  private _queryPredecessors (target: SwitchTarget, members: readonly InstanceRecord[], report: EngineReport, now: number): SwitchEffect[] {
+    if (this._gateDigest !== target.manifestDigest) {
       this._gate = new SwitchGate()
-      this._gateFor = target.manifestDigest
+      this._gateDigest = target.manifestDigest
     }
     const predecessors = previousWave(this._self, members, target.switchFraction, target.manifestDigest)
-    const decision = this._gate.decide(predecessors, !this._door.serving, now)
+    const decision = this._gate.decide(predecessors, !this._admission.serving, now)
     const halts = decision.type === 'halt' && !this._halted
     this._halted = decision.type === 'halt'
     if (decision.type === 'go') {
-      this._door.setSwitching(true)
-      return [{ type: 'began', digest: target.manifestDigest }, ...this._load(target, report, now)]
+      this._admission.setSwitching(true)
+      return [{ type: 'began', digest: target.manifestDigest }, ...this._orderLoad(target, report, now)]
     }
-    if (now < this._askAt && !halts) return []
-    const instances = (decision.type === 'wait' ? decision.ask : decision.failed).slice(0, MOST_ASKED)
-    this._askAt = now + instances.length / ASKED_PER_SECOND * 1000
+    if (now < this._nextQueryAt && !halts) return []
+    const instances = (decision.type === 'wait' ? decision.ask : decision.failed).slice(0, MAX_QUERIES_PER_ROUND)
+    this._nextQueryAt = now + instances.length / QUERIES_PER_SECOND * 1000
     const ask: SwitchEffect = { type: 'ask-progress', instances, digest: target.manifestDigest }
     return halts ? [{ type: 'halted', digest: target.manifestDigest }, ask] : [ask]
   }
 
   /** Orders the load once no requests are in flight by both the agent's and the engine's count. Admission is already closed. */
-  private _load (target: SwitchTarget, report: EngineReport, now: number): SwitchEffect[] {
-    const settled = report.version === '' || now - this._takenAt >= REPORT_SETTLES
-    if (this._door.running > 0 || report.running > 0 || !settled) return []
+  private _orderLoad (target: SwitchTarget, report: EngineReport, now: number): SwitchEffect[] {
+    const settled = report.version === '' || now - this._takenOverAt >= REPORT_LAG_MILLISECONDS
+    if (this._admission.running > 0 || report.running > 0 || !settled) return []
     return [{ type: 'order-load', digest: target.manifestDigest, fence: this._fence }]
   }
 
   private _finish (digest: string): SwitchEffect[] {
-    this._ordered = ''
-    this._failed = ''
-    this._door.setSwitching(false)
+    this._orderedDigest = ''
+    this._failedDigest = ''
+    this._admission.setSwitching(false)
     return [{ type: 'switched', digest }]
   }
 
   private _fail (digest: string, now: number): SwitchEffect[] {
-    this._ordered = ''
-    this._failed = digest
-    this._retryAt = now + LOAD_RETRY_PAUSE
-    this._door.setSwitching(false)
+    this._orderedDigest = ''
+    this._failedDigest = digest
+    this._retryAt = now + LOAD_RETRY_MILLISECONDS
+    this._admission.setSwitching(false)
     return [{ type: 'load-failed', digest }]
   }
 }
--- a/packages/core/src/lib/fair-queue.ts
+++ b/packages/core/src/lib/fair-queue.ts
@@ -65,13 +65,13 @@
    * @example
    * queue.add(request, { organisation: 'hall-1', requestClass: 'interactive', weight: 4, now, deadline: now + 2_000 })
    */
-  add (item: Item, place: { organisation: string, requestClass: RequestClass, weight: number, now: number, deadline: number }): Waiting<Item> {
-    const key = flowKey(place.organisation, place.requestClass)
+  add (item: Item, options: { organisation: string, requestClass: RequestClass, weight: number, now: number, deadline: number }): Waiting<Item> {
+    const key = flowKey(options.organisation, options.requestClass)
     const flow = this._flows.get(key) ?? { waiting: [], finishTag: 0 }
     this._flows.set(key, flow)
     const startTag = Math.max(this._virtualTime, flow.finishTag)
-    flow.finishTag = startTag + 1 / (place.weight * classWeights[place.requestClass])
-    const waiting: Waiting<Item> = { item, organisation: place.organisation, requestClass: place.requestClass, enqueuedAt: place.now, deadline: place.deadline, startTag }
+    flow.finishTag = startTag + 1 / (options.weight * classWeights[options.requestClass])
+    const waiting: Waiting<Item> = { item, organisation: options.organisation, requestClass: options.requestClass, enqueuedAt: options.now, deadline: options.deadline, startTag }
     flow.waiting.push(waiting)
     this._size += 1
     return waiting
@@ -93,7 +93,7 @@
     best.flow.waiting.shift()
     this._size -= 1
     this._virtualTime = Math.max(this._virtualTime, best.first.startTag)
-    this._tidy(best.key, best.flow)
+    this._deleteIfIdle(best.key, best.flow)
     return best.first
   }
 
@@ -105,7 +105,7 @@
     if (flow === undefined || index < 0) return false
     flow.waiting.splice(index, 1)
     this._size -= 1
-    this._tidy(key, flow)
+    this._deleteIfIdle(key, flow)
     return true
   }
 
@@ -118,7 +118,7 @@
   }
 
   /** Deletes an empty flow whose finish tag is not ahead of the virtual time, since it no longer affects scheduling. */
-  private _tidy (key: string, flow: Flow<Item>): void {
+  private _deleteIfIdle (key: string, flow: Flow<Item>): void {
     if (flow.waiting.length === 0 && flow.finishTag <= this._virtualTime) this._flows.delete(key)
     if (this._size === 0) this._reset()
   }
--- a/packages/core/src/lib/issued-id.ts
+++ b/packages/core/src/lib/issued-id.ts
@@ -19,9 +19,9 @@
 }
 
 const PREFIX = 'issued1'
-const PART = ','
-const FIELD = '~'
-const MOST_KEEPERS = 9
+const PART_SEPARATOR = ','
+const FIELD_SEPARATOR = '~'
+const MAX_KEEPERS = 9
 
 /**
  * Formats an issued id.
@@ -31,8 +31,8 @@
  * formatIssuedId('k3x9', [{ instance: 'agent-1', incarnation: 'agent-1.ab12', at: 4711 }])
  */
 export function formatIssuedId (random: string, keepers: readonly IssuedKeeper[]): string {
-  const parts = keepers.map(({ instance, incarnation, at }) => [instance, incarnation.slice(instance.length + 1), Math.floor(at)].join(FIELD))
-  return [PREFIX, random, ...parts].join(PART)
+  const parts = keepers.map(({ instance, incarnation, at }) => [instance, incarnation.slice(instance.length + 1), Math.floor(at)].join(FIELD_SEPARATOR))
+  return [PREFIX, random, ...parts].join(PART_SEPARATOR)
 }
 
 /**
@@ -42,11 +42,11 @@
  * parseIssuedId('issued1,k3x9,agent-1~ab12~4711')?.length // 1
  */
 export function parseIssuedId (id: string): IssuedKeeper[] | undefined {
-  const [prefix, random, ...parts] = id.split(PART)
-  if (prefix !== PREFIX || random === undefined || random === '' || parts.length === 0 || parts.length > MOST_KEEPERS) return undefined
+  const [prefix, random, ...parts] = id.split(PART_SEPARATOR)
+  if (prefix !== PREFIX || random === undefined || random === '' || parts.length === 0 || parts.length > MAX_KEEPERS) return undefined
   const keepers: IssuedKeeper[] = []
   for (const part of parts) {
-    const [instance = '', suffix = '', clock = ''] = part.split(FIELD)
+    const [instance = '', suffix = '', clock = ''] = part.split(FIELD_SEPARATOR)
     if (instance === '' || suffix === '' || !/^\d{1,15}$/.test(clock)) return undefined
     keepers.push({ instance, incarnation: `${instance}.${suffix}`, at: Number(clock) })
   }
--- a/packages/core/src/lib/joining.ts
+++ b/packages/core/src/lib/joining.ts
@@ -12,7 +12,7 @@
 import type { Topic } from './spread.js'
 
 /** The number of seeds to query. */
-const JOIN_PEERS = 3
+const MAX_JOIN_SEEDS = 3
 
 /** A document received during the join phase. */
 export interface HeldDocument {
@@ -21,28 +21,28 @@
 }
 
 /** The join phase of one process. */
-export class Joining {
-  private _asked = false
+export class JoinPhase {
+  private _queried = false
   /** Addresses that were queried and have neither answered nor failed. */
   private readonly _pending = new Set<string>()
   /** All received documents, since the newest may turn out to be invalid. */
   private readonly _held: HeldDocument[] = []
 
   /**
-   * @param _until The time at which to stop waiting.
+   * @param _deadline The time at which to stop waiting.
    */
-  constructor (private readonly _until: number) {}
+  constructor (private readonly _deadline: number) {}
 
   /**
    * Returns the seeds to query on the first call, and an empty array after that.
    *
-   * @param draw A random number in [0, 1) that selects the first seed, so that processes do not all query the same ones.
+   * @param random A random number in [0, 1) that selects the first seed, so that processes do not all query the same ones.
    */
-  ask (seeds: readonly string[], draw: number): string[] {
-    if (this._asked) return []
-    this._asked = true
-    const start = Math.floor(draw * seeds.length)
-    const chosen = [...seeds.slice(start), ...seeds.slice(0, start)].slice(0, JOIN_PEERS)
+  ask (seeds: readonly string[], random: number): string[] {
+    if (this._queried) return []
+    this._queried = true
+    const start = Math.floor(random * seeds.length)
+    const chosen = [...seeds.slice(start), ...seeds.slice(0, start)].slice(0, MAX_JOIN_SEEDS)
     for (const address of chosen) this._pending.add(address)
     return chosen
   }
@@ -59,7 +59,7 @@
 
   /** Whether all queried seeds have answered or failed, or the timeout has expired. */
   over (now: number): boolean {
-    return now >= this._until || (this._asked && this._pending.size === 0)
+    return now >= this._deadline || (this._queried && this._pending.size === 0)
   }
 
   /** The held documents, newest first. */
--- a/packages/core/src/lib/link-pacer.ts
+++ b/packages/core/src/lib/link-pacer.ts
@@ -12,12 +12,12 @@
 
 /** The burst size as transmission time on the link, in milliseconds. */
 const BURST_MILLISECONDS = 20
-const LEAST_BURST_BYTES = 16_384
-const LEAST_SHARE = 0.1
-const DECREASE = 0.7
-const INCREASE = 0.05
+const MIN_BURST_BYTES = 16_384
+const MIN_SHARE = 0.1
+const DECREASE_FACTOR = 0.7
+const INCREASE_STEP = 0.05
 /** The least time between two changes of the share, in milliseconds. */
-const ADAPT_PAUSE = 100
+const ADAPT_INTERVAL_MILLISECONDS = 100
 
 /** The pacer of one instance's link. */
 export class LinkPacer {
@@ -30,7 +30,7 @@
    * @param bytesPerSecond The rate of the link in each direction.
    */
   constructor (bytesPerSecond: number, now: number) {
-    const burst = Math.max(LEAST_BURST_BYTES, bytesPerSecond * BURST_MILLISECONDS / 1000)
+    const burst = Math.max(MIN_BURST_BYTES, bytesPerSecond * BURST_MILLISECONDS / 1000)
     this._up = new TokenBucket(bytesPerSecond, burst, now)
     this._down = new TokenBucket(bytesPerSecond, burst, now)
   }
@@ -49,9 +49,9 @@
    * @param congested Whether answers are queued for sending.
    */
   adapt (congested: boolean, now: number): void {
-    if (now - this._adaptedAt < ADAPT_PAUSE) return
+    if (now - this._adaptedAt < ADAPT_INTERVAL_MILLISECONDS) return
     this._adaptedAt = now
-    this._share = congested ? Math.max(LEAST_SHARE, this._share * DECREASE) : Math.min(1, this._share + INCREASE)
+    this._share = congested ? Math.max(MIN_SHARE, this._share * DECREASE_FACTOR) : Math.min(1, this._share + INCREASE_STEP)
   }
 
   /**
--- a/packages/core/src/lib/list-change.ts
+++ b/packages/core/src/lib/list-change.ts
@@ -32,8 +32,8 @@
 export function listChange (before: InstanceList, base: number, published: Published, after: InstanceList): ListChange {
   const known = new Map(before.instances.map(record => [record.instance, JSON.stringify(record)]))
   const changed = after.instances.filter(record => known.get(record.instance) !== JSON.stringify(record))
-  const left = new Set(after.instances.map(record => record.instance))
-  const removed = before.instances.map(record => record.instance).filter(instance => !left.has(instance))
+  const remaining = new Set(after.instances.map(record => record.instance))
+  const removed = before.instances.map(record => record.instance).filter(instance => !remaining.has(instance))
   return { source: published.source, base, revision: published.revision, changed, removed }
 }
 
--- a/packages/core/src/lib/neighbourhood.ts
+++ b/packages/core/src/lib/neighbourhood.ts
@@ -23,39 +23,39 @@
 export class Neighbourhood {
   /** The instances in the zone, with its watchers first. */
   readonly order: readonly string[]
-  private readonly _near: readonly string[]
-  private readonly _abroad: readonly string[]
+  private readonly _ownZone: readonly string[]
+  private readonly _otherZones: readonly string[]
   private readonly _seeds: readonly string[]
   /** Addresses that did not respond, with the time until which they are skipped. */
-  private readonly _silent = new Map<string, number>()
+  private readonly _unresponsive = new Map<string, number>()
 
   constructor (self: NeighbourhoodSelf, instances: readonly InstanceRecord[]) {
     const zone = instances.filter(record => record.availabilityZone === self.availabilityZone)
     const others = instances.filter(record => record.availabilityZone !== self.availabilityZone)
     this.order = rendezvousOrder(zone.map(record => record.instance), 'watchers')
-    this._near = zone.filter(record => record.instance !== self.instance).map(record => record.address)
-    this._abroad = others.map(record => record.address)
+    this._ownZone = zone.filter(record => record.instance !== self.instance).map(record => record.address)
+    this._otherZones = others.map(record => record.address)
     this._seeds = self.seeds.filter(seed => seed !== self.address)
   }
 
   /** Records that an address did not respond, and skips it until the given time. */
-  silent (address: string, until: number): void { this._silent.set(address, until) }
+  silent (address: string, until: number): void { this._unresponsive.set(address, until) }
 
   /**
    * Picks the address of a peer, preferring peers that are not marked as unresponsive.
    *
-   * @param abroad Whether to prefer a peer in another zone to one in the own zone. Falls back to the other group if empty.
-   * @param draw A random number in [0, 1).
+   * @param otherZone Whether to prefer a peer in another zone to one in the own zone. Falls back to the other group if empty.
+   * @param random A random number in [0, 1).
    * @returns An address, or a seed if the list contains no peers; `undefined` if there are no seeds either.
    * @example
    * const address = neighbourhood.pick(true, random(), now)
    */
-  pick (abroad: boolean, draw: number, now: number): string | undefined {
-    const [preferred, others] = abroad ? [this._abroad, this._near] : [this._near, this._abroad]
+  pick (otherZone: boolean, random: number, now: number): string | undefined {
+    const [preferred, others] = otherZone ? [this._otherZones, this._ownZone] : [this._ownZone, this._otherZones]
     const listed = preferred.length > 0 ? preferred : others
-    const known = listed.length > 0 ? listed : this._seeds
-    const lively = this._silent.size === 0 ? known : known.filter(address => (this._silent.get(address) ?? 0) <= now)
-    const choices = lively.length > 0 ? lively : known
-    return choices[Math.floor(draw * choices.length)]
+    const available = listed.length > 0 ? listed : this._seeds
+    const responsive = this._unresponsive.size === 0 ? available : available.filter(address => (this._unresponsive.get(address) ?? 0) <= now)
+    const choices = responsive.length > 0 ? responsive : available
+    return choices[Math.floor(random * choices.length)]
   }
 }
--- a/packages/core/src/lib/once-attempt.ts
+++ b/packages/core/src/lib/once-attempt.ts
@@ -59,8 +59,8 @@
   /** Handles the reply to the offer. */
   offered (reply: OfferReply | 'unreachable'): OnceEffect[] {
     if (this._phase !== 'offering') return []
-    if (reply === 'unreachable') return this._elsewhere('unreachable')
-    if (reply.type === 'refused') return this._elsewhere(reply.reason)
+    if (reply === 'unreachable') return this._retryElsewhere('unreachable')
+    if (reply.type === 'refused') return this._retryElsewhere(reply.reason)
     this._ticket = reply.ticket
     this._phase = 'claiming'
     return this.keepers.map(keeper => ({ type: 'send-claim', keeper }))
@@ -72,7 +72,7 @@
     this._quorum.take(keeper, reply)
     const verdict = this._quorum.verdict()
     if (verdict === 'open') return []
-    if (verdict !== 'granted') return this._abandon(claimFailure(verdict, this._quorum.wait()))
+    if (verdict !== 'granted') return this._fail(claimFailure(verdict, this._quorum.wait()))
     this._phase = 'going'
     return [{ type: 'send-go', agent: this.agent, ticket: this._ticket }]
   }
@@ -94,13 +94,13 @@
   /** Handles the agent's confirmation after the start that it never reached the endpoint, so that the request did not run. */
   neverReached (): OnceEffect[] {
     if (this._phase !== 'done') return []
-    return [...this._releases(), { type: 'give-up', failure: requestFailure('engine-failed', 'not-run', 'the endpoint could not be reached', UNREACHABLE_PAUSE) }]
+    return [...this._releases(), { type: 'give-up', failure: requestFailure('engine-failed', 'not-run', 'the endpoint could not be reached', UNREACHABLE_RETRY_MILLISECONDS) }]
   }
 
   /** Handles a lost connection or a passed deadline. */
   lost (): OnceEffect[] {
-    if (this._phase === 'offering') return this._elsewhere('unreachable')
-    if (this._phase === 'claiming') return this._abandon(requestFailure('no-endpoint', 'not-run', 'keepers did not answer in time', 1_000))
+    if (this._phase === 'offering') return this._retryElsewhere('unreachable')
+    if (this._phase === 'claiming') return this._fail(requestFailure('no-endpoint', 'not-run', 'keepers did not answer in time', 1_000))
     if (this._phase !== 'going') return []
     this._phase = 'cancelling'
     return [{ type: 'send-cancel', agent: this.agent, ticket: this._ticket }]
@@ -114,12 +114,12 @@
     return [{ type: 'give-up', failure: requestFailure('outcome-unknown', 'unknown', 'the request was sent and its outcome is not known') }]
   }
 
-  private _elsewhere (reason: AdmissionRefusal | 'unreachable'): OnceEffect[] {
+  private _retryElsewhere (reason: AdmissionRefusal | 'unreachable'): OnceEffect[] {
     this._phase = 'done'
     return [{ type: 'try-elsewhere', reason }]
   }
 
-  private _abandon (failure: RequestFailure): OnceEffect[] {
+  private _fail (failure: RequestFailure): OnceEffect[] {
     this._phase = 'done'
     return [...this._releases(), { type: 'give-up', failure }]
   }
@@ -130,17 +130,17 @@
 }
 
 /** The retry delay returned when an endpoint or too many keepers are unreachable, in milliseconds. */
-const UNREACHABLE_PAUSE = 1_000
+const UNREACHABLE_RETRY_MILLISECONDS = 1_000
 /** The retry delay returned when the keepers' records are full, in milliseconds. */
-const FULL_PAUSE = 5_000
+const FULL_RETRY_MILLISECONDS = 5_000
 
 function claimFailure (verdict: 'seen' | 'conflict' | 'young' | 'full' | 'unreachable', wait: number): RequestFailure {
   const failures: Record<typeof verdict, RequestFailure> = {
     seen: requestFailure('already-claimed', 'unknown', 'this id was used before: the earlier request has run, is running or has an unknown outcome; it is not run again'),
     conflict: requestFailure('id-conflict', 'not-run', 'this id was used before with a different body; this request was not run'),
     young: requestFailure('history-unknown', 'unknown', 'this attempt did not run; it is not known yet whether an earlier attempt with this id did', wait),
-    full: requestFailure('records-full', 'not-run', 'too many request ids of this organisation are recorded', FULL_PAUSE),
-    unreachable: requestFailure('no-endpoint', 'not-run', 'too few keepers of this id could be reached', UNREACHABLE_PAUSE)
+    full: requestFailure('records-full', 'not-run', 'too many request ids of this organisation are recorded', FULL_RETRY_MILLISECONDS),
+    unreachable: requestFailure('no-endpoint', 'not-run', 'too few keepers of this id could be reached', UNREACHABLE_RETRY_MILLISECONDS)
   }
   return failures[verdict]
 }
--- a/packages/core/src/lib/retry-budget.ts
+++ b/packages/core/src/lib/retry-budget.ts
@@ -11,17 +11,17 @@
 /** The maximum ratio of retries to first attempts. */
 export const RETRY_RATIO = 0.1
 /** The maximum number of retries accumulated, so that an entry with little traffic can retry at all. */
-const RETRY_RESERVE = 10
+const MAX_CREDIT = 10
 
 /** The retry budget of one entry for one endpoint group. */
 export class RetryBudget {
-  private _credit = RETRY_RESERVE
+  private _credit = MAX_CREDIT
 
   constructor (private readonly _ratio: number = RETRY_RATIO) {}
 
   /** Records the first attempt of a request. */
   attempted (): void {
-    this._credit = Math.min(RETRY_RESERVE, this._credit + this._ratio)
+    this._credit = Math.min(MAX_CREDIT, this._credit + this._ratio)
   }
 
   /**
--- a/packages/core/src/lib/rollout.ts
+++ b/packages/core/src/lib/rollout.ts
@@ -21,7 +21,7 @@
   | { readonly type: 'halt', readonly failed: readonly string[] }
 
 /** How long a member of a wave may be unreachable before the next wave no longer waits for it, in milliseconds. */
-export const WAVE_PATIENCE = 10_000
+export const WAVE_TIMEOUT_MILLISECONDS = 10_000
 
 /**
  * Returns the agents in the wave immediately before that of `self`.
@@ -46,21 +46,21 @@
   const sizes = new Map<string, number>()
   for (const zone of zoneOf.values()) sizes.set(zone, (sizes.get(zone) ?? 0) + 1)
   const zone = zoneOf.get(self)
-  const lone = zone === undefined || sizes.get(zone) === 1
-  const group = members.filter(member => lone ? sizes.get(member.availabilityZone) === 1 : member.availabilityZone === zone)
+  const single = zone === undefined || sizes.get(zone) === 1
+  const group = members.filter(member => single ? sizes.get(member.availabilityZone) === 1 : member.availabilityZone === zone)
   return [...new Set([self, ...group.map(member => member.instance)])]
 }
 
 /** Tracks the progress of the previous wave for one wanted version. */
 export class SwitchGate {
   private readonly _progress = new Map<string, SwitchProgress>()
-  private readonly _silentSince = new Map<string, number>()
+  private readonly _unreachableSince = new Map<string, number>()
 
   /** Records the progress of a predecessor, or that it could not be reached. */
   report (instance: string, progress: SwitchProgress, now: number): void {
     this._progress.set(instance, progress)
-    if (progress !== 'unreachable') this._silentSince.delete(instance)
-    else if (!this._silentSince.has(instance)) this._silentSince.set(instance, now)
+    if (progress !== 'unreachable') this._unreachableSince.delete(instance)
+    else if (!this._unreachableSince.has(instance)) this._unreachableSince.set(instance, now)
   }
 
   /**
@@ -75,18 +75,18 @@
   decide (predecessors: readonly string[], firstLoad: boolean, now: number): SwitchDecision {
     if (firstLoad || predecessors.length === 0) return { type: 'go' }
     const failed = predecessors.filter(instance => this._progress.get(instance) === 'failed')
-    const settled = predecessors.filter(instance => this._settled(instance, now))
+    const settled = predecessors.filter(instance => this._isSettled(instance, now))
     const serving = predecessors.filter(instance => this._progress.get(instance) === 'serving')
     if (failed.length * 2 >= predecessors.length) return { type: 'halt', failed }
-    const everyoneSilent = settled.length === predecessors.length && failed.length === 0
-    if (settled.length === predecessors.length && (serving.length > 0 || everyoneSilent)) return { type: 'go' }
+    const allUnreachable = settled.length === predecessors.length && failed.length === 0
+    if (settled.length === predecessors.length && (serving.length > 0 || allUnreachable)) return { type: 'go' }
     return { type: 'wait', ask: predecessors.filter(instance => this._progress.get(instance) !== 'serving') }
   }
 
-  private _settled (instance: string, now: number): boolean {
+  private _isSettled (instance: string, now: number): boolean {
     const progress = this._progress.get(instance)
     if (progress === 'serving' || progress === 'failed') return true
-    const silent = this._silentSince.get(instance)
-    return silent !== undefined && now - silent >= WAVE_PATIENCE
+    const unreachableSince = this._unreachableSince.get(instance)
+    return unreachableSince !== undefined && now - unreachableSince >= WAVE_TIMEOUT_MILLISECONDS
   }
 }
--- a/packages/core/src/lib/spread.ts
+++ b/packages/core/src/lib/spread.ts
@@ -21,7 +21,7 @@
 import { checkConfiguration, checkInstanceList } from './documents.js'
 import type { DocumentFailure } from './failure.js'
 import { applyListChange, listChange, type ListChange } from './list-change.js'
-import { Joining } from './joining.js'
+import { JoinPhase } from './joining.js'
 import { Neighbourhood } from './neighbourhood.js'
 import { RevisionLedger, type Acceptance, type Published } from './revision-ledger.js'
 
@@ -55,34 +55,34 @@
 export interface SpreadPolicy {
   readonly watchersPerZone: number
   readonly fanOut: number
-  readonly comparePause: number
+  readonly compareInterval: number
   /** The age of the last confirmation from the service after which a process reads the service itself. */
   readonly patience: number
-  readonly firstBackoff: number
-  readonly longestBackoff: number
+  readonly initialBackoff: number
+  readonly maxBackoff: number
   /** The longest backoff of a zone's watchers. They are few and must notice a recovered service within seconds. */
-  readonly longestWatcherBackoff: number
+  readonly maxWatcherBackoff: number
   /** The longest backoff of a process that holds no instance list yet. */
-  readonly longestEmptyBackoff: number
+  readonly maxEmptyBackoff: number
   /** How long a starting process waits for peers before it adopts documents from the service. */
-  readonly joinPatience: number
+  readonly joinTimeout: number
 }
 
 /** The policy that the daemons use. */
 export const defaultSpreadPolicy: SpreadPolicy = {
   watchersPerZone: 2,
   fanOut: 8,
-  comparePause: 1_000,
+  compareInterval: 1_000,
   patience: 5_000,
-  firstBackoff: 500,
-  longestBackoff: 60_000,
-  longestWatcherBackoff: 2_000,
-  longestEmptyBackoff: 5_000,
-  joinPatience: 1_500
+  initialBackoff: 500,
+  maxBackoff: 60_000,
+  maxWatcherBackoff: 2_000,
+  maxEmptyBackoff: 5_000,
+  joinTimeout: 1_500
 }
 
 /** Every n-th comparison is made with a peer in another zone. */
-const ABROAD_EVERY = 2
+const OTHER_ZONE_INTERVAL = 2
 const NEVER = -Infinity
 
 /** The identity and location of this process. */
@@ -109,12 +109,12 @@
 export class Spread {
   private readonly _ledgers: Ledgers
   private readonly _service: Record<Topic, ServiceState>
-  private _compareAt: number
+  private _nextCompareAt: number
   private _comparisons = 0
   /** The change from the previous instance list to the one in force. */
   private _change: ListChange | undefined
   /** The join phase; `undefined` once it is over. */
-  private _joining: Joining | undefined
+  private _joining: JoinPhase | undefined
   private _neighbourhood: Neighbourhood
 
   /**
@@ -133,11 +133,11 @@
       instances: new RevisionLedger<InstanceList>(_self.source, checkInstanceList)
     }
     const start = (topic: Topic): ServiceState => ({
-      confirmedAt: NEVER, reading: false, nextReadAt: now + jitterOf(_self.instance, topic) * _policy.firstBackoff, backoff: _policy.firstBackoff
+      confirmedAt: NEVER, reading: false, nextReadAt: now + jitterOf(_self.instance, topic) * _policy.initialBackoff, backoff: _policy.initialBackoff
     })
     this._service = { configuration: start('configuration'), instances: start('instances') }
-    this._compareAt = now
-    this._joining = new Joining(now + _policy.joinPatience)
+    this._nextCompareAt = now
+    this._joining = new JoinPhase(now + _policy.joinTimeout)
     this._neighbourhood = new Neighbourhood(_self, [])
   }
 
@@ -162,7 +162,7 @@
   tick (now: number): SpreadEffect[] {
     const effects: SpreadEffect[] = this._join(now)
     for (const topic of topics) effects.push(...this._read(topic, now))
-    if (now >= this._compareAt) effects.push(...this._compare(now))
+    if (now >= this._nextCompareAt) effects.push(...this._compare(now))
     return effects
   }
 
@@ -177,14 +177,14 @@
     if (answer === 'unreachable') return this._backOff(state, now)
     if (this._joining !== undefined && answer !== 'unchanged') {
       this._joining.hold(topic, answer)
-      state.nextReadAt = now + this._policy.firstBackoff
-      return this._joinIfOver(now)
+      state.nextReadAt = now + this._policy.initialBackoff
+      return this._endJoinIfOver(now)
     }
-    const effects = answer === 'unchanged' ? [] : this._take(topic, answer, now)
+    const effects = answer === 'unchanged' ? [] : this._offer(topic, answer, now)
     const stale = answer !== 'unchanged' && answer.revision < this._ledgers[topic].seenRevision
     if (stale) return [...effects, ...this._backOff(state, now)]
     state.confirmedAt = now
-    state.backoff = this._policy.firstBackoff
+    state.backoff = this._policy.initialBackoff
     state.nextReadAt = now
     return effects
   }
@@ -199,7 +199,7 @@
     const lacking = topics.filter(topic => this.revision(topic) > note.revisions[topic])
     const byChange = lacking.includes('instances') && this._change?.base === note.revisions.instances
     const behind = topics.some(topic => note.revisions[topic] > this._ledgers[topic].seenRevision)
-    for (const topic of topics) this._hearAge(topic, note.revisions[topic], note.ages[topic], now)
+    for (const topic of topics) this._adoptAge(topic, note.revisions[topic], note.ages[topic], now)
     return { reply: this._documents(lacking, byChange, now), behind }
   }
 
@@ -211,33 +211,33 @@
    */
   received (incoming: SpreadDocuments, way: 'pushed' | 'compared', now: number): SpreadEffect[] {
     const effects: SpreadEffect[] = []
-    const built = this._built(incoming.change)
+    const built = this._applyChange(incoming.change)
     for (const { topic, published } of [...incoming.documents, ...built]) {
       if (!topics.includes(topic)) continue
       if (this._joining !== undefined) {
         this._joining.hold(topic, published)
         continue
       }
-      const taken = this._take(topic, published, now)
+      const taken = this._offer(topic, published, now)
       effects.push(...taken)
-      if (way === 'compared' && taken.length > 0) effects.push(...this._tellFirst(topic, now))
-      this._hearAge(topic, published.revision, incoming.ages[topic], now)
+      if (way === 'compared' && taken.length > 0) effects.push(...this._pushToFirst(topic, now))
+      this._adoptAge(topic, published.revision, incoming.ages[topic], now)
     }
     return effects
   }
 
   /** Handles the note with which a peer replied to a comparison, including the ages of its confirmations. */
   answered (address: string, note: SpreadNote, now: number): SpreadEffect[] {
-    for (const topic of topics) this._hearAge(topic, note.revisions[topic], note.ages[topic], now)
+    for (const topic of topics) this._adoptAge(topic, note.revisions[topic], note.ages[topic], now)
     this._joining?.heard(address)
-    return this._joinIfOver(now)
+    return this._endJoinIfOver(now)
   }
 
   /** Handles a failed comparison: the peer is skipped for some time. */
   unanswered (address: string, now: number): SpreadEffect[] {
     this._neighbourhood.silent(address, now + this._policy.patience * 2)
     this._joining?.heard(address)
-    return this._joinIfOver(now)
+    return this._endJoinIfOver(now)
   }
 
   /** Whether this process is a watcher of its zone. */
@@ -252,38 +252,38 @@
     const joining = this._joining
     if (joining === undefined) return []
     const asked = joining.ask(this._self.seeds.filter(seed => seed !== this._self.address), this._random())
-    if (asked.length > 0) this._compareAt = now + this._policy.comparePause
+    if (asked.length > 0) this._nextCompareAt = now + this._policy.compareInterval
     const note = this.note(now)
-    return [...asked.map(address => ({ type: 'compare', address, note }) as const), ...this._joinIfOver(now)]
+    return [...asked.map(address => ({ type: 'compare', address, note }) as const), ...this._endJoinIfOver(now)]
   }
 
-  private _joinIfOver (now: number): SpreadEffect[] {
+  private _endJoinIfOver (now: number): SpreadEffect[] {
     const joining = this._joining
     if (joining === undefined || !joining.over(now)) return []
     this._joining = undefined
-    return joining.newestFirst().flatMap(({ topic, published }) => this._take(topic, published, now))
+    return joining.newestFirst().flatMap(({ topic, published }) => this._offer(topic, published, now))
   }
 
   /** The list that results from a change, if this process holds its base. Otherwise a later comparison delivers the full list. */
-  private _built (change: ListChange | undefined): { readonly topic: Topic, readonly published: Published }[] {
+  private _applyChange (change: ListChange | undefined): { readonly topic: Topic, readonly published: Published }[] {
     const held = this._ledgers.instances.document
     if (change === undefined || held === undefined || change.base !== this.revision('instances')) return []
     return [{ topic: 'instances', published: applyListChange(held, change) }]
   }
 
-  private _take (topic: Topic, published: Published, now: number): SpreadEffect[] {
+  private _offer (topic: Topic, published: Published, now: number): SpreadEffect[] {
     const before = { revision: this.revision('instances'), list: this._ledgers.instances.document }
     const acceptance: Acceptance = this._ledgers[topic].offer(published)
     if (acceptance.type === 'same') return []
     if (acceptance.type === 'refused') {
       return acceptance.failure.reason === 'older' ? [] : [{ type: 'refused', topic, failure: acceptance.failure }]
     }
-    if (topic === 'instances') this._adoptedList(before, published)
+    if (topic === 'instances') this._updateList(before, published)
     return [{ type: 'adopted', topic, revision: acceptance.revision }, ...this._push(topic, now)]
   }
 
   /** Computes the change from the previous list, which is sent to peers in place of the full list. */
-  private _adoptedList (before: { readonly revision: number, readonly list: InstanceList | undefined }, published: Published): void {
+  private _updateList (before: { readonly revision: number, readonly list: InstanceList | undefined }, published: Published): void {
     this._neighbourhood = new Neighbourhood(this._self, this.instances)
     const after = this._ledgers.instances.document
     this._change = before.list === undefined || after === undefined ? undefined : listChange(before.list, before.revision, published, after)
@@ -301,7 +301,7 @@
       .map(instance => ({ type: 'push', address: addresses.get(instance) ?? '', documents }) as const)
   }
 
-  private _tellFirst (topic: Topic, now: number): SpreadEffect[] {
+  private _pushToFirst (topic: Topic, now: number): SpreadEffect[] {
     const [first] = this._neighbourhood.order
     const address = this.instances.find(record => record.instance === first)?.address
     if (address === undefined || first === this._self.instance) return []
@@ -313,46 +313,46 @@
     if (state.reading || now < state.nextReadAt) return []
     const watcher = this.isWatcher()
     const patience = this._policy.patience * (1 + jitterOf(this._self.instance, 'patience'))
-    const unheard = now - state.confirmedAt > patience
-    if (!watcher && !unheard) return []
+    const overdue = now - state.confirmedAt > patience
+    if (!watcher && !overdue) return []
     state.reading = true
     const after = this._ledgers[topic].seenRevision
     return [{ type: 'read-service', topic, after, watch: watcher && after > 0 }]
   }
 
   private _backOff (state: ServiceState, now: number): SpreadEffect[] {
-    const longest = this._longestBackoff()
+    const longest = this._maxBackoff()
     state.nextReadAt = now + Math.min(longest, state.backoff) * (0.5 + this._random())
     state.backoff = Math.min(longest, state.backoff * 2)
     return []
   }
 
   /** A process without an instance list cannot serve, so it retries more often than one that only waits for updates. */
-  private _longestBackoff (): number {
-    if (this.isWatcher()) return this._policy.longestWatcherBackoff
-    return this.revision('instances') === 0 ? this._policy.longestEmptyBackoff : this._policy.longestBackoff
+  private _maxBackoff (): number {
+    if (this.isWatcher()) return this._policy.maxWatcherBackoff
+    return this.revision('instances') === 0 ? this._policy.maxEmptyBackoff : this._policy.maxBackoff
   }
 
   /** Starts a comparison with one peer; with a peer in the own zone and one in another while confirmations are overdue. */
   private _compare (now: number): SpreadEffect[] {
-    this._compareAt = now + this._policy.comparePause * (0.75 + this._random() / 2)
+    this._nextCompareAt = now + this._policy.compareInterval * (0.75 + this._random() / 2)
     this._comparisons += 1
     // The zone may be partitioned from the service while other zones are not.
-    const unheard = this.age('configuration', now) > this._policy.patience
-    const abroad = this._comparisons % ABROAD_EVERY === 0
-    const chosen = unheard ? [this._peer(false, now), this._peer(true, now)] : [this._peer(abroad, now)]
+    const overdue = this.age('configuration', now) > this._policy.patience
+    const otherZone = this._comparisons % OTHER_ZONE_INTERVAL === 0
+    const chosen = overdue ? [this._peer(false, now), this._peer(true, now)] : [this._peer(otherZone, now)]
     const note = this.note(now)
     return [...new Set(chosen)].flatMap(address => address === undefined ? [] : [{ type: 'compare', address, note } as const])
   }
 
   /** A random peer in the own or another zone, or a seed if there is no instance list yet. */
-  private _peer (abroad: boolean, now: number): string | undefined {
-    return this._neighbourhood.pick(abroad, this._random(), now)
+  private _peer (otherZone: boolean, now: number): string | undefined {
+    return this._neighbourhood.pick(otherZone, this._random(), now)
   }
 
   /** @param byChange Whether to send the instance list as a change to the previous one. */
-  private _documents (which: readonly Topic[], byChange: boolean, now: number): SpreadDocuments {
-    const whole = byChange ? which.filter(topic => topic !== 'instances') : which
+  private _documents (requested: readonly Topic[], byChange: boolean, now: number): SpreadDocuments {
+    const whole = byChange ? requested.filter(topic => topic !== 'instances') : requested
     const documents = whole.flatMap(topic => {
       const published = this._ledgers[topic].published
       return published === undefined ? [] : [{ topic, published }]
@@ -366,7 +366,7 @@
   }
 
   /** Adopts a peer's more recent confirmation from the service if the peer holds the same revision. */
-  private _hearAge (topic: Topic, revision: number, age: number, now: number): void {
+  private _adoptAge (topic: Topic, revision: number, age: number, now: number): void {
     if (revision < this._ledgers[topic].seenRevision || !(age >= 0)) return
     if (revision > this._ledgers[topic].seenRevision) return
     const state = this._service[topic]
--- a/packages/core/src/lib/token-bucket.ts
+++ b/packages/core/src/lib/token-bucket.ts
@@ -9,7 +9,7 @@
  */
 export class TokenBucket {
   private _balance: number
-  private _at: number
+  private _refilledAt: number
 
   /**
    * @param perSecond The number of tokens added per second.
@@ -18,7 +18,7 @@
    */
   constructor (readonly perSecond: number, readonly burst: number, now: number) {
     this._balance = burst
-    this._at = now
+    this._refilledAt = now
   }
 
   /**
@@ -48,8 +48,8 @@
   }
 
   private _refill (now: number): void {
-    const elapsed = Math.max(0, now - this._at)
+    const elapsed = Math.max(0, now - this._refilledAt)
     this._balance = Math.min(this.burst, this._balance + elapsed * this.perSecond / 1000)
-    this._at = Math.max(now, this._at)
+    this._refilledAt = Math.max(now, this._refilledAt)
   }
 }
--- a/packages/core/src/lib/transfer.ts
+++ b/packages/core/src/lib/transfer.ts
@@ -45,7 +45,7 @@
   leastTimeout: 3_000
 }
 
-interface Flight {
+interface PendingFetch {
   readonly index: number
   readonly attempt: number
   readonly source: ChunkSource
@@ -60,37 +60,37 @@
   readonly count: number
 }
 
-interface Want {
+interface ChunkState {
   /** When no ancestor was usable for the first time; `undefined` until then. */
-  strandedSince: number | undefined
+  unservedSince: number | undefined
   /** The number of failed attempts for this chunk by source. */
-  readonly tried: Map<string, number>
-  notBefore: number
+  readonly failures: Map<string, number>
+  retryAt: number
 }
 
 /** How often a source may report that it does not have the chunk yet before the next source is tried. */
-const NOT_YET_PATIENCE = 3
+const MAX_FAILURES_PER_SOURCE = 3
 /** The timeout of the store and origin as a multiple of the typical duration, since they send no progress signals. */
-const TIMEOUT_FACTOR = 6
+const ORIGIN_TIMEOUT_FACTOR = 6
 /** The weight of a new sample in the moving average of fetch durations. */
 const SMOOTHING = 0.2
 /** How long a member of rank 0 waits, once all ancestors of a chunk have failed, before it reads from the origin, in milliseconds. */
-const ORIGIN_FIRST_WAIT = 600
+const ORIGIN_FIRST_WAIT_MILLISECONDS = 600
 /** The delay before a source that did not have the chunk is retried, in milliseconds. */
-const RETRY_PAUSE = 150
+const RETRY_MILLISECONDS = 150
 /** The maximum penalty, in milliseconds. Penalties double until they reach it. */
-const LONGEST_PENALTY = 20_000
+const MAX_PENALTY_MILLISECONDS = 20_000
 /** A fetch is slow if it takes longer than this, in milliseconds, and longer than `SLOW_FACTOR` times the typical duration. */
-const SLOW_AFTER = 1_000
+const SLOW_MILLISECONDS = 1_000
 const SLOW_FACTOR = 2
 /** The age, in milliseconds, at which a fetch is slow while the typical duration is unknown. */
-const SLOW_WHILE_UNKNOWN = 10_000
+const INITIAL_SLOW_MILLISECONDS = 10_000
 /** The factor by which the window is enlarged to allow for slow fetches. */
-const WIDE_WINDOW = 4
+const WINDOW_FACTOR = 4
 /** A fetch is hedged when its age reaches this multiple of the age at which it is slow. */
 const HEDGE_FACTOR = 2
 /** The maximum number of hedges started per tick. */
-const MOST_HEDGES = 4
+const MAX_HEDGES_PER_TICK = 4
 
 /** The transfer of one version to one member, driven by the caller. */
 export interface TransferCourse {
@@ -112,12 +112,12 @@
   private readonly _self: ChunkMember
   private _tree: ChunkTree
   private readonly _missing = new Set<number>()
-  private readonly _wants = new Map<number, Want>()
-  private readonly _flights = new Map<number, Flight>()
+  private readonly _chunkStates = new Map<number, ChunkState>()
+  private readonly _pending = new Map<number, PendingFetch>()
   private readonly _penalties = new Map<string, Penalty>()
   private _nextAttempt = 1
-  private _observed = 0
-  private _arrivals = 0
+  private _averageDuration = 0
+  private _completed = 0
   private _whole = false
 
   /**
@@ -158,7 +158,7 @@
       return [{ type: 'whole', manifestDigest: this._digest }]
     }
     const effects = [...this._expire(now), ...this._hedge(now)]
-    let room = this._room(now)
+    let room = this._availableFetches(now)
     for (const index of this._missing) {
       if (room <= 0) break
       const fetch = this._start(index, now)
@@ -171,18 +171,18 @@
 
   /** Records that a verified chunk has been stored. Several indexes may share its digest. */
   arrived (attempt: number, now: number): TransferEffect[] {
-    const flight = this._flights.get(attempt)
-    if (flight === undefined) return []
-    this._observe(now - flight.startedAt)
-    this._flights.delete(attempt)
-    this._arrivals += 1
-    this._alive(flight.source, now)
-    const digest = this._manifest.chunks[flight.index]?.digest
+    const pending = this._pending.get(attempt)
+    if (pending === undefined) return []
+    this._recordDuration(now - pending.startedAt)
+    this._pending.delete(attempt)
+    this._completed += 1
+    this._recordResponse(pending.source, now)
+    const digest = this._manifest.chunks[pending.index]?.digest
     const effects: TransferEffect[] = []
     for (const index of [...this._missing]) {
       if (this._manifest.chunks[index]?.digest !== digest) continue
       this._missing.delete(index)
-      this._wants.delete(index)
+      this._chunkStates.delete(index)
       effects.push(...this._abandonIndex(index))
     }
     return [...effects, ...this.tick(now)]
@@ -190,27 +190,27 @@
 
   /** Extends the deadline of an attempt whose source signals that it holds or is fetching the chunk and will send it. */
   coming (attempt: number, now: number): void {
-    const flight = this._flights.get(attempt)
-    if (flight !== undefined) flight.deadline = Math.max(flight.deadline, now + this._timeout(flight.source))
+    const pending = this._pending.get(attempt)
+    if (pending !== undefined) pending.deadline = Math.max(pending.deadline, now + this._timeout(pending.source))
   }
 
   /** Records a failed attempt. A peer that is dead or sends corrupt data is skipped for some time, and its fetches are abandoned. */
   failed (attempt: number, problem: FetchProblem, now: number): TransferEffect[] {
-    const flight = this._flights.get(attempt)
-    if (flight === undefined) return []
-    this._flights.delete(attempt)
-    this._note(flight, problem, now)
-    if (problem === 'not-yet') this._alive(flight.source, now)
+    const pending = this._pending.get(attempt)
+    if (pending === undefined) return []
+    this._pending.delete(attempt)
+    this._recordFailure(pending, problem, now)
+    if (problem === 'not-yet') this._recordResponse(pending.source, now)
     const effects: TransferEffect[] = []
-    const blamed = problem === 'corrupt' || problem === 'unreachable' || problem === 'timed-out'
-    if (blamed && flight.source.kind === 'peer') effects.push(...this._penalise(flight.source.instance, now))
+    const peerFault = problem === 'corrupt' || problem === 'unreachable' || problem === 'timed-out'
+    if (peerFault && pending.source.kind === 'peer') effects.push(...this._penalise(pending.source.instance, now))
     return [...effects, ...this.tick(now)]
   }
 
   /** Cancels the transfer of a version that is no longer wanted. */
   cancel (): TransferEffect[] {
-    const effects = [...this._flights.keys()].map(attempt => ({ type: 'abandon', attempt }) as const)
-    this._flights.clear()
+    const effects = [...this._pending.keys()].map(attempt => ({ type: 'abandon', attempt }) as const)
+    this._pending.clear()
     this._missing.clear()
     this._whole = true
     return effects
@@ -220,149 +220,149 @@
    * The number of fetches that may be started. Slow fetches mostly wait for a source that does not have the chunk yet. They
    * use no memory here and would block the window, so they count only towards an enlarged one.
    */
-  private _room (now: number): number {
-    let young = 0
-    for (const flight of this._flights.values()) if (now - flight.startedAt < this._slowAfter()) young += 1
-    const wide = this._policy.window * WIDE_WINDOW - this._flights.size
-    return Math.min(this._policy.window - young, wide)
+  private _availableFetches (now: number): number {
+    let recent = 0
+    for (const pending of this._pending.values()) if (now - pending.startedAt < this._slowAfter()) recent += 1
+    const enlarged = this._policy.window * WINDOW_FACTOR - this._pending.size
+    return Math.min(this._policy.window - recent, enlarged)
   }
 
   /** The age at which a fetch is slow. Until a window of chunks has arrived, the typical duration is unknown: on slow links, a window takes seconds. */
   private _slowAfter (): number {
-    if (this._arrivals < this._policy.window) return SLOW_WHILE_UNKNOWN
-    return Math.max(SLOW_AFTER, SLOW_FACTOR * this._observed)
+    if (this._completed < this._policy.window) return INITIAL_SLOW_MILLISECONDS
+    return Math.max(SLOW_MILLISECONDS, SLOW_FACTOR * this._averageDuration)
   }
 
   /** Requests slow chunks from a second source as well. The first copy to arrive is kept. */
   private _hedge (now: number): TransferEffect[] {
     const effects: TransferEffect[] = []
-    const slow = [...this._flights.values()].filter(flight => !flight.hedged && flight.source.kind === 'peer' && now - flight.startedAt >= HEDGE_FACTOR * this._slowAfter())
-    for (const flight of slow.slice(0, MOST_HEDGES)) {
-      flight.hedged = true
-      const chunk = this._manifest.chunks[flight.index]
-      const instance = flight.source.kind === 'peer' ? flight.source.instance : ''
-      const place = this._tree.place(flight.index, chunk?.digest ?? '')
-      const want = this._want(flight.index, now)
-      const other = place.ancestors.find(ancestor => ancestor !== instance && this._usable(ancestor, want, now))
-      if (chunk !== undefined && other !== undefined) effects.push(this._fly(flight.index, { kind: 'peer', instance: other }, true, now))
+    const slow = [...this._pending.values()].filter(pending => !pending.hedged && pending.source.kind === 'peer' && now - pending.startedAt >= HEDGE_FACTOR * this._slowAfter())
+    for (const pending of slow.slice(0, MAX_HEDGES_PER_TICK)) {
+      pending.hedged = true
+      const chunk = this._manifest.chunks[pending.index]
+      const instance = pending.source.kind === 'peer' ? pending.source.instance : ''
+      const position = this._tree.position(pending.index, chunk?.digest ?? '')
+      const state = this._chunkState(pending.index, now)
+      const other = position.ancestors.find(ancestor => ancestor !== instance && this._usable(ancestor, state, now))
+      if (chunk !== undefined && other !== undefined) effects.push(this._request(pending.index, { kind: 'peer', instance: other }, true, now))
     }
     return effects
   }
 
   private _start (index: number, now: number): TransferEffect | undefined {
     const chunk = this._manifest.chunks[index]
-    if (chunk === undefined || this._inFlight(index)) return undefined
-    const want = this._want(index, now)
-    if (now < want.notBefore) return undefined
-    const source = this._source(index, chunk.digest, want, now)
+    if (chunk === undefined || this._isInFlight(index)) return undefined
+    const state = this._chunkState(index, now)
+    if (now < state.retryAt) return undefined
+    const source = this._source(index, chunk.digest, state, now)
     if (source === undefined) return undefined
-    return this._fly(index, source, false, now)
+    return this._request(index, source, false, now)
   }
 
-  private _fly (index: number, source: ChunkSource, hedged: boolean, now: number): TransferEffect {
+  private _request (index: number, source: ChunkSource, hedged: boolean, now: number): TransferEffect {
     const { digest = '', bytes = 0 } = this._manifest.chunks[index] ?? {}
     const attempt = this._nextAttempt++
     const timeout = this._timeout(source)
-    this._flights.set(attempt, { index, attempt, source, startedAt: now, deadline: now + timeout, hedged })
+    this._pending.set(attempt, { index, attempt, source, startedAt: now, deadline: now + timeout, hedged })
     return { type: 'fetch', attempt, index, digest, bytes, source, timeout }
   }
 
-  private _source (index: number, digest: string, want: Want, now: number): ChunkSource | undefined {
-    const place = this._tree.place(index, digest)
-    if (place.ancestors.length === 0) return this._upstream(want)
-    for (const instance of [...place.ancestors, ...place.substitutes]) {
-      if (this._usable(instance, want, now)) return { kind: 'peer', instance }
+  private _source (index: number, digest: string, state: ChunkState, now: number): ChunkSource | undefined {
+    const position = this._tree.position(index, digest)
+    if (position.ancestors.length === 0) return this._upstream(state)
+    for (const instance of [...position.ancestors, ...position.fallbacks]) {
+      if (this._usable(instance, state, now)) return { kind: 'peer', instance }
     }
-    want.strandedSince ??= now
-    if (now - want.strandedSince >= ORIGIN_FIRST_WAIT + place.rank * this._policy.originStagger) return this._upstream(want)
+    state.unservedSince ??= now
+    if (now - state.unservedSince >= ORIGIN_FIRST_WAIT_MILLISECONDS + position.rank * this._policy.originStagger) return this._upstream(state)
     for (const instance of this._tree.neighbours()) {
-      if (this._usable(instance, want, now)) return { kind: 'peer', instance }
+      if (this._usable(instance, state, now)) return { kind: 'peer', instance }
     }
-    want.tried.clear()
-    want.notBefore = now + RETRY_PAUSE
+    state.failures.clear()
+    state.retryAt = now + RETRY_MILLISECONDS
     return undefined
   }
 
   /** Alternates between the origin and the store, choosing the one with fewer failed attempts for the chunk and the origin on a tie. */
-  private _upstream (want: Want): ChunkSource {
-    const store = want.tried.get('store') ?? 0
-    const origin = want.tried.get('origin') ?? 0
+  private _upstream (state: ChunkState): ChunkSource {
+    const store = state.failures.get('store') ?? 0
+    const origin = state.failures.get('origin') ?? 0
     return origin <= store ? { kind: 'origin' } : { kind: 'store' }
   }
 
-  private _usable (instance: string, want: Want, now: number): boolean {
+  private _usable (instance: string, state: ChunkState, now: number): boolean {
     if ((this._penalties.get(instance)?.until ?? 0) > now) return false
-    return (want.tried.get(instance) ?? 0) < NOT_YET_PATIENCE
+    return (state.failures.get(instance) ?? 0) < MAX_FAILURES_PER_SOURCE
   }
 
-  private _want (index: number, now: number): Want {
-    const known = this._wants.get(index)
-    if (known !== undefined) return known
-    const want: Want = { strandedSince: undefined, tried: new Map(), notBefore: now }
-    this._wants.set(index, want)
-    return want
+  private _chunkState (index: number, now: number): ChunkState {
+    const existing = this._chunkStates.get(index)
+    if (existing !== undefined) return existing
+    const state: ChunkState = { unservedSince: undefined, failures: new Map(), retryAt: now }
+    this._chunkStates.set(index, state)
+    return state
   }
 
-  private _note (flight: Flight, problem: FetchProblem, now: number): void {
-    const want = this._want(flight.index, now)
-    const name = flight.source.kind === 'peer' ? flight.source.instance : flight.source.kind
-    const count = (want.tried.get(name) ?? 0) + 1
-    const patient = problem === 'not-yet' || problem === 'not-held'
-    want.tried.set(name, patient ? count : Math.max(count, NOT_YET_PATIENCE))
+  private _recordFailure (pending: PendingFetch, problem: FetchProblem, now: number): void {
+    const state = this._chunkState(pending.index, now)
+    const name = pending.source.kind === 'peer' ? pending.source.instance : pending.source.kind
+    const count = (state.failures.get(name) ?? 0) + 1
+    const temporary = problem === 'not-yet' || problem === 'not-held'
+    state.failures.set(name, temporary ? count : Math.max(count, MAX_FAILURES_PER_SOURCE))
     // A peer without any chunk may not have received the configuration of the version yet, which takes milliseconds.
-    if (flight.source.kind !== 'peer' || problem === 'not-held') want.notBefore = now + RETRY_PAUSE
+    if (pending.source.kind !== 'peer' || problem === 'not-held') state.retryAt = now + RETRY_MILLISECONDS
   }
 
   private _penalise (instance: string, now: number): TransferEffect[] {
     const count = this._penalties.get(instance)?.count ?? 0
-    const penalty = Math.min(LONGEST_PENALTY, this._policy.penalty * 2 ** count)
+    const penalty = Math.min(MAX_PENALTY_MILLISECONDS, this._policy.penalty * 2 ** count)
     this._penalties.set(instance, { until: now + penalty, count: count + 1 })
     const effects: TransferEffect[] = []
-    for (const flight of [...this._flights.values()]) {
-      if (flight.source.kind !== 'peer' || flight.source.instance !== instance) continue
-      this._flights.delete(flight.attempt)
-      effects.push({ type: 'abandon', attempt: flight.attempt })
+    for (const pending of [...this._pending.values()]) {
+      if (pending.source.kind !== 'peer' || pending.source.instance !== instance) continue
+      this._pending.delete(pending.attempt)
+      effects.push({ type: 'abandon', attempt: pending.attempt })
     }
     return effects
   }
 
   private _expire (now: number): TransferEffect[] {
-    const late = [...this._flights.values()].filter(flight => flight.deadline <= now)
+    const late = [...this._pending.values()].filter(pending => pending.deadline <= now)
     const effects: TransferEffect[] = []
-    for (const flight of late) {
-      if (!this._flights.delete(flight.attempt)) continue
-      effects.push({ type: 'abandon', attempt: flight.attempt })
-      this._note(flight, 'timed-out', now)
-      if (flight.source.kind === 'peer') effects.push(...this._penalise(flight.source.instance, now))
+    for (const pending of late) {
+      if (!this._pending.delete(pending.attempt)) continue
+      effects.push({ type: 'abandon', attempt: pending.attempt })
+      this._recordFailure(pending, 'timed-out', now)
+      if (pending.source.kind === 'peer') effects.push(...this._penalise(pending.source.instance, now))
     }
     return effects
   }
 
   /** Clears the penalty of a source that has responded and extends the deadlines of its other fetches, since it is serving its queue. */
-  private _alive (source: ChunkSource, now: number): void {
+  private _recordResponse (source: ChunkSource, now: number): void {
     if (source.kind === 'peer') this._penalties.delete(source.instance)
-    for (const flight of this._flights.values()) {
-      if (sameSource(flight.source, source)) flight.deadline = Math.max(flight.deadline, now + this._timeout(source))
+    for (const pending of this._pending.values()) {
+      if (sameSource(pending.source, source)) pending.deadline = Math.max(pending.deadline, now + this._timeout(source))
     }
   }
 
   private _abandonIndex (index: number): TransferEffect[] {
     const effects: TransferEffect[] = []
-    for (const flight of [...this._flights.values()]) {
-      if (flight.index !== index) continue
-      this._flights.delete(flight.attempt)
-      effects.push({ type: 'abandon', attempt: flight.attempt })
+    for (const pending of [...this._pending.values()]) {
+      if (pending.index !== index) continue
+      this._pending.delete(pending.attempt)
+      effects.push({ type: 'abandon', attempt: pending.attempt })
     }
     return effects
   }
 
-  private _inFlight (index: number): boolean {
-    for (const flight of this._flights.values()) if (flight.index === index) return true
+  private _isInFlight (index: number): boolean {
+    for (const pending of this._pending.values()) if (pending.index === index) return true
     return false
   }
 
-  private _observe (took: number): void {
-    this._observed = this._observed === 0 ? took : this._observed + SMOOTHING * (took - this._observed)
+  private _recordDuration (duration: number): void {
+    this._averageDuration = this._averageDuration === 0 ? duration : this._averageDuration + SMOOTHING * (duration - this._averageDuration)
   }
 
   /**
@@ -371,7 +371,7 @@
    */
   private _timeout (source: ChunkSource): number {
     if (source.kind === 'peer') return this._policy.leastTimeout
-    return TIMEOUT_FACTOR * Math.max(this._policy.leastTimeout, this._observed)
+    return ORIGIN_TIMEOUT_FACTOR * Math.max(this._policy.leastTimeout, this._averageDuration)
   }
 }
 
--- a/packages/core/src/test/lib/answer-stream_test.ts
+++ b/packages/core/src/test/lib/answer-stream_test.ts
@@ -9,7 +9,7 @@
 
 type Step = number | 'end 3' | 'end 2'
 
-function play (steps: readonly Step[]): { text: string, whole: boolean, broken: boolean } {
+function runSteps (steps: readonly Step[]): { text: string, whole: boolean, broken: boolean } {
   const stream = new AnswerStream<string>()
   let text = ''
   let broken = false
@@ -34,6 +34,6 @@
     ['rejects a part too far ahead', [5000], '', false, true]
   ]
   for (const [name, steps, text, whole, broken] of cases) {
-    it(name, () => assert.deepEqual(play(steps), { text, whole, broken }))
+    it(name, () => assert.deepEqual(runSteps(steps), { text, whole, broken }))
   }
 })
--- a/packages/core/src/test/lib/chunk-tree_test.ts
+++ b/packages/core/src/test/lib/chunk-tree_test.ts
@@ -25,14 +25,14 @@
         const members = membersOf(count, zones)
         const trees = treesOf(members, copies, strategy)
         for (let chunk = 0; chunk < CHUNKS; chunk += 1) {
-          const places = new Map(trees.map(tree => [tree.self.instance, tree.place(chunk, `digest-${chunk}`)]))
-          const roots = [...places.values()].filter(place => place.ancestors.length === 0)
+          const positions = new Map(trees.map(tree => [tree.self.instance, tree.position(chunk, `digest-${chunk}`)]))
+          const roots = [...positions.values()].filter(position => position.ancestors.length === 0)
           assert.equal(roots.length, Math.min(count, copies))
-          for (const [instance, place] of places) {
-            assert.ok(!place.ancestors.includes(instance), 'no member is its own ancestor')
-            assert.equal(new Set(place.ancestors).size, place.ancestors.length)
-            const [parent, ...rest] = place.ancestors
-            if (parent !== undefined) assert.deepEqual(places.get(parent)?.ancestors, rest, 'all members compute the same tree')
+          for (const [instance, position] of positions) {
+            assert.ok(!position.ancestors.includes(instance), 'no member is its own ancestor')
+            assert.equal(new Set(position.ancestors).size, position.ancestors.length)
+            const [parent, ...rest] = position.ancestors
+            if (parent !== undefined) assert.deepEqual(positions.get(parent)?.ancestors, rest, 'all members compute the same tree')
           }
         }
       })
@@ -44,7 +44,7 @@
     const sent = new Map<string, number>()
     for (const tree of treesOf(members, 1, 'rotation')) {
       for (let chunk = 0; chunk < CHUNKS; chunk += 1) {
-        const parent = tree.place(chunk, '').ancestors[0]
+        const parent = tree.position(chunk, '').ancestors[0]
         if (parent !== undefined) sent.set(parent, (sent.get(parent) ?? 0) + 1)
       }
     }
@@ -57,7 +57,7 @@
     const trees = treesOf(members, 1, 'rotation')
     for (let chunk = 0; chunk < CHUNKS; chunk += 1) {
       const crossings = trees.filter(tree => {
-        const parent = tree.place(chunk, '').ancestors[0]
+        const parent = tree.position(chunk, '').ancestors[0]
         return parent !== undefined && zoneOf.get(parent) !== tree.self.availabilityZone
       })
       assert.equal(crossings.length, 2)
@@ -66,6 +66,6 @@
 
   it('reads every chunk from the origin with the origin strategy', () => {
     const tree = new ChunkTree({ instance: 'agent-3', availabilityZone: 'zone-0' }, membersOf(9, 3), 1, 'origin')
-    assert.deepEqual(tree.place(5, '').ancestors, [])
+    assert.deepEqual(tree.position(5, '').ancestors, [])
   })
 })
--- a/packages/core/src/test/lib/claims_test.ts
+++ b/packages/core/src/test/lib/claims_test.ts
@@ -5,12 +5,12 @@
  */
 import assert from 'node:assert/strict'
 import { describe, it } from 'node:test'
-import { ClaimKeeper, ClaimQuorum, keepersOf, neededVouches, type ClaimReply } from '../../lib/claims.js'
+import { ClaimKeeper, ClaimQuorum, keepersOf, requiredConfirmations, type ClaimReply } from '../../lib/claims.js'
 import { formatIssuedId, parseIssuedId } from '../../lib/issued-id.js'
 
 const policy = { repeatWindow: 1_000, recordsPerOrganisation: 2 }
 
-function oldKeeper (): ClaimKeeper {
+function listedKeeper (): ClaimKeeper {
   const keeper = new ClaimKeeper('agent-1.aa', policy)
   keeper.listed(0)
   return keeper
@@ -18,7 +18,7 @@
 
 describe('ClaimKeeper', () => {
   it('confirms only the first attempt for an id', () => {
-    const keeper = oldKeeper()
+    const keeper = listedKeeper()
     assert.equal(keeper.claim('o', 'id', 'one', 'b', 2_000).type, 'vouched')
     assert.equal(keeper.claim('o', 'id', 'one', 'b', 2_000).type, 'vouched', 'a repeated claim of the same attempt')
     assert.deepEqual(keeper.claim('o', 'id', 'two', 'b', 2_000), { type: 'seen', attempt: 'one', bodyDigest: 'b' })
@@ -34,7 +34,7 @@
   })
 
   it('refuses claims at its bound and deletes records after the repeat window', () => {
-    const keeper = oldKeeper()
+    const keeper = listedKeeper()
     keeper.claim('o', 'a', 'one', 'b', 2_000)
     keeper.claim('o', 'b', 'one', 'b', 2_000)
     assert.equal(keeper.claim('o', 'c', 'one', 'b', 2_000).type, 'full')
@@ -43,7 +43,7 @@
   })
 
   it('releases a claim only for the attempt that made it', () => {
-    const keeper = oldKeeper()
+    const keeper = listedKeeper()
     keeper.claim('o', 'id', 'one', 'b', 2_000)
     keeper.release('o', 'id', 'two')
     assert.equal(keeper.claim('o', 'id', 'two', 'b', 2_000).type, 'seen')
@@ -89,21 +89,21 @@
     assert.deepEqual(keepersOf(agents, 'o', id), { instances: ['x-1', 'x-2', 'x-3', 'x-4', 'x-5'], needed: 3 })
   })
   it('requires all of fewer than four keepers', () => {
-    assert.deepEqual([1, 2, 3, 4, 5].map(neededVouches), [1, 2, 3, 3, 4])
+    assert.deepEqual([1, 2, 3, 4, 5].map(requiredConfirmations), [1, 2, 3, 3, 4])
   })
 })
 
 describe('ClaimQuorum', () => {
   const vouched: ClaimReply = { type: 'vouched' }
-  const young: ClaimReply = { type: 'young', wait: 300 }
+  const recent: ClaimReply = { type: 'young', wait: 300 }
   const other = (bodyDigest: string): ClaimReply => ({ type: 'seen', attempt: 'other', bodyDigest })
   const cases: [name: string, replies: (ClaimReply | 'unreachable')[], verdict: string][] = [
     ['too few replies yet', [vouched, vouched, vouched], 'open'],
     ['four of five confirm', [vouched, vouched, vouched, vouched], 'granted'],
     ['one is unreachable', [vouched, 'unreachable', vouched, vouched, vouched], 'granted'],
     ['two are unreachable', [vouched, 'unreachable', 'unreachable', vouched, vouched], 'unreachable'],
-    ['one is not listed long enough', [vouched, young, vouched, vouched, vouched], 'granted'],
-    ['two are not listed long enough', [young, young, vouched, vouched], 'young'],
+    ['one is not listed long enough', [vouched, recent, vouched, vouched, vouched], 'granted'],
+    ['two are not listed long enough', [recent, recent, vouched, vouched], 'young'],
     ['one has recorded another attempt', [vouched, other('b')], 'seen'],
     ['one has recorded another attempt with a different body', [vouched, other('c')], 'conflict'],
     ['two have reached their bound', [{ type: 'full' }, { type: 'full' }, vouched, vouched, vouched], 'full']
--- a/packages/core/src/test/lib/engine-switch_test.ts
+++ b/packages/core/src/test/lib/engine-switch_test.ts
@@ -11,7 +11,7 @@
 
 const members: InstanceRecord[] = ['a', 'b'].map(instance => ({ instance, availabilityZone: 'koshi', role: 'agent', address: '10.0.0.1:1', endpoint: 'p', state: 'live' }))
 const alone = members.filter(member => member.instance === 'a')
-const SETTLED = 10_000
+const SETTLED_AT = 10_000
 
 function report (change: Partial<EngineReport> = {}): EngineReport {
   return { version: 'v1', loading: '', failed: '', fence: 1, running: 0, ...change }
@@ -22,12 +22,12 @@
 }
 
 /** Returns a switch whose agent took its engine over at time 0. */
-function taken (): { engineSwitch: EngineSwitch, door: AdmissionDoor } {
-  const door = new AdmissionDoor('a.1', 4)
-  const engineSwitch = new EngineSwitch('a', door, 0)
+function takenOverSwitch (): { engineSwitch: EngineSwitch, admission: AdmissionDoor } {
+  const admission = new AdmissionDoor('a.1', 4)
+  const engineSwitch = new EngineSwitch('a', admission, 0)
   engineSwitch.step(report({ fence: 0 }), situation(), 0)
   engineSwitch.tookOver(1, 'taken', 0)
-  return { engineSwitch, door }
+  return { engineSwitch, admission }
 }
 
 const types = (effects: readonly SwitchEffect[]): string[] => effects.map(effect => effect.type)
@@ -38,7 +38,7 @@
     assert.deepEqual(engineSwitch.step(report({ fence: 6 }), situation(), 100), [{ type: 'take-over', fence: 7 }])
   })
 
-  const ends: [name: string, act: (engineSwitch: EngineSwitch) => SwitchEffect[]][] = [
+  const replacements: [name: string, act: (engineSwitch: EngineSwitch) => SwitchEffect[]][] = [
     ['another agent took over first', engineSwitch => engineSwitch.tookOver(7, 'stale-fence', 200)],
     ['it was paused before the take-over', engineSwitch => engineSwitch.step(report(), situation(), 9_000)],
     ['a newer agent has taken the engine over', engineSwitch => {
@@ -46,13 +46,13 @@
       return engineSwitch.step(report({ fence: 8 }), situation(), 300)
     }]
   ]
-  for (const [name, act] of ends) {
+  for (const [name, act] of replacements) {
     it(`stops when ${name}`, () => {
-      const door = new AdmissionDoor('a.1', 4)
-      const engineSwitch = new EngineSwitch('a', door, 0)
+      const admission = new AdmissionDoor('a.1', 4)
+      const engineSwitch = new EngineSwitch('a', admission, 0)
       engineSwitch.step(report({ fence: 6 }), situation(), 100)
       assert.deepEqual(types(act(engineSwitch)), ['replaced'])
-      assert.equal(door.lifecycle, 'stopped')
+      assert.equal(admission.lifecycle, 'stopped')
       assert.deepEqual(engineSwitch.step(report(), situation(), 10_000), [])
     })
   }
@@ -69,24 +69,24 @@
   ]
   for (const [name, engine, at, effects, serving] of steps) {
     it(name, () => {
-      const { engineSwitch, door } = taken()
-      assert.deepEqual(types(engineSwitch.step(engine, at, SETTLED)), effects)
-      assert.equal(door.serving, serving)
+      const { engineSwitch, admission } = takenOverSwitch()
+      assert.deepEqual(types(engineSwitch.step(engine, at, SETTLED_AT)), effects)
+      assert.equal(admission.serving, serving)
     })
   }
 
   it('queries the previous wave and halts when it failed', () => {
     const pair = ['a', 'b'].map(self => {
-      const door = new AdmissionDoor(`${self}.1`, 4)
-      const engineSwitch = new EngineSwitch(self, door, 0)
+      const admission = new AdmissionDoor(`${self}.1`, 4)
+      const engineSwitch = new EngineSwitch(self, admission, 0)
       engineSwitch.step(report({ fence: 0 }), situation({ members }), 0)
       engineSwitch.tookOver(1, 'taken', 0)
-      return { engineSwitch, first: types(engineSwitch.step(report(), situation({ members }), SETTLED)) }
+      return { engineSwitch, first: types(engineSwitch.step(report(), situation({ members }), SETTLED_AT)) }
     })
     const second = pair.find(({ first }) => first.includes('ask-progress'))
     assert.equal(pair.filter(({ first }) => first.includes('began')).length, 1, 'exactly one engine starts first')
-    for (const name of ['a', 'b']) second?.engineSwitch.heard(name, 'failed', SETTLED)
-    assert.deepEqual(types(second?.engineSwitch.step(report(), situation({ members }), SETTLED + 200) ?? []), ['halted', 'ask-progress'])
+    for (const name of ['a', 'b']) second?.engineSwitch.heard(name, 'failed', SETTLED_AT)
+    assert.deepEqual(types(second?.engineSwitch.step(report(), situation({ members }), SETTLED_AT + 200) ?? []), ['halted', 'ask-progress'])
     assert.equal(second?.engineSwitch.halted, true)
   })
 
@@ -96,50 +96,50 @@
       const engineSwitch = new EngineSwitch(self, new AdmissionDoor(`${self}.1`, 4), 0)
       engineSwitch.step(report({ fence: 0 }), situation({ members: many }), 0)
       engineSwitch.tookOver(1, 'taken', 0)
-      return types(engineSwitch.step(report(), situation({ members: many }), SETTLED)).includes('ask-progress')
+      return types(engineSwitch.step(report(), situation({ members: many }), SETTLED_AT)).includes('ask-progress')
     }) ?? ''
     const engineSwitch = new EngineSwitch(last, new AdmissionDoor(`${last}.1`, 4), 0)
     engineSwitch.step(report({ fence: 0 }), situation({ members: many }), 0)
     engineSwitch.tookOver(1, 'taken', 0)
     let asked = 0
-    for (let now = SETTLED; now < SETTLED + 10_000; now += 200) {
+    for (let now = SETTLED_AT; now < SETTLED_AT + 10_000; now += 200) {
       for (const effect of engineSwitch.step(report(), situation({ members: many }), now)) if (effect.type === 'ask-progress') asked += effect.instances.length
     }
     assert.ok(asked >= 128 && asked <= 192, `${asked}`)
   })
 
   it('waits for its requests, loads, and reopens admission when the engine reports the version', () => {
-    const { engineSwitch, door } = taken()
+    const { engineSwitch, admission } = takenOverSwitch()
     engineSwitch.step(report(), situation({ target: undefined }), 5_000)
-    const run = door.run(0)
-    assert.deepEqual(types(engineSwitch.step(report(), situation(), SETTLED)), ['began'])
-    assert.equal(door.run(0).type, 'refused')
-    door.finished(run.type === 'admitted' ? run.run : 0)
-    assert.deepEqual(types(engineSwitch.step(report(), situation(), SETTLED + 200)), ['order-load'])
-    engineSwitch.loadAnswered('v2', 'ordered', SETTLED + 210)
-    assert.deepEqual(engineSwitch.step(report({ loading: 'v2' }), situation(), SETTLED + 400), [])
-    assert.equal(door.run(0).type, 'refused')
-    assert.deepEqual(types(engineSwitch.step(report({ version: 'v2' }), situation(), SETTLED + 600)), ['switched'])
-    assert.equal(door.run(0).type, 'admitted')
+    const run = admission.run(0)
+    assert.deepEqual(types(engineSwitch.step(report(), situation(), SETTLED_AT)), ['began'])
+    assert.equal(admission.run(0).type, 'refused')
+    admission.finished(run.type === 'admitted' ? run.run : 0)
+    assert.deepEqual(types(engineSwitch.step(report(), situation(), SETTLED_AT + 200)), ['order-load'])
+    engineSwitch.loadAnswered('v2', 'ordered', SETTLED_AT + 210)
+    assert.deepEqual(engineSwitch.step(report({ loading: 'v2' }), situation(), SETTLED_AT + 400), [])
+    assert.equal(admission.run(0).type, 'refused')
+    assert.deepEqual(types(engineSwitch.step(report({ version: 'v2' }), situation(), SETTLED_AT + 600)), ['switched'])
+    assert.equal(admission.run(0).type, 'admitted')
   })
 
   const answers: [result: 'stale-fence' | 'refused' | 'refused-here' | 'unreachable', open: boolean][] = [['stale-fence', true], ['refused', true], ['refused-here', true], ['unreachable', false]]
   for (const [result, open] of answers) {
     it(`keeps admission ${open ? 'open' : 'closed'} after a load order with the result "${result}"`, () => {
-      const { engineSwitch, door } = taken()
-      engineSwitch.step(report(), situation(), SETTLED)
-      engineSwitch.loadAnswered('v2', result, SETTLED)
-      assert.equal(door.run(0).type === 'admitted', open)
+      const { engineSwitch, admission } = takenOverSwitch()
+      engineSwitch.step(report(), situation(), SETTLED_AT)
+      engineSwitch.loadAnswered('v2', result, SETTLED_AT)
+      assert.equal(admission.run(0).type === 'admitted', open)
     })
   }
 
   it('keeps serving the old version when a load fails and does not retry the load', () => {
-    const { engineSwitch, door } = taken()
-    engineSwitch.step(report(), situation(), SETTLED)
-    engineSwitch.loadAnswered('v2', 'ordered', SETTLED)
-    assert.deepEqual(types(engineSwitch.step(report({ failed: 'v2' }), situation(), SETTLED + 400)), ['load-failed'])
-    assert.equal(door.run(0).type, 'admitted')
+    const { engineSwitch, admission } = takenOverSwitch()
+    engineSwitch.step(report(), situation(), SETTLED_AT)
+    engineSwitch.loadAnswered('v2', 'ordered', SETTLED_AT)
+    assert.deepEqual(types(engineSwitch.step(report({ failed: 'v2' }), situation(), SETTLED_AT + 400)), ['load-failed'])
+    assert.equal(admission.run(0).type, 'admitted')
     assert.equal(engineSwitch.progress('v2'), 'failed')
-    assert.deepEqual(engineSwitch.step(report({ failed: 'v2' }), situation(), SETTLED + 60_000), [])
+    assert.deepEqual(engineSwitch.step(report({ failed: 'v2' }), situation(), SETTLED_AT + 60_000), [])
   })
 })
--- a/packages/core/src/test/lib/rollout_test.ts
+++ b/packages/core/src/test/lib/rollout_test.ts
@@ -6,7 +6,7 @@
 import assert from 'node:assert/strict'
 import { describe, it } from 'node:test'
 import type { InstanceRecord } from '../../lib/documents.js'
-import { previousWave, SwitchGate, WAVE_PATIENCE, type SwitchProgress } from '../../lib/rollout.js'
+import { previousWave, SwitchGate, WAVE_TIMEOUT_MILLISECONDS, type SwitchProgress } from '../../lib/rollout.js'
 
 function pool (zones: readonly number[]): InstanceRecord[] {
   return zones.flatMap((count, zone) => Array.from({ length: count }, (_, index) => ({
@@ -46,9 +46,9 @@
     ['waits for every member of the wave', { a: 'serving', b: 'waiting' }, 0, 'wait'],
     ['allows the switch when all members serve', { a: 'serving', b: 'serving' }, 0, 'go'],
     ['halts when half of the wave has failed', { a: 'failed', b: 'serving' }, 0, 'halt'],
-    ['waits for an unreachable member at first', { a: 'serving', b: 'unreachable' }, WAVE_PATIENCE - 1, 'wait'],
-    ['stops waiting for an unreachable member after the timeout', { a: 'serving', b: 'unreachable' }, WAVE_PATIENCE, 'go'],
-    ['allows the switch when the whole wave is unreachable for the timeout', { a: 'unreachable', b: 'unreachable' }, WAVE_PATIENCE, 'go'],
+    ['waits for an unreachable member at first', { a: 'serving', b: 'unreachable' }, WAVE_TIMEOUT_MILLISECONDS - 1, 'wait'],
+    ['stops waiting for an unreachable member after the timeout', { a: 'serving', b: 'unreachable' }, WAVE_TIMEOUT_MILLISECONDS, 'go'],
+    ['allows the switch when the whole wave is unreachable for the timeout', { a: 'unreachable', b: 'unreachable' }, WAVE_TIMEOUT_MILLISECONDS, 'go'],
     ['waits without any reports', {}, 0, 'wait']
   ]
   for (const [name, reports, at, decision] of cases) {
--- a/packages/core/src/test/lib/spread_test.ts
+++ b/packages/core/src/test/lib/spread_test.ts
@@ -13,14 +13,14 @@
 }))
 const empty = { models: {}, pools: {}, services: {}, organisations: {} }
 
-function starting (index: number, seeds = ['10.0.0.0:1', '10.0.0.29:1']): Spread {
+function joiningProcess (index: number, seeds = ['10.0.0.0:1', '10.0.0.29:1']): Spread {
   const record = records[index] as InstanceRecord
   return new Spread({ ...record, seeds, source: 's' }, () => 0.5, 0)
 }
 
 /** Returns a process without seeds, which therefore ends its join phase at the first tick. */
-function processOf (index: number): Spread {
-  const spread = starting(index, [])
+function joinedProcess (index: number): Spread {
+  const spread = joiningProcess(index, [])
   spread.tick(-1)
   return spread
 }
@@ -33,47 +33,47 @@
 
 describe('Spread', () => {
   it('reads the service and queries its seeds at the start', () => {
-    const effects = starting(3).tick(500)
+    const effects = joiningProcess(3).tick(500)
     assert.deepEqual(types(effects).sort(), ['compare', 'compare', 'read-service', 'read-service'])
   })
 
-  const joins: [name: string, act: (spread: Spread) => void, revision: number][] = [
+  const joinCases: [name: string, act: (spread: Spread) => void, revision: number][] = [
     ['waits for peers before it adopts a document of the service', () => {}, 0],
     ['prefers the newer document of a peer to that of a stale service', spread => {
-      const peer = processOf(1)
+      const peer = joinedProcess(1)
       publish(peer, 'configuration', 9)
       spread.received(peer.compared(spread.note(0), 0).reply, 'compared', 0)
       spread.answered('10.0.0.0:1', peer.note(0), 0)
       spread.unanswered('10.0.0.29:1', 0)
     }, 9],
     ['adopts the newest valid document when the newest is invalid', spread => {
-      const say = (revision: number, document: unknown): void => { spread.received({ documents: [{ topic: 'configuration', published: { source: 's', revision, document } }], ages: starting(1).note(0).ages }, 'pushed', 0) }
-      say(9, empty)
-      say(11, { pools: 1 })
-      spread.tick(defaultSpreadPolicy.joinPatience)
+      const receive = (revision: number, document: unknown): void => { spread.received({ documents: [{ topic: 'configuration', published: { source: 's', revision, document } }], ages: joiningProcess(1).note(0).ages }, 'pushed', 0) }
+      receive(9, empty)
+      receive(11, { pools: 1 })
+      spread.tick(defaultSpreadPolicy.joinTimeout)
     }, 9],
     ['adopts the newest document received from peers, not the first', spread => {
-      for (const revision of [5, 9, 7]) spread.received({ documents: [{ topic: 'configuration', published: { source: 's', revision, document: empty } }], ages: starting(1).note(0).ages }, 'pushed', 0)
-      spread.tick(defaultSpreadPolicy.joinPatience)
+      for (const revision of [5, 9, 7]) spread.received({ documents: [{ topic: 'configuration', published: { source: 's', revision, document: empty } }], ages: joiningProcess(1).note(0).ages }, 'pushed', 0)
+      spread.tick(defaultSpreadPolicy.joinTimeout)
     }, 9],
     ['adopts the document of the service when peers hold none', spread => {
-      spread.answered('10.0.0.0:1', starting(1).note(0), 0)
-      spread.answered('10.0.0.29:1', starting(2).note(0), 0)
+      spread.answered('10.0.0.0:1', joiningProcess(1).note(0), 0)
+      spread.answered('10.0.0.29:1', joiningProcess(2).note(0), 0)
     }, 3],
     ['adopts the document of the service when peers are unreachable', spread => {
       spread.unanswered('10.0.0.0:1', 0)
       spread.unanswered('10.0.0.29:1', 0)
     }, 3],
     ['ignores answers of peers that it did not query', spread => {
-      spread.answered('10.0.0.7:1', starting(7).note(0), 0)
-      spread.answered('10.0.0.8:1', starting(8).note(0), 0)
+      spread.answered('10.0.0.7:1', joiningProcess(7).note(0), 0)
+      spread.answered('10.0.0.8:1', joiningProcess(8).note(0), 0)
     }, 0],
     ['waits for all queried peers', spread => { spread.unanswered('10.0.0.0:1', 0) }, 0],
-    ['adopts the document of the service when the join timeout expires', spread => { spread.tick(defaultSpreadPolicy.joinPatience) }, 3]
+    ['adopts the document of the service when the join timeout expires', spread => { spread.tick(defaultSpreadPolicy.joinTimeout) }, 3]
   ]
-  for (const [name, act, revision] of joins) {
+  for (const [name, act, revision] of joinCases) {
     it(`at its start, ${name}`, () => {
-      const spread = starting(3)
+      const spread = joiningProcess(3)
       spread.tick(0)
       publish(spread, 'configuration', 3)
       act(spread)
@@ -82,7 +82,7 @@
   }
 
   it('has two watchers per zone, and only they continue to read', () => {
-    const spreads = records.map((_, index) => processOf(index))
+    const spreads = records.map((_, index) => joinedProcess(index))
     for (const spread of spreads) publish(spread, 'instances', 1)
     assert.equal(spreads.filter(spread => spread.isWatcher()).length, 6)
     for (const spread of spreads) {
@@ -93,7 +93,7 @@
   })
 
   it('reaches every member of a zone by pushes from its first watcher', () => {
-    const spreads = new Map(records.map((record, index) => [record.address, processOf(index)]))
+    const spreads = new Map(records.map((record, index) => [record.address, joinedProcess(index)]))
     for (const spread of spreads.values()) publish(spread, 'instances', 1)
     for (const zone of ['zone-0', 'zone-1', 'zone-2']) {
       const members = records.filter(record => record.availabilityZone === zone)
@@ -103,7 +103,7 @@
   })
 
   it('sends a peer the documents it lacks and reports whether it is behind', () => {
-    const [ahead, behind] = [processOf(0), processOf(1)]
+    const [ahead, behind] = [joinedProcess(0), joinedProcess(1)]
     publish(ahead, 'configuration', 7)
     const answer = ahead.compared(behind.note(0), 0)
     assert.deepEqual(answer.reply.documents.map(document => document.published.revision), [7])
@@ -114,16 +114,16 @@
   })
 
   it('pushes a document that bypassed the tree to the first member of its zone', () => {
-    const spreads = records.map((_, index) => processOf(index))
+    const spreads = records.map((_, index) => joinedProcess(index))
     for (const spread of spreads) publish(spread, 'instances', 1)
     const ahead = spreads[1] as Spread
     publish(ahead, 'configuration', 7)
-    const told = [0, 3, 6, 9, 12].map(index => {
+    const pushed = [0, 3, 6, 9, 12].map(index => {
       const spread = spreads[index] as Spread
       return spread.received(ahead.compared(spread.note(0), 0).reply, 'compared', 0).flatMap(effect => effect.type === 'push' ? [effect.address] : [])
     })
-    const first = told.find(addresses => addresses.length === 1)?.[0]
-    assert.ok(first !== undefined && told.filter(addresses => addresses.includes(first)).length >= 4, JSON.stringify(told))
+    const first = pushed.find(addresses => addresses.length === 1)?.[0]
+    assert.ok(first !== undefined && pushed.filter(addresses => addresses.includes(first)).length >= 4, JSON.stringify(pushed))
   })
 
   const refusals: [name: string, revision: number, document: unknown, source: string][] = [
@@ -133,7 +133,7 @@
   ]
   for (const [name, revision, document, source] of refusals) {
     it(`keeps its document when it receives ${name}`, () => {
-      const spread = processOf(0)
+      const spread = joinedProcess(0)
       publish(spread, 'configuration', 7)
       spread.serviceAnswered('configuration', { source, revision, document }, 10)
       assert.equal(spread.revision('configuration'), 7)
@@ -141,7 +141,7 @@
   }
 
   it('does not count a stale answer as a confirmation by the service', () => {
-    const spread = processOf(0)
+    const spread = joinedProcess(0)
     publish(spread, 'configuration', 7, 0)
     publish(spread, 'configuration', 3, 1_000)
     assert.equal(spread.age('configuration', 1_000), 1_000)
@@ -150,7 +150,7 @@
   })
 
   it('adopts a confirmation by the service from a peer with the same revision', () => {
-    const [watcher, other] = [processOf(0), processOf(1)]
+    const [watcher, other] = [joinedProcess(0), joinedProcess(1)]
     publish(watcher, 'configuration', 7, 4_000)
     publish(other, 'configuration', 7, 0)
     const note = watcher.note(5_000)
@@ -159,7 +159,7 @@
   })
 
   it('reads the service itself without a confirmation and backs off while it is unreachable', () => {
-    const spread = records.map((_, index) => processOf(index)).find(candidate => {
+    const spread = records.map((_, index) => joinedProcess(index)).find(candidate => {
       publish(candidate, 'instances', 1)
       publish(candidate, 'configuration', 1)
       return !candidate.isWatcher()
--- a/packages/core/src/test/lib/transfer_test.ts
+++ b/packages/core/src/test/lib/transfer_test.ts
@@ -24,7 +24,7 @@
 }
 
 /** Runs a transfer until it is complete or `until` is reached; `answer` returns the outcome of each fetch. */
-function play (transfer: Transfer, answer: (fetch: Fetch, now: number) => FetchProblem | 'good' | 'silence', until = 60_000): { whole: boolean, fetched: Fetch[], took: number } {
+function runTransfer (transfer: Transfer, answer: (fetch: Fetch, now: number) => FetchProblem | 'good' | 'silence', until = 60_000): { whole: boolean, fetched: Fetch[], took: number } {
   const fetched: Fetch[] = []
   let open: Fetch[] = []
   let now = 0
@@ -56,18 +56,18 @@
   })
 
   it('fetches each chunk once without failures', () => {
-    const { whole, fetched } = play(start(), () => 'good')
+    const { whole, fetched } = runTransfer(start(), () => 'good')
     assert.ok(whole)
     assert.equal(fetched.length, manifest.chunks.length)
   })
 
   it('does not fetch chunks that are already held', () => {
-    const { whole, fetched } = play(start(['d0', 'd3', 'd7']), () => 'good')
+    const { whole, fetched } = runTransfer(start(['d0', 'd3', 'd7']), () => 'good')
     assert.ok(whole)
     assert.deepEqual(fetched.map(fetch => fetch.digest).sort(), ['d1', 'd2', 'd4', 'd5', 'd6'])
   })
 
-  const troubles: [name: string, answer: (fetch: Fetch, now: number) => FetchProblem | 'good' | 'silence'][] = [
+  const failures: [name: string, answer: (fetch: Fetch, now: number) => FetchProblem | 'good' | 'silence'][] = [
     ['all peers are unreachable', fetch => fetch.source.kind === 'peer' ? 'unreachable' : 'good'],
     ['no peer holds a chunk', fetch => fetch.source.kind === 'peer' ? 'not-held' : 'good'],
     ['all peers stall', fetch => fetch.source.kind === 'peer' ? 'silence' : 'good'],
@@ -76,9 +76,9 @@
     ['one peer sends corrupt chunks', fetch => fetch.source.kind === 'peer' && fetch.source.instance === 'agent-1' ? 'corrupt' : 'good'],
     ['all sources are unreachable for 20 s', (_fetch, now) => now < 20_000 ? 'unreachable' : 'good']
   ]
-  for (const [name, answer] of troubles) {
+  for (const [name, answer] of failures) {
     it(`completes although ${name}`, () => {
-      assert.ok(play(start(), answer).whole)
+      assert.ok(runTransfer(start(), answer).whole)
     })
   }
 
@@ -109,7 +109,7 @@
   it('staggers reads from the origin by rank when all peers are unreachable', () => {
     const times = members.map(member => {
       const transfer = new Transfer(member, members, 'manifest', manifest, new Set(['d1', 'd2', 'd3', 'd4', 'd5', 'd6', 'd7']), defaultTransferPolicy)
-      return play(transfer, fetch => fetch.source.kind === 'peer' ? 'unreachable' : 'good').took
+      return runTransfer(transfer, fetch => fetch.source.kind === 'peer' ? 'unreachable' : 'good').took
     })
     assert.ok(new Set(times).size >= 3, `ended at ${times.join(', ')}`)
   })
