--- a/packages/core/src/lib/choice.ts
+++ b/packages/core/src/lib/choice.ts
@@ -87,7 +87,10 @@
     return choosers[this._policy](this, pool.map(candidate => candidate.instance), prefix)
   }
 
-  /** The load as a fraction of the slots: the last report, adjusted by the requests that this entry has sent and completed since. */
+  /**
+   * The load as a fraction of the slots: the last report, adjusted by the requests that this entry has sent and
+   * completed since.
+   */
   load (instance: string): number {
     const state = this._endpoints.get(instance)
     if (state === undefined) return 0
@@ -133,7 +136,7 @@
     if (prefix === '') return this.byTwoChoices(candidates)
     const mean = candidates.reduce((sum, instance) => sum + this.load(instance), 0) / candidates.length
     for (const instance of rendezvousTop(candidates, prefix, AFFINITY_ENDPOINTS)) {
-      if (this.load(instance) <= mean * AFFINITY_LOAD_FACTOR + this._oneSlot(instance)) return instance
+      if (this.load(instance) <= mean * AFFINITY_LOAD_FACTOR + this._slotShare(instance)) return instance
     }
     return this.byTwoChoices(candidates)
   }
@@ -172,7 +175,7 @@
     return state.status === undefined || state.status.lifecycle === 'serving'
   }
 
-  private _oneSlot (instance: string): number {
+  private _slotShare (instance: string): number {
     return 1 / Math.max(1, this._endpoints.get(instance)?.status?.slots ?? 8)
   }
 
--- a/packages/core/src/lib/chunk-tree.ts
+++ b/packages/core/src/lib/chunk-tree.ts
@@ -35,7 +35,10 @@
   readonly ancestors: readonly string[]
   /** Fallback members if all ancestors fail; they read from the origin before this member does. */
   readonly fallbacks: readonly string[]
-  /** The number of members before this one in its zone, which determines how long it waits before it reads from the origin. */
+  /**
+   * The number of members before this one in its zone, which determines how long it waits before it reads from the
+   * origin.
+   */
   readonly rank: number
 }
 
@@ -103,13 +106,13 @@
       ancestors.push(ordered[at] ?? '')
     }
     if (zoneCopies === 0) ancestors.push(...this._zoneAncestors(zoneRank, chunk, chunkDigest))
-    const next = zoneCopies === 0 ? this._ordered(0, chunk, chunkDigest) : ordered.slice(0, rank)
+    const next = zoneCopies === 0 ? this._zoneMembers(0, chunk, chunkDigest) : ordered.slice(0, rank)
     const fallbacks = next.slice(1, 1 + MAX_FALLBACKS).filter(instance => !ancestors.includes(instance))
     return { ancestors, fallbacks, rank }
   }
 
   /** The other members of the local member's zone, used as alternative sources. */
-  neighbours (): readonly string[] {
+  zonePeers (): readonly string[] {
     return (this._rings[this._ownRing] ?? []).filter(instance => instance !== this.self.instance)
   }
 
@@ -119,7 +122,10 @@
     return (ring + count - (this.strategy === 'tree' ? 0 : chunk % count)) % count
   }
 
-  /** The number of origin copies read in a zone: copies are divided evenly, the remainder going to the first zones of a chunk. */
+  /**
+   * The number of origin copies read in a zone: copies are divided evenly, the remainder going to the first zones of a
+   * chunk.
+   */
   private _copiesInZone (zoneRank: number): number {
     const count = this._rings.length
     const even = Math.floor(this.originCopies / count)
@@ -138,11 +144,11 @@
   }
 
   private _firstMember (zoneRank: number, chunk: number, chunkDigest: string): string {
-    return this._ordered(zoneRank, chunk, chunkDigest)[0] ?? ''
+    return this._zoneMembers(zoneRank, chunk, chunkDigest)[0] ?? ''
   }
 
   /** The members of the zone with the given rank, in the order of one chunk. */
-  private _ordered (zoneRank: number, chunk: number, chunkDigest: string): readonly string[] {
+  private _zoneMembers (zoneRank: number, chunk: number, chunkDigest: string): readonly string[] {
     const count = this._rings.length
     const ring = (zoneRank + (this.strategy === 'tree' ? 0 : chunk % count)) % count
     return memberOrders[this.strategy](this._rings[ring] ?? [], chunk, chunkDigest)
--- a/packages/core/src/lib/claims.ts
+++ b/packages/core/src/lib/claims.ts
@@ -63,7 +63,7 @@
  * all must confirm.
  *
  * @example
- * neededVouches(5) // 4
+ * requiredConfirmations(5) // 4
  */
 export function requiredConfirmations (keepers: number): number {
   return keepers >= 4 ? keepers - 1 : Math.max(1, keepers)
--- a/packages/core/src/lib/concurrency-limit.ts
+++ b/packages/core/src/lib/concurrency-limit.ts
@@ -34,12 +34,15 @@
   get limit (): number { return Math.floor(this._limit) }
 
   /** Sets the upper bound: the total number of slots. */
-  setMost (most: number): void {
-    this._maximum = Math.max(this._minimum, most)
+  setMost (maximum: number): void {
+    this._maximum = Math.max(this._minimum, maximum)
     this._limit = this._refused ? Math.min(this._limit, this._maximum) : this._maximum
   }
 
-  /** Records a success while `running` requests were in flight. It is ignored well below the limit, where it says nothing about capacity. */
+  /**
+   * Records a success while `running` requests were in flight. It is ignored well below the limit, where it says nothing
+   * about capacity.
+   */
   succeeded (running: number): void {
     if (running * 1.25 < this._limit) return
     this._limit = Math.min(this._maximum, this._limit + INCREASE_STEP / this._limit)
--- a/packages/core/src/lib/engine-switch.ts
+++ b/packages/core/src/lib/engine-switch.ts
@@ -173,7 +173,10 @@
     if (result === 'refused') this._failedDigest = digest
   }
 
-  /** Opens admission only while the engine reports a configured version and loads no other, and checks for the end of an ordered load. */
+  /**
+   * Opens admission only while the engine reports a configured version and loads no other, and checks for the end of an
+   * ordered load.
+   */
   private _observe (knownDigests: ReadonlySet<string>, now: number): SwitchEffect[] {
     const report = this._report
     const configured = report !== undefined && report.version !== '' && knownDigests.has(report.version)
@@ -195,7 +198,10 @@
     return this._admission.switching ? this._orderLoad(target, report, now) : this._queryPredecessors(target, situation.members, report, now)
   }
 
-  /** Uses the fence of the latest report plus one. If another agent takes over in between, the engine refuses the take-over. */
+  /**
+   * Uses the fence of the latest report plus one. If another agent takes over in between, the engine refuses the
+   * take-over.
+   */
   private _takeOver (report: EngineReport | undefined, gap: number): SwitchEffect[] {
     if (gap > PAUSE_THRESHOLD_MILLISECONDS) return this._stopReplaced(report?.fence ?? 0)
     return report === undefined ? [] : [{ type: 'take-over', fence: report.fence + 1 }]
@@ -234,7 +240,10 @@
     return halts ? [{ type: 'halted', digest: target.manifestDigest }, ask] : [ask]
   }
 
-  /** Orders the load once no requests are in flight by both the agent's and the engine's count. Admission is already closed. */
+  /**
+   * Orders the load once no requests are in flight by both the agent's and the engine's count. Admission is already
+   * closed.
+   */
   private _orderLoad (target: SwitchTarget, report: EngineReport, now: number): SwitchEffect[] {
     const settled = report.version === '' || now - this._takenOverAt >= REPORT_LAG_MILLISECONDS
     if (this._admission.running > 0 || report.running > 0 || !settled) return []
--- a/packages/core/src/lib/joining.ts
+++ b/packages/core/src/lib/joining.ts
@@ -38,7 +38,7 @@
    *
    * @param random A random number in [0, 1) that selects the first seed, so that processes do not all query the same ones.
    */
-  ask (seeds: readonly string[], random: number): string[] {
+  seedsToQuery (seeds: readonly string[], random: number): string[] {
     if (this._queried) return []
     this._queried = true
     const start = Math.floor(random * seeds.length)
@@ -53,12 +53,12 @@
   }
 
   /** Records that a queried peer has answered or could not be reached. Other addresses are ignored. */
-  heard (address: string): void {
+  peerDone (address: string): void {
     this._pending.delete(address)
   }
 
   /** Whether all queried seeds have answered or failed, or the timeout has expired. */
-  over (now: number): boolean {
+  isOver (now: number): boolean {
     return now >= this._deadline || (this._queried && this._pending.size === 0)
   }
 
--- a/packages/core/src/lib/messages.ts
+++ b/packages/core/src/lib/messages.ts
@@ -31,7 +31,10 @@
   readonly path: string
   readonly headers: Readonly<Record<string, string>>
   readonly priority: number
-  /** The number of events of this answer that the caller already has; the endpoint resumes after them. 0 for a new answer. */
+  /**
+   * The number of events of this answer that the caller already has; the endpoint resumes after them. 0 for a new
+   * answer.
+   */
   readonly resumeAfter: number
   /** The only version that may answer; empty if any may. Set when an answer is resumed. */
   readonly version: string
@@ -96,7 +99,10 @@
    * `named` is the version wanted for the agent's pool, so that not every agent has to watch the store.
    */
   | { readonly type: 'ping', readonly sentRate?: number | undefined, readonly followed?: number | undefined, readonly named?: NamedVersion | undefined }
-  /** Reports requests that were in flight at lost endpoints, and those that were answered after all. The agent forwards what is new to it. */
+  /**
+   * Reports requests that were in flight at lost endpoints, and those that were answered after all. The agent forwards
+   * what is new to it.
+   */
   | { readonly type: 'suspects', readonly news: SuspectNews }
   /** Reports the request limits that endpoints announced. The agent forwards what is new to it. */
   | { readonly type: 'limits', readonly news: LimitNews }
@@ -143,7 +149,10 @@
   | { readonly type: 'done' }
   | { readonly type: 'chunk', readonly digest: string }
   | { readonly type: 'manifest', readonly digest: string }
-  /** The chunk is held or being fetched. Sent immediately and then periodically, so that the receiver does not assume a stall. */
+  /**
+   * The chunk is held or being fetched. Sent immediately and then periodically, so that the receiver does not assume a
+   * stall.
+   */
   | { readonly type: 'chunk-coming' }
   | { readonly type: 'no-chunk', readonly reason: 'not-yet' | 'not-held' | 'busy' }
   | { readonly type: 'offered', readonly reply: OfferReply, readonly status: EndpointStatus }
--- a/packages/core/src/lib/once-attempt.ts
+++ b/packages/core/src/lib/once-attempt.ts
@@ -91,7 +91,10 @@
     return [...this._releases(), { type: 'try-elsewhere', reason }]
   }
 
-  /** Handles the agent's confirmation after the start that it never reached the endpoint, so that the request did not run. */
+  /**
+   * Handles the agent's confirmation after the start that it never reached the endpoint, so that the request did not
+   * run.
+   */
   neverReached (): OnceEffect[] {
     if (this._phase !== 'done') return []
     return [...this._releases(), { type: 'give-up', failure: requestFailure('engine-failed', 'not-run', 'the endpoint could not be reached', UNREACHABLE_RETRY_MILLISECONDS) }]
--- a/packages/core/src/lib/spread.ts
+++ b/packages/core/src/lib/spread.ts
@@ -29,7 +29,10 @@
 export type Topic = 'configuration' | 'instances'
 export const topics: readonly Topic[] = ['configuration', 'instances']
 
-/** The revisions that a process holds, as sent to a peer. Ages are milliseconds since the service last confirmed them to any process. */
+/**
+ * The revisions that a process holds, as sent to a peer. Ages are milliseconds since the service last confirmed them to
+ * any process.
+ */
 export interface SpreadNote {
   readonly revisions: Readonly<Record<Topic, number>>
   readonly ages: Readonly<Record<Topic, number>>
@@ -194,7 +197,10 @@
     return { revisions: { configuration: this.revision('configuration'), instances: this.revision('instances') }, ages: this._ages(now) }
   }
 
-  /** Handles the note of a peer. The reply contains the documents it lacks; `behind` tells whether the peer has newer ones. */
+  /**
+   * Handles the note of a peer. The reply contains the documents it lacks; `behind` tells whether the peer has newer
+   * ones.
+   */
   compared (note: SpreadNote, now: number): { readonly reply: SpreadDocuments, readonly behind: boolean } {
     const lacking = topics.filter(topic => this.revision(topic) > note.revisions[topic])
     const byChange = lacking.includes('instances') && this._change?.base === note.revisions.instances
@@ -229,14 +235,14 @@
   /** Handles the note with which a peer replied to a comparison, including the ages of its confirmations. */
   answered (address: string, note: SpreadNote, now: number): SpreadEffect[] {
     for (const topic of topics) this._adoptAge(topic, note.revisions[topic], note.ages[topic], now)
-    this._joining?.heard(address)
+    this._joining?.peerDone(address)
     return this._endJoinIfOver(now)
   }
 
   /** Handles a failed comparison: the peer is skipped for some time. */
   unanswered (address: string, now: number): SpreadEffect[] {
-    this._neighbourhood.silent(address, now + this._policy.patience * 2)
-    this._joining?.heard(address)
+    this._neighbourhood.markUnresponsive(address, now + this._policy.patience * 2)
+    this._joining?.peerDone(address)
     return this._endJoinIfOver(now)
   }
 
@@ -251,7 +257,7 @@
   private _join (now: number): SpreadEffect[] {
     const joining = this._joining
     if (joining === undefined) return []
-    const asked = joining.ask(this._self.seeds.filter(seed => seed !== this._self.address), this._random())
+    const asked = joining.seedsToQuery(this._self.seeds.filter(seed => seed !== this._self.address), this._random())
     if (asked.length > 0) this._nextCompareAt = now + this._policy.compareInterval
     const note = this.note(now)
     return [...asked.map(address => ({ type: 'compare', address, note }) as const), ...this._endJoinIfOver(now)]
@@ -259,12 +265,15 @@
 
   private _endJoinIfOver (now: number): SpreadEffect[] {
     const joining = this._joining
-    if (joining === undefined || !joining.over(now)) return []
+    if (joining === undefined || !joining.isOver(now)) return []
     this._joining = undefined
     return joining.newestFirst().flatMap(({ topic, published }) => this._offer(topic, published, now))
   }
 
-  /** The list that results from a change, if this process holds its base. Otherwise a later comparison delivers the full list. */
+  /**
+   * The list that results from a change, if this process holds its base. Otherwise a later comparison delivers the full
+   * list.
+   */
   private _applyChange (change: ListChange | undefined): { readonly topic: Topic, readonly published: Published }[] {
     const held = this._ledgers.instances.document
     if (change === undefined || held === undefined || change.base !== this.revision('instances')) return []
--- a/packages/core/src/lib/transfer.ts
+++ b/packages/core/src/lib/transfer.ts
@@ -32,7 +32,7 @@
   /** How long a failed peer is skipped the first time. */
   readonly penalty: number
   /** The minimum timeout of an attempt. */
-  readonly leastTimeout: number
+  readonly minTimeout: number
 }
 
 /** The default policy of the daemons. */
@@ -42,7 +42,7 @@
   originCopies: 1,
   originStagger: 300,
   penalty: 5_000,
-  leastTimeout: 3_000
+  minTimeout: 3_000
 }
 
 interface PendingFetch {
@@ -74,13 +74,19 @@
 const ORIGIN_TIMEOUT_FACTOR = 6
 /** The weight of a new sample in the moving average of fetch durations. */
 const SMOOTHING = 0.2
-/** How long a member of rank 0 waits, once all ancestors of a chunk have failed, before it reads from the origin, in milliseconds. */
+/**
+ * How long a member of rank 0 waits, once all ancestors of a chunk have failed, before it reads from the origin, in
+ * milliseconds.
+ */
 const ORIGIN_FIRST_WAIT_MILLISECONDS = 600
 /** The delay before a source that did not have the chunk is retried, in milliseconds. */
 const RETRY_MILLISECONDS = 150
 /** The maximum penalty, in milliseconds. Penalties double until they reach it. */
 const MAX_PENALTY_MILLISECONDS = 20_000
-/** A fetch is slow if it takes longer than this, in milliseconds, and longer than `SLOW_FACTOR` times the typical duration. */
+/**
+ * A fetch is slow if it takes longer than this, in milliseconds, and longer than `SLOW_FACTOR` times the typical
+ * duration.
+ */
 const SLOW_MILLISECONDS = 1_000
 const SLOW_FACTOR = 2
 /** The age, in milliseconds, at which a fetch is slow while the typical duration is unknown. */
@@ -194,7 +200,10 @@
     if (pending !== undefined) pending.deadline = Math.max(pending.deadline, now + this._timeout(pending.source))
   }
 
-  /** Records a failed attempt. A peer that is dead or sends corrupt data is skipped for some time, and its fetches are abandoned. */
+  /**
+   * Records a failed attempt. A peer that is dead or sends corrupt data is skipped for some time, and its fetches are
+   * abandoned.
+   */
   failed (attempt: number, problem: FetchProblem, now: number): TransferEffect[] {
     const pending = this._pending.get(attempt)
     if (pending === undefined) return []
@@ -227,7 +236,10 @@
     return Math.min(this._policy.window - recent, enlarged)
   }
 
-  /** The age at which a fetch is slow. Until a window of chunks has arrived, the typical duration is unknown: on slow links, a window takes seconds. */
+  /**
+   * The age at which a fetch is slow. Until a window of chunks has arrived, the typical duration is unknown: on slow
+   * links, a window takes seconds.
+   */
   private _slowAfter (): number {
     if (this._completed < this._policy.window) return INITIAL_SLOW_MILLISECONDS
     return Math.max(SLOW_MILLISECONDS, SLOW_FACTOR * this._averageDuration)
@@ -275,7 +287,7 @@
     }
     state.unservedSince ??= now
     if (now - state.unservedSince >= ORIGIN_FIRST_WAIT_MILLISECONDS + position.rank * this._policy.originStagger) return this._upstream(state)
-    for (const instance of this._tree.neighbours()) {
+    for (const instance of this._tree.zonePeers()) {
       if (this._usable(instance, state, now)) return { kind: 'peer', instance }
     }
     state.failures.clear()
@@ -283,7 +295,10 @@
     return undefined
   }
 
-  /** Alternates between the origin and the store, choosing the one with fewer failed attempts for the chunk and the origin on a tie. */
+  /**
+   * Alternates between the origin and the store, choosing the one with fewer failed attempts for the chunk and the
+   * origin on a tie.
+   */
   private _upstream (state: ChunkState): ChunkSource {
     const store = state.failures.get('store') ?? 0
     const origin = state.failures.get('origin') ?? 0
@@ -338,7 +353,10 @@
     return effects
   }
 
-  /** Clears the penalty of a source that has responded and extends the deadlines of its other fetches, since it is serving its queue. */
+  /**
+   * Clears the penalty of a source that has responded and extends the deadlines of its other fetches, since it is
+   * serving its queue.
+   */
   private _recordResponse (source: ChunkSource, now: number): void {
     if (source.kind === 'peer') this._penalties.delete(source.instance)
     for (const pending of this._pending.values()) {
@@ -370,8 +388,8 @@
    * timeout allows for that. The origin sends no signals and is limited by its link, so its timeout is longer.
    */
   private _timeout (source: ChunkSource): number {
-    if (source.kind === 'peer') return this._policy.leastTimeout
-    return ORIGIN_TIMEOUT_FACTOR * Math.max(this._policy.leastTimeout, this._averageDuration)
+    if (source.kind === 'peer') return this._policy.minTimeout
+    return ORIGIN_TIMEOUT_FACTOR * Math.max(this._policy.minTimeout, this._averageDuration)
   }
 }
 
