--- a/packages/core/src/lib/choice.ts
+++ b/packages/core/src/lib/choice.ts
@@ -36,7 +36,7 @@
   status: EndpointStatus | undefined
   /** The number of requests that this entry has in flight to the instance. */
   inFlight: number
-  /** The value of `outstanding` when the last report arrived. */
+  /** The value of `inFlight` when the last report arrived. */
   inFlightAtReport: number
   excludedUntil: number
 }
--- a/packages/core/src/test/lib/transfer_test.ts
+++ b/packages/core/src/test/lib/transfer_test.ts
@@ -94,11 +94,11 @@
   })
 
   it('extends the timeout on progress signals and abandons the fetch without them', () => {
-    const outcomes = [true, false].map(signs => {
+    const outcomes = [true, false].map(signals => {
       const transfer = start([], 1)
       const [fetch] = fetches(transfer.tick(0))
       for (let now = 100; now < 4_000; now += 100) {
-        if (signs) transfer.coming(fetch?.attempt ?? 0, now)
+        if (signals) transfer.coming(fetch?.attempt ?? 0, now)
         if (transfer.tick(now).some(effect => effect.type === 'abandon' && effect.attempt === fetch?.attempt)) return 'abandoned'
       }
       return 'waiting'
