--- a/packages/core/src/lib/joining.ts
+++ b/packages/core/src/lib/joining.ts
@@ -38,7 +38,7 @@
    *
    * @param random A random number in [0, 1) that selects the first seed, so that processes do not all query the same ones.
    */
-  seedsToQuery (seeds: readonly string[], random: number): string[] {
+  ask (seeds: readonly string[], random: number): string[] {
     if (this._queried) return []
     this._queried = true
     const start = Math.floor(random * seeds.length)
--- a/packages/core/src/lib/neighbourhood.ts
+++ b/packages/core/src/lib/neighbourhood.ts
@@ -39,7 +39,7 @@
   }
 
   /** Records that an address did not respond, and skips it until the given time. */
-  markUnresponsive (address: string, until: number): void { this._unresponsive.set(address, until) }
+  silent (address: string, until: number): void { this._unresponsive.set(address, until) }
 
   /**
    * Picks the address of a peer, preferring peers that are not marked as unresponsive.
--- a/packages/core/src/lib/spread.ts
+++ b/packages/core/src/lib/spread.ts
@@ -241,7 +241,7 @@
 
   /** Handles a failed comparison: the peer is skipped for some time. */
   unanswered (address: string, now: number): SpreadEffect[] {
-    this._neighbourhood.markUnresponsive(address, now + this._policy.patience * 2)
+    this._neighbourhood.silent(address, now + this._policy.patience * 2)
     this._joining?.peerDone(address)
     return this._endJoinIfOver(now)
   }
@@ -257,7 +257,7 @@
   private _join (now: number): SpreadEffect[] {
     const joining = this._joining
     if (joining === undefined) return []
-    const asked = joining.seedsToQuery(this._self.seeds.filter(seed => seed !== this._self.address), this._random())
+    const asked = joining.ask(this._self.seeds.filter(seed => seed !== this._self.address), this._random())
     if (asked.length > 0) this._nextCompareAt = now + this._policy.compareInterval
     const note = this.note(now)
     return [...asked.map(address => ({ type: 'compare', address, note }) as const), ...this._endJoinIfOver(now)]
