--- a/packages/core/src/lib/answer-stream.ts
+++ b/packages/core/src/lib/answer-stream.ts
@@ -4,8 +4,8 @@
  * SPDX-License-Identifier: BSD-3-Clause
  */
 /**
- * Puts one request's answer together from numbered frames that may come late, twice or out of order. The answer is
- * whole only when the explicit end has come and every frame before it has been passed on.
+ * Reassembles the answer to one request from numbered frames that may arrive late, duplicated or out of order. The
+ * answer is complete only when the explicit end has arrived and every frame before it has been delivered.
  */
 
 /** One numbered part of an answer. */
@@ -14,54 +14,54 @@
   readonly data: Data
 }
 
-/** Frames that may wait for a missing one; more is a fault of the sender. */
-const LARGEST_GAP = 1_024
+/** The maximum number of frames buffered behind a missing one. A larger gap is a fault of the sender. */
+const MAX_GAP = 1_024
 
-/** What taking a frame led to. */
+/** The result of adding a frame: the parts that can now be delivered, or a protocol violation. */
 export type AnswerProgress<Data> =
   | { readonly type: 'parts', readonly data: readonly Data[], readonly whole: boolean }
   | { readonly type: 'broken', readonly detail: string }
 
-/** The reassembly of one answer of one attempt. */
+/** Reassembles the answer of one attempt. */
 export class AnswerStream<Data> {
-  private readonly _early = new Map<number, Data>()
-  private _next = 0
-  private _count: number | undefined
+  private readonly _buffered = new Map<number, Data>()
+  private _nextSequence = 0
+  private _totalParts: number | undefined
 
-  /** Whether the whole answer has been passed on. */
-  get whole (): boolean { return this._count === this._next }
+  /** Whether the complete answer has been delivered. */
+  get whole (): boolean { return this._totalParts === this._nextSequence }
 
-  /** Whether anything has been passed on. */
-  get started (): boolean { return this._next > 0 }
+  /** Whether any part has been delivered. */
+  get started (): boolean { return this._nextSequence > 0 }
 
   /**
-   * Takes a part.
+   * Adds a part and returns the parts that are now in sequence.
    *
    * @example
    * const progress = stream.part({ sequence: 0, data: 'Nam' })
    */
   part (part: AnswerPart<Data>): AnswerProgress<Data> {
-    const beyond = this._count !== undefined && part.sequence >= this._count
-    if (beyond || part.sequence >= this._next + LARGEST_GAP) return { type: 'broken', detail: `part ${part.sequence} is out of range` }
-    if (part.sequence >= this._next) this._early.set(part.sequence, part.data)
-    return this._pass()
+    const beyond = this._totalParts !== undefined && part.sequence >= this._totalParts
+    if (beyond || part.sequence >= this._nextSequence + MAX_GAP) return { type: 'broken', detail: `part ${part.sequence} is out of range` }
+    if (part.sequence >= this._nextSequence) this._buffered.set(part.sequence, part.data)
+    return this._deliver()
   }
 
-  /** Takes the end, which says how many parts there are. */
+  /** Adds the end frame, which carries the total number of parts. */
   end (count: number): AnswerProgress<Data> {
-    const disagrees = this._count !== undefined && this._count !== count
-    if (disagrees || count < this._next) return { type: 'broken', detail: `end after ${count} parts does not fit` }
-    this._count = count
-    return this._pass()
+    const disagrees = this._totalParts !== undefined && this._totalParts !== count
+    if (disagrees || count < this._nextSequence) return { type: 'broken', detail: `part count ${count} of the end frame does not match the parts received` }
+    this._totalParts = count
+    return this._deliver()
   }
 
-  private _pass (): AnswerProgress<Data> {
+  private _deliver (): AnswerProgress<Data> {
     const data: Data[] = []
     for (;;) {
-      const part = this._early.get(this._next)
+      const part = this._buffered.get(this._nextSequence)
       if (part === undefined) break
-      this._early.delete(this._next)
-      this._next += 1
+      this._buffered.delete(this._nextSequence)
+      this._nextSequence += 1
       data.push(part)
     }
     return { type: 'parts', data, whole: this.whole }
--- a/packages/core/src/lib/chunk-tree.ts
+++ b/packages/core/src/lib/chunk-tree.ts
@@ -4,67 +4,70 @@
  * SPDX-License-Identifier: BSD-3-Clause
  */
 /**
- * Who fetches which chunk from whom. Every process computes the same answer from the member list alone, so no
- * have-maps are exchanged and nobody coordinates.
+ * Determines which member fetches which chunk from which other member. Every process computes the same assignment from
+ * the member list alone, so neither have-maps nor a coordinator are needed.
  *
- * Members of an availability zone stand on a ring. For each chunk the ring is read from another starting point and
- * taken as a complete tree of fan-out k. Starting points step by 1/k of the ring, so that over every k chunks each
- * member is an inner node once: uplinks are loaded evenly by construction, not only on average (see
- * dev-docs/weights.md for the figures against rendezvous order per chunk).
+ * The members of an availability zone form a ring. For each chunk the ring is rotated to a different starting point and
+ * read as a complete tree with fan-out k. The starting point advances by 1/k of the ring, so that within every k chunks
+ * each member is an inner node once. This balances the load on uplinks by construction rather than on average (see
+ * dev-docs/weights.md for a comparison with rendezvous order per chunk).
  */
 import { hash32, rendezvousOrder } from './rendezvous.js'
 
-/** Where a chunk can come from. */
+/** A source of a chunk. */
 export type ChunkSource =
   | { readonly kind: 'peer', readonly instance: string }
   | { readonly kind: 'store' }
   | { readonly kind: 'origin' }
 
-/** Ways of spreading chunks; `rotation` is the product's, the others are for measuring against. */
+/** Distribution strategies. `rotation` is the default; the others serve as baselines in benchmarks. */
 export type SpreadStrategy = 'rotation' | 'rendezvous' | 'tree' | 'origin'
 
-/** One member of the group that fetches a version. */
+/** A member of the group that fetches a version. */
 export interface ChunkMember {
   readonly instance: string
   readonly availabilityZone: string
 }
 
-/** A member's place for one chunk. */
-export interface ChunkPlace {
+/** The position of a member in the tree of one chunk. */
+export interface ChunkPosition {
   /** Ancestors, nearest first; empty for a member that reads from the origin. */
   readonly ancestors: readonly string[]
-  /** The members next in line when all ancestors fail: they turn to the origin before this one does. */
-  readonly substitutes: readonly string[]
-  /** How many members stand before this one in its zone: decides how long it waits before it may use the origin. */
+  /** Fallback members if all ancestors fail; they read from the origin before this member does. */
+  readonly fallbacks: readonly string[]
+  /**
+   * The number of members before this one in its zone, which determines how long it waits before it reads from the
+   * origin.
+   */
   readonly rank: number
 }
 
 const FAN_OUT = 2
-const SUBSTITUTES = 2
+const MAX_FALLBACKS = 2
 
-type Orderer = (ring: readonly string[], chunk: number, chunkDigest: string) => readonly string[]
+type MemberOrder = (ring: readonly string[], chunk: number, chunkDigest: string) => readonly string[]
 
 function rotate (ring: readonly string[], start: number): readonly string[] {
   const offset = start % ring.length
   return [...ring.slice(offset), ...ring.slice(0, offset)]
 }
 
-const orderers: Record<SpreadStrategy, Orderer> = {
+const memberOrders: Record<SpreadStrategy, MemberOrder> = {
   rotation: (ring, chunk) => rotate(ring, Math.floor(chunk * ring.length / FAN_OUT) + Math.floor(chunk / FAN_OUT)),
   rendezvous: (ring, _chunk, chunkDigest) => rendezvousOrder(ring, chunkDigest),
   tree: ring => ring,
   origin: ring => ring
 }
 
-/** The placement of one version's chunks over a set of members. */
+/** Assigns the chunks of one version to a set of members. */
 export class ChunkTree {
   private readonly _rings: readonly (readonly string[])[]
   private readonly _ownRing: number
 
   /**
-   * @param self The asking member; it is added to `members` when the list does not show it yet.
-   * @param members Members of the group, in any order.
-   * @param originCopies How many members read each chunk from the origin.
+   * @param self The local member; it is added to `members` if the list does not contain it yet.
+   * @param members The members of the group, in any order.
+   * @param originCopies The number of members that read each chunk from the origin.
    */
   constructor (
     readonly self: ChunkMember,
@@ -85,77 +88,80 @@
   }
 
   /**
-   * The place of the asking member for one chunk.
+   * Returns the position of the local member in the tree of one chunk.
    *
    * @example
-   * tree.place(0, manifest.chunks[0].digest) // { ancestors: ['agent-3', 'agent-1'], rank: 4 }
+   * tree.position(0, manifest.chunks[0].digest) // { ancestors: ['agent-3', 'agent-1'], fallbacks: [], rank: 4 }
    */
-  place (chunk: number, chunkDigest: string): ChunkPlace {
-    if (this.strategy === 'origin') return { ancestors: [], substitutes: [], rank: 0 }
-    const ordered = orderers[this.strategy](this._rings[this._ownRing] ?? [], chunk, chunkDigest)
+  position (chunk: number, chunkDigest: string): ChunkPosition {
+    if (this.strategy === 'origin') return { ancestors: [], fallbacks: [], rank: 0 }
+    const ordered = memberOrders[this.strategy](this._rings[this._ownRing] ?? [], chunk, chunkDigest)
     const rank = ordered.indexOf(this.self.instance)
     const zoneRank = this._zoneRank(this._ownRing, chunk)
-    const copiesHere = this._copiesInZone(zoneRank)
+    const zoneCopies = this._copiesInZone(zoneRank)
     const ancestors: string[] = []
     let at = rank
-    while (at >= Math.max(1, copiesHere)) {
-      at = parentOf(at, copiesHere)
+    while (at >= Math.max(1, zoneCopies)) {
+      at = parentOf(at, zoneCopies)
       ancestors.push(ordered[at] ?? '')
     }
-    if (copiesHere === 0) ancestors.push(...this._headAncestors(zoneRank, chunk, chunkDigest))
-    const next = copiesHere === 0 ? this._ordered(0, chunk, chunkDigest) : ordered.slice(0, rank)
-    const substitutes = next.slice(1, 1 + SUBSTITUTES).filter(instance => !ancestors.includes(instance))
-    return { ancestors, substitutes, rank }
+    if (zoneCopies === 0) ancestors.push(...this._zoneAncestors(zoneRank, chunk, chunkDigest))
+    const next = zoneCopies === 0 ? this._zoneMembers(0, chunk, chunkDigest) : ordered.slice(0, rank)
+    const fallbacks = next.slice(1, 1 + MAX_FALLBACKS).filter(instance => !ancestors.includes(instance))
+    return { ancestors, fallbacks, rank }
   }
 
-  /** The members of the asking member's own zone other than itself, for detours. */
-  neighbours (): readonly string[] {
+  /** The other members of the local member's zone, used as alternative sources. */
+  zonePeers (): readonly string[] {
     return (this._rings[this._ownRing] ?? []).filter(instance => instance !== this.self.instance)
   }
 
-  /** Zones take turns in being the first, chunk by chunk. */
+  /** The rank of a zone for one chunk; the first zone rotates from chunk to chunk. */
   private _zoneRank (ring: number, chunk: number): number {
     const count = this._rings.length
     return (ring + count - (this.strategy === 'tree' ? 0 : chunk % count)) % count
   }
 
-  /** Origin copies are dealt to the zones in turn, the first zones of a chunk first. */
+  /**
+   * The number of origin copies read in a zone: copies are divided evenly, the remainder going to the first zones of a
+   * chunk.
+   */
   private _copiesInZone (zoneRank: number): number {
     const count = this._rings.length
     const even = Math.floor(this.originCopies / count)
     return even + (zoneRank < this.originCopies % count ? 1 : 0)
   }
 
-  /** The heads of the zones before this one, up to a zone that reads from the origin. */
-  private _headAncestors (zoneRank: number, chunk: number, chunkDigest: string): string[] {
+  /** The first members of the zones above this one, up to a zone that reads from the origin. */
+  private _zoneAncestors (zoneRank: number, chunk: number, chunkDigest: string): string[] {
     const heads: string[] = []
     let at = zoneRank
     while (this._copiesInZone(at) === 0) {
       at = Math.floor((at - 1) / FAN_OUT)
-      heads.push(this._head(at, chunk, chunkDigest))
+      heads.push(this._firstMember(at, chunk, chunkDigest))
     }
     return heads
   }
 
-  private _head (zoneRank: number, chunk: number, chunkDigest: string): string {
-    return this._ordered(zoneRank, chunk, chunkDigest)[0] ?? ''
+  private _firstMember (zoneRank: number, chunk: number, chunkDigest: string): string {
+    return this._zoneMembers(zoneRank, chunk, chunkDigest)[0] ?? ''
   }
 
-  /** The members of the zone that has a rank among the zones, in the order of one chunk. */
-  private _ordered (zoneRank: number, chunk: number, chunkDigest: string): readonly string[] {
+  /** The members of the zone with the given rank, in the order of one chunk. */
+  private _zoneMembers (zoneRank: number, chunk: number, chunkDigest: string): readonly string[] {
     const count = this._rings.length
     const ring = (zoneRank + (this.strategy === 'tree' ? 0 : chunk % count)) % count
-    return orderers[this.strategy](this._rings[ring] ?? [], chunk, chunkDigest)
+    return memberOrders[this.strategy](this._rings[ring] ?? [], chunk, chunkDigest)
   }
 }
 
-/** The parent in a forest of `roots` complete trees laid out level by level. */
+/** The parent index in a forest of `roots` complete trees in level order. */
 function parentOf (rank: number, roots: number): number {
   return Math.floor((rank - Math.max(1, roots)) / FAN_OUT)
 }
 
 /**
- * A number in [0, 1) that is the same for one member and subject everywhere: deterministic jitter.
+ * Deterministic jitter: a number in [0, 1) that every process computes alike for a member and subject.
  *
  * @example
  * const delay = 1_000 * jitterOf('agent-3', 'service-read')
--- a/packages/core/src/lib/documents.ts
+++ b/packages/core/src/lib/documents.ts
@@ -4,28 +4,28 @@
  * SPDX-License-Identifier: BSD-3-Clause
  */
 /**
- * The documents that the platform publishes, and the manifest of a version, with their schemas.
- * A document is taken whole or refused whole; nothing in here reads or writes anything.
+ * Schemas and validation for the documents that the platform publishes and for the manifest of a version.
+ * A document is accepted or rejected as a whole. This module performs no input or output.
  */
 import * as valibot from 'valibot'
 import type { DocumentFailure, WeightsFailure } from './failure.js'
 
 const name = valibot.pipe(valibot.string(), valibot.regex(/^[a-z0-9][a-z0-9._-]{0,62}$/i))
 const digest = valibot.pipe(valibot.string(), valibot.regex(/^[0-9a-f]{64}$/))
-const positive = valibot.pipe(valibot.number(), valibot.integer(), valibot.minValue(1))
+const positiveInteger = valibot.pipe(valibot.number(), valibot.integer(), valibot.minValue(1))
 const fraction = valibot.pipe(valibot.number(), valibot.minValue(0.01), valibot.maxValue(1))
 
 const poolSchema = valibot.strictObject({
   model: name,
   version: name,
-  /** The share of a pool's engines in one availability zone that may switch version at once. */
+  /** The fraction of a pool's engines in one availability zone that may switch version concurrently. */
   switchFraction: valibot.optional(fraction, 0.25),
-  /** Requests that one engine runs at once. */
-  slots: valibot.optional(positive, 8),
-  /** Copies that may be read from the origin for one version. */
-  originCopies: valibot.optional(valibot.pipe(positive, valibot.maxValue(64)), 1),
-  /** The hour by which the version is to be in place, as milliseconds since 1970; told in forecasts. */
-  neededBy: valibot.optional(positive)
+  /** The number of requests that one engine runs concurrently. */
+  slots: valibot.optional(positiveInteger, 8),
+  /** The number of copies of a version that may be read from the origin. */
+  originCopies: valibot.optional(valibot.pipe(positiveInteger, valibot.maxValue(64)), 1),
+  /** The time by which the version is to be in place, in milliseconds since the Unix epoch; used in forecasts. */
+  neededBy: valibot.optional(positiveInteger)
 })
 
 const callPatternSchema = valibot.strictObject({
@@ -34,16 +34,16 @@
 })
 
 const serviceSchema = valibot.strictObject({
-  slots: valibot.optional(positive, 16),
-  /** Calls that run at most once for one request id. */
+  slots: valibot.optional(positiveInteger, 16),
+  /** Calls that run at most once per request id. */
   neverRepeat: valibot.optional(valibot.array(callPatternSchema), [])
 })
 
 const organisationSchema = valibot.strictObject({
-  weight: valibot.optional(valibot.pipe(positive, valibot.maxValue(1000)), 1),
-  /** Requests of one organisation that one entry runs at once; absent for no limit of its own. */
-  inProgress: valibot.optional(positive),
-  /** Digests of the caller keys that stand for this organisation. */
+  weight: valibot.optional(valibot.pipe(positiveInteger, valibot.maxValue(1000)), 1),
+  /** The maximum number of concurrent requests of the organisation per entry; absent for no limit. */
+  inProgress: valibot.optional(positiveInteger),
+  /** Digests of the caller keys that authenticate as this organisation. */
   keyDigests: valibot.optional(valibot.array(digest), [])
 })
 
@@ -52,7 +52,7 @@
   pools: valibot.record(name, poolSchema),
   services: valibot.record(name, serviceSchema),
   organisations: valibot.record(name, organisationSchema),
-  /** Instances that take no new work. */
+  /** Instances that accept no new requests. */
   draining: valibot.optional(valibot.array(name), [])
 })
 
@@ -62,7 +62,7 @@
   availabilityZone: name,
   role: valibot.picklist(['entry', 'agent']),
   address: valibot.pipe(valibot.string(), valibot.regex(addressPattern)),
-  /** The pool or service that an agent's endpoint belongs to. */
+  /** The pool or service to which the agent's endpoint belongs. */
   endpoint: valibot.optional(name),
   state: valibot.picklist(['live', 'leaving'])
 })
@@ -71,25 +71,25 @@
 const manifestSchema = valibot.strictObject({
   model: name,
   version: name,
-  bytes: positive,
-  chunks: valibot.pipe(valibot.array(valibot.strictObject({ digest, bytes: positive })), valibot.minLength(1))
+  bytes: positiveInteger,
+  chunks: valibot.pipe(valibot.array(valibot.strictObject({ digest, bytes: positiveInteger })), valibot.minLength(1))
 })
 
-/** The settings that operators publish: models, pools, services and organisations. */
+/** The configuration that operators publish: models, pools, services and organisations. */
 export type Configuration = valibot.InferOutput<typeof configurationSchema>
-/** A pool of model workers as configured. */
+/** The configuration of a pool of model workers. */
 export type PoolConfiguration = valibot.InferOutput<typeof poolSchema>
-/** One line of the instance list. */
+/** An entry of the instance list. */
 export type InstanceRecord = valibot.InferOutput<typeof instanceSchema>
-/** The platform's list of instances. */
+/** The list of instances that the platform publishes. */
 export type InstanceList = valibot.InferOutput<typeof instanceListSchema>
 /** The chunks of one version of a model. Its digest is the version's identity. */
 export type Manifest = valibot.InferOutput<typeof manifestSchema>
 
-/** Either a value or the failure that explains why there is none. */
+/** The result of validation: a value or a failure. */
 export type Checked<Value, Problem> = { readonly value: Value } | { readonly failure: Problem }
 
-function issueText (issues: readonly valibot.BaseIssue<unknown>[]): string {
+function formatIssues (issues: readonly valibot.BaseIssue<unknown>[]): string {
   return issues.slice(0, 3).map(issue => `${valibot.getDotPath(issue) ?? 'document'}: ${issue.message}`).join('; ')
 }
 
@@ -98,15 +98,15 @@
 }
 
 /**
- * Checks a configuration document, its cross references included.
+ * Validates a configuration document, including its cross-references.
  *
  * @example
  * const checked = checkConfiguration(JSON.parse(text))
- * if ('failure' in checked) keepTheOldOne(checked.failure)
+ * if ('failure' in checked) keepCurrent(checked.failure)
  */
 export function checkConfiguration (input: unknown): Checked<Configuration, DocumentFailure> {
   const parsed = valibot.safeParse(configurationSchema, input)
-  if (!parsed.success) return invalid(issueText(parsed.issues))
+  if (!parsed.success) return invalid(formatIssues(parsed.issues))
   const configuration = parsed.output
   for (const [pool, { model, version }] of Object.entries(configuration.pools)) {
     if (configuration.models[model]?.versions[version] === undefined) {
@@ -118,32 +118,32 @@
 }
 
 /**
- * Checks an instance list; two lines for one instance are refused.
+ * Validates an instance list. Duplicate instances are rejected.
  *
  * @example
  * checkInstanceList({ instances: [] })
  */
 export function checkInstanceList (input: unknown): Checked<InstanceList, DocumentFailure> {
   const parsed = valibot.safeParse(instanceListSchema, input)
-  if (!parsed.success) return invalid(issueText(parsed.issues))
+  if (!parsed.success) return invalid(formatIssues(parsed.issues))
   const seen = new Set<string>()
   for (const { instance } of parsed.output.instances) {
-    if (seen.has(instance)) return invalid(`instances: ${instance} stands twice`)
+    if (seen.has(instance)) return invalid(`instances: ${instance} is listed more than once`)
     seen.add(instance)
   }
   return { value: parsed.output }
 }
 
 /**
- * Checks a manifest: its sizes must add up and stay under `limitBytes`. That its digest is the wanted one is for
- * the caller to check on the bytes themselves.
+ * Validates a manifest: the chunk sizes must add up to the total and not exceed `limitBytes`. The caller must verify the
+ * digest of the manifest's bytes.
  *
  * @example
  * checkManifest(JSON.parse(bytes.toString()), 2 ** 40)
  */
 export function checkManifest (input: unknown, limitBytes: number): Checked<Manifest, WeightsFailure> {
   const parsed = valibot.safeParse(manifestSchema, input)
-  if (!parsed.success) return badManifest(issueText(parsed.issues))
+  if (!parsed.success) return badManifest(formatIssues(parsed.issues))
   const total = parsed.output.chunks.reduce((sum, chunk) => sum + chunk.bytes, 0)
   if (total !== parsed.output.bytes) return badManifest(`chunks add up to ${total} bytes, not ${parsed.output.bytes}`)
   if (total > limitBytes) return { failure: { type: 'weights-failure', reason: 'too-large', detail: `${total} bytes` } }
@@ -155,7 +155,7 @@
 }
 
 /**
- * The manifest digest that a pool is to serve.
+ * Returns the manifest digest that a pool is configured to serve, or `undefined` if there is no such pool or version.
  *
  * @example
  * wantedDigest(configuration, 'drafting')
--- a/packages/core/src/lib/joining.ts
+++ b/packages/core/src/lib/joining.ts
@@ -4,64 +4,65 @@
  * SPDX-License-Identifier: BSD-3-Clause
  */
 /**
- * The time between a process's start and the first document that it takes. The service, or one peer, may be stale; so
- * a few seeds are asked, and what everyone says meanwhile is held until all have answered or the time is up.
+ * The join phase between the start of a process and the first document that it adopts. The service or a single peer may
+ * be stale, so a few seeds are queried, and documents received meanwhile are held until all seeds have answered or the
+ * timeout expires.
  */
 import type { Published } from './revision-ledger.js'
 import type { Topic } from './spread.js'
 
-/** Seeds that are asked. */
-const JOIN_PEERS = 3
+/** The number of seeds to query. */
+const MAX_JOIN_SEEDS = 3
 
-/** A document that was said while joining. */
+/** A document received during the join phase. */
 export interface HeldDocument {
   readonly topic: Topic
   readonly published: Published
 }
 
-/** One process's joining. */
-export class Joining {
-  private _asked = false
-  /** Addresses that were asked and have neither answered nor failed. */
+/** The join phase of one process. */
+export class JoinPhase {
+  private _queried = false
+  /** Addresses that were queried and have neither answered nor failed. */
   private readonly _pending = new Set<string>()
-  /** The newest may turn out to be invalid, so the others are kept too. */
+  /** All received documents, since the newest may turn out to be invalid. */
   private readonly _held: HeldDocument[] = []
 
   /**
-   * @param _until When to stop waiting.
+   * @param _deadline The time at which to stop waiting.
    */
-  constructor (private readonly _until: number) {}
+  constructor (private readonly _deadline: number) {}
 
   /**
-   * The seeds to ask, the first time; nothing after that.
+   * Returns the seeds to query on the first call, and an empty array after that.
    *
-   * @param draw A number in [0, 1): where to begin, so that not all ask the same ones.
+   * @param random A random number in [0, 1) that selects the first seed, so that processes do not all query the same ones.
    */
-  ask (seeds: readonly string[], draw: number): string[] {
-    if (this._asked) return []
-    this._asked = true
-    const start = Math.floor(draw * seeds.length)
-    const chosen = [...seeds.slice(start), ...seeds.slice(0, start)].slice(0, JOIN_PEERS)
+  ask (seeds: readonly string[], random: number): string[] {
+    if (this._queried) return []
+    this._queried = true
+    const start = Math.floor(random * seeds.length)
+    const chosen = [...seeds.slice(start), ...seeds.slice(0, start)].slice(0, MAX_JOIN_SEEDS)
     for (const address of chosen) this._pending.add(address)
     return chosen
   }
 
-  /** Keeps what the service or a peer said. */
+  /** Holds a document from the service or a peer. */
   hold (topic: Topic, published: Published): void {
     this._held.push({ topic, published })
   }
 
-  /** A peer has answered, or could not be reached. Others than those asked do not count. */
-  heard (address: string): void {
+  /** Records that a queried peer has answered or could not be reached. Other addresses are ignored. */
+  peerDone (address: string): void {
     this._pending.delete(address)
   }
 
-  /** Whether nobody is waited for any more. */
-  over (now: number): boolean {
-    return now >= this._until || (this._asked && this._pending.size === 0)
+  /** Whether all queried seeds have answered or failed, or the timeout has expired. */
+  isOver (now: number): boolean {
+    return now >= this._deadline || (this._queried && this._pending.size === 0)
   }
 
-  /** What was held, the newest first. */
+  /** The held documents, newest first. */
   newestFirst (): HeldDocument[] {
     return [...this._held].sort((left, right) => right.published.revision - left.published.revision)
   }
--- a/packages/core/src/lib/neighbourhood.ts
+++ b/packages/core/src/lib/neighbourhood.ts
@@ -4,13 +4,14 @@
  * SPDX-License-Identifier: BSD-3-Clause
  */
 /**
- * The instance list as one process sees it: who is near, who is abroad, who watches for its zone, and who was silent
- * lately. Worked out once for each list, since at 2,780 instances looking through it each second is not free.
+ * A view of the instance list from one process: the peers in its own zone and in other zones, the order of the zone's
+ * watchers, and peers that recently did not respond. It is computed once per list, since scanning 2,780 instances every
+ * second is expensive.
  */
 import type { InstanceRecord } from './documents.js'
 import { rendezvousOrder } from './rendezvous.js'
 
-/** What a process knows of itself before any list. */
+/** The configuration of a process that is known before it has an instance list. */
 export interface NeighbourhoodSelf {
   readonly instance: string
   readonly availabilityZone: string
@@ -18,43 +19,43 @@
   readonly seeds: readonly string[]
 }
 
-/** The surroundings of one process, for one list. */
+/** The peers of one process, for one instance list. */
 export class Neighbourhood {
-  /** Names of the zone's members, the watchers first. */
+  /** The instances in the zone, with its watchers first. */
   readonly order: readonly string[]
-  private readonly _near: readonly string[]
-  private readonly _abroad: readonly string[]
+  private readonly _ownZone: readonly string[]
+  private readonly _otherZones: readonly string[]
   private readonly _seeds: readonly string[]
-  /** Addresses that did not answer, with the time until which they are passed over. */
-  private readonly _silent = new Map<string, number>()
+  /** Addresses that did not respond, with the time until which they are skipped. */
+  private readonly _unresponsive = new Map<string, number>()
 
   constructor (self: NeighbourhoodSelf, instances: readonly InstanceRecord[]) {
     const zone = instances.filter(record => record.availabilityZone === self.availabilityZone)
     const others = instances.filter(record => record.availabilityZone !== self.availabilityZone)
     this.order = rendezvousOrder(zone.map(record => record.instance), 'watchers')
-    this._near = zone.filter(record => record.instance !== self.instance).map(record => record.address)
-    this._abroad = others.map(record => record.address)
+    this._ownZone = zone.filter(record => record.instance !== self.instance).map(record => record.address)
+    this._otherZones = others.map(record => record.address)
     this._seeds = self.seeds.filter(seed => seed !== self.address)
   }
 
-  /** An address did not answer. */
-  silent (address: string, until: number): void { this._silent.set(address, until) }
+  /** Records that an address did not respond, and skips it until the given time. */
+  silent (address: string, until: number): void { this._unresponsive.set(address, until) }
 
   /**
-   * A peer's address, rather one that was not silent lately.
+   * Picks the address of a peer, preferring peers that are not marked as unresponsive.
    *
-   * @param abroad Whether it should be of another zone; if there is none, one of this zone is taken, and the reverse.
-   * @param draw A number in [0, 1).
-   * @returns A seed while no list is known; nothing when there is nobody.
+   * @param otherZone Whether to prefer a peer in another zone to one in the own zone. Falls back to the other group if empty.
+   * @param random A random number in [0, 1).
+   * @returns An address, or a seed if the list contains no peers; `undefined` if there are no seeds either.
    * @example
    * const address = neighbourhood.pick(true, random(), now)
    */
-  pick (abroad: boolean, draw: number, now: number): string | undefined {
-    const [preferred, others] = abroad ? [this._abroad, this._near] : [this._near, this._abroad]
+  pick (otherZone: boolean, random: number, now: number): string | undefined {
+    const [preferred, others] = otherZone ? [this._otherZones, this._ownZone] : [this._ownZone, this._otherZones]
     const listed = preferred.length > 0 ? preferred : others
-    const known = listed.length > 0 ? listed : this._seeds
-    const lively = this._silent.size === 0 ? known : known.filter(address => (this._silent.get(address) ?? 0) <= now)
-    const choices = lively.length > 0 ? lively : known
-    return choices[Math.floor(draw * choices.length)]
+    const available = listed.length > 0 ? listed : this._seeds
+    const responsive = this._unresponsive.size === 0 ? available : available.filter(address => (this._unresponsive.get(address) ?? 0) <= now)
+    const choices = responsive.length > 0 ? responsive : available
+    return choices[Math.floor(random * choices.length)]
   }
 }
