--- a/packages/node/src/lib/routing/chunk-holdings.ts
+++ b/packages/node/src/lib/routing/chunk-holdings.ts
@@ -12,31 +12,31 @@
 import type { PeerPool } from '../peer/pool.js'
 
 /** Interval between checks for chunks to announce, in milliseconds; chunks received within it are announced together. */
-const TELL_PAUSE = 60
+const ANNOUNCE_INTERVAL = 60
 /**
  * A follower receives the next announcement after this many new chunks, or after this many milliseconds. With one message per chunk,
  * each of 56 agents sends and receives 570 such messages a second during a transfer, which is three quarters of its work. A peer that
  * knows of a few chunks can fetch those in the meantime.
  */
-const ENOUGH_CHUNKS = 4
-const LONGEST_TELL_PAUSE = 240
+const ANNOUNCE_BATCH = 4
+const MAX_ANNOUNCE_DELAY = 240
 /** Delay before the next attempt to follow an unreachable peer, in milliseconds. */
-const RETRY_PAUSE = 400
+const RETRY_DELAY = 400
 /**
  * Limits on the peers that one agent follows, in its own zone and in each other zone. They bound the number of messages in a large
  * fleet. In other zones, the members that fetch from the origin the chunks that this agent fetches into its zone are preferred.
  */
-const MOST_NEAR = 12
-const MOST_READERS_IN_OTHER_ZONE = 6
-const LEAST_IN_OTHER_ZONE = 3
+const MAX_PEERS_IN_OWN_ZONE = 12
+const MAX_READERS_PER_OTHER_ZONE = 6
+const MIN_PEERS_PER_OTHER_ZONE = 3
 
 interface Follower {
   readonly responder: Responder
   readonly identity: string
-  readonly told: Set<number>
+  readonly announced: Set<number>
   /** Chunks announced as held by another member. */
-  readonly toldElsewhere: Set<number>
-  toldAt: number
+  readonly announcedElsewhere: Set<number>
+  announcedAt: number
 }
 
 /** The indexes of a version's chunks that are held by an agent and by others. */
@@ -53,7 +53,7 @@
 }
 
 /** Maximum number of versions followed over one connection: the staged one, the next one, and the one before a change. */
-const MOST_FOLLOWED = 3
+const MAX_VERSIONS_PER_CONNECTION = 3
 
 /**
  * Announces to followers which chunks this agent holds, and which it knows other members to hold. In a large zone an agent
@@ -77,50 +77,50 @@
   follow (identity: string, responder: Responder): void {
     const { connection } = responder
     const known = this._followers.get(connection)
-    const follower = { responder, identity, told: new Set<number>(), toldElsewhere: new Set<number>(), toldAt: -Infinity }
+    const follower = { responder, identity, announced: new Set<number>(), announcedElsewhere: new Set<number>(), announcedAt: -Infinity }
     const others = (known ?? []).filter(other => other.identity !== identity)
-    this._followers.set(connection, [...others, follower].slice(-MOST_FOLLOWED))
-    if (known === undefined) connection.onEnd(() => { this._left(connection) })
-    this.wake()
-    this._tell(follower, this._known(identity))
+    this._followers.set(connection, [...others, follower].slice(-MAX_VERSIONS_PER_CONNECTION))
+    if (known === undefined) connection.onEnd(() => { this._removeFollower(connection) })
+    this.resume()
+    this._announce(follower, this._known(identity))
   }
 
   /** Resumes announcements, since chunks are in transfer. */
-  wake (): void {
-    if (this._followers.size > 0) this._timer ??= setInterval(() => this._tellAll(), TELL_PAUSE)
+  resume (): void {
+    if (this._followers.size > 0) this._timer ??= setInterval(() => this._announceAll(), ANNOUNCE_INTERVAL)
   }
 
-  private _left (connection: PeerConnection): void {
+  private _removeFollower (connection: PeerConnection): void {
     this._followers.delete(connection)
-    if (this._followers.size === 0) this._rest()
+    if (this._followers.size === 0) this._stopTimer()
   }
 
-  private _rest (): void {
+  private _stopTimer (): void {
     clearInterval(this._timer)
     this._timer = undefined
   }
 
   /** Announces chunks to all followers; computes the known chunks once per version. */
-  private _tellAll (): void {
+  private _announceAll (): void {
     const knownOf = new Map<string, OwnChunks>()
     for (const follower of [...this._followers.values()].flat()) {
       const known = knownOf.get(follower.identity) ?? this._known(follower.identity)
       knownOf.set(follower.identity, known)
-      this._tell(follower, known)
+      this._announce(follower, known)
     }
-    if ([...knownOf.values()].every(({ settled }) => settled === true)) this._rest()
+    if ([...knownOf.values()].every(({ settled }) => settled === true)) this._stopTimer()
   }
 
-  private _tell (follower: Follower, known: OwnChunks): void {
-    const { responder, identity, told, toldElsewhere } = follower
-    const held = known.held.filter(index => !told.has(index))
+  private _announce (follower: Follower, known: OwnChunks): void {
+    const { responder, identity, announced, announcedElsewhere } = follower
+    const held = known.held.filter(index => !announced.has(index))
     const now = performance.now()
-    if (known.settled !== true && held.length < ENOUGH_CHUNKS && now - follower.toldAt < LONGEST_TELL_PAUSE) return
-    for (const index of held) told.add(index)
-    const elsewhere = known.elsewhere.filter(index => !told.has(index) && !toldElsewhere.has(index))
-    for (const index of elsewhere) toldElsewhere.add(index)
+    if (known.settled !== true && held.length < ANNOUNCE_BATCH && now - follower.announcedAt < MAX_ANNOUNCE_DELAY) return
+    for (const index of held) announced.add(index)
+    const elsewhere = known.elsewhere.filter(index => !announced.has(index) && !announcedElsewhere.has(index))
+    for (const index of elsewhere) announcedElsewhere.add(index)
     if (held.length + elsewhere.length === 0) return
-    follower.toldAt = now
+    follower.announcedAt = now
     responder.send({ type: 'chunks', identity, held, elsewhere })
   }
 }
@@ -132,9 +132,9 @@
   lost (peer: string): void
 }
 
-interface Followed {
+interface FollowedPeer {
   identity: string
-  asking: boolean
+  connecting: boolean
   connection: PeerConnection | undefined
   call: number
   retryAt: number
@@ -142,12 +142,12 @@
 
 /** Follows which chunks of one version are held by peers. */
 export class HoldingsFollower {
-  private readonly _followed = new Map<string, Followed>()
+  private readonly _followed = new Map<string, FollowedPeer>()
   private readonly _timer: NodeJS.Timeout
   private _identity = ''
 
   constructor (private readonly _self: ChunkMember, private readonly _pool: PeerPool, private readonly _log: Log, private readonly _listener: HoldingsListener) {
-    this._timer = setInterval(() => { this._tick() }, RETRY_PAUSE / 2)
+    this._timer = setInterval(() => { this._tick() }, RETRY_DELAY / 2)
   }
 
   close (): void { clearInterval(this._timer) }
@@ -159,11 +159,11 @@
    */
   follow (identity: string, members: readonly ChunkMember[], chunks: number): void {
     this._identity = identity
-    const chosen = new Set(identity === '' ? [] : neighboursOf(this._self, members, chunks))
+    const chosen = new Set(identity === '' ? [] : peersToFollow(this._self, members, chunks))
     for (const peer of this._followed.keys()) if (!chosen.has(peer)) this._followed.delete(peer)
     for (const peer of chosen) {
       const known = this._followed.get(peer)
-      if (known === undefined) this._followed.set(peer, { identity: '', asking: false, connection: undefined, call: 0, retryAt: 0 })
+      if (known === undefined) this._followed.set(peer, { identity: '', connecting: false, connection: undefined, call: 0, retryAt: 0 })
       else if (known.identity !== identity) known.retryAt = 0
     }
     this._tick()
@@ -173,12 +173,12 @@
     const now = performance.now()
     for (const [peer, followed] of this._followed) {
       const current = followed.connection?.open === true && followed.identity === this._identity
-      if (!current && !followed.asking && now >= followed.retryAt) this._ask(peer, followed, this._identity)
+      if (!current && !followed.connecting && now >= followed.retryAt) this._subscribe(peer, followed, this._identity)
     }
   }
 
-  private async _ask (peer: string, followed: Followed, identity: string): Promise<void> {
-    followed.asking = true
+  private async _subscribe (peer: string, followed: FollowedPeer, identity: string): Promise<void> {
+    followed.connecting = true
     try {
       const connection = await this._pool.connection(peer)
       if (followed.connection === connection) connection.forget(followed.call)
@@ -187,19 +187,19 @@
       followed.identity = identity
       followed.call = connection.ask({ type: 'follow-chunks', identity }, undefined, {
         reply: reply => { if (reply.type === 'chunks' && reply.identity === this._identity) this._listener.holds(peer, reply) },
-        lost: () => this._lost(peer, followed)
+        lost: () => this._onDisconnected(peer, followed)
       })
     } catch (error) {
       this._log.debug('peer-silent', { address: peer, reason: failureOf(error).type })
-      this._lost(peer, followed)
+      this._onDisconnected(peer, followed)
     } finally {
-      followed.asking = false
+      followed.connecting = false
     }
   }
 
-  private _lost (peer: string, followed: Followed): void {
+  private _onDisconnected (peer: string, followed: FollowedPeer): void {
     followed.connection = undefined
-    followed.retryAt = performance.now() + RETRY_PAUSE
+    followed.retryAt = performance.now() + RETRY_DELAY
     this._listener.lost(peer)
   }
 }
@@ -211,7 +211,7 @@
  * @example
  * const peers = neighboursOf(self, members, 64)
  */
-export function neighboursOf (self: ChunkMember, members: readonly ChunkMember[], chunks: number): string[] {
+export function peersToFollow (self: ChunkMember, members: readonly ChunkMember[], chunks: number): string[] {
   const places = new ChunkPlaces(self, members)
   const readers = new Set(Array.from({ length: chunks }, (_, chunk) => chunk).filter(chunk => places.turn(chunk).inZone === 0).map(chunk => places.reader(chunk)))
   const zones = new Map<string, string[]>()
@@ -223,17 +223,17 @@
   }
   return [...zones].flatMap(([zone, instances]) => {
     const ranked = [...instances].sort((left, right) => hash32(`${self.instance} ${left}`) - hash32(`${self.instance} ${right}`))
-    return zone === self.availabilityZone ? nearPeers(ranked, places.predecessor) : farPeers(ranked, readers)
+    return zone === self.availabilityZone ? peersInOwnZone(ranked, places.predecessor) : peersInOtherZone(ranked, readers)
   })
 }
 
-function nearPeers (ranked: readonly string[], predecessor: string): string[] {
+function peersInOwnZone (ranked: readonly string[], predecessor: string): string[] {
   const others = ranked.filter(instance => instance !== predecessor)
-  return [...ranked.filter(instance => instance === predecessor), ...others].slice(0, MOST_NEAR)
+  return [...ranked.filter(instance => instance === predecessor), ...others].slice(0, MAX_PEERS_IN_OWN_ZONE)
 }
 
-function farPeers (ranked: readonly string[], readers: ReadonlySet<string>): string[] {
-  const first = ranked.filter(instance => readers.has(instance)).slice(0, MOST_READERS_IN_OTHER_ZONE)
+function peersInOtherZone (ranked: readonly string[], readers: ReadonlySet<string>): string[] {
+  const first = ranked.filter(instance => readers.has(instance)).slice(0, MAX_READERS_PER_OTHER_ZONE)
   const others = ranked.filter(instance => !readers.has(instance))
-  return [...first, ...others.slice(0, Math.max(0, LEAST_IN_OTHER_ZONE - first.length))]
+  return [...first, ...others.slice(0, Math.max(0, MIN_PEERS_PER_OTHER_ZONE - first.length))]
 }
--- a/packages/node/src/lib/routing/engine-switcher.ts
+++ b/packages/node/src/lib/routing/engine-switcher.ts
@@ -37,9 +37,9 @@
   readonly confirmWhole: () => Promise<boolean>
   readonly onLoad: (load: LoadReport) => void
   /** Called when the engine has restarted. */
-  readonly onStartedAgain: () => void
+  readonly onEngineRestarted: () => void
   /** Called after a poll of the engine, before the switch is evaluated. */
-  readonly onLooked: () => void
+  readonly onPolled: () => void
   /** The description of the engine pool; `undefined` until it is known. */
   readonly pool: () => PoolDescription | undefined
   /** Milliseconds until the wanted version is completely staged: 0 if it already is, `undefined` if unknown. */
@@ -50,14 +50,14 @@
  * Poll interval of a busy engine, in milliseconds: about one forward pass. In the simulation of a busy pool (`policy` benchmark,
  * 84 engines, 98 entries, 375 requests a second), 0.93 of the credit is earned, and 0.89 with half as many polls.
  */
-const LOOK_PAUSE = 50
+const POLL_INTERVAL = 50
 /**
  * Ticks between polls of a less busy engine, and the share of slots in use below which an engine counts as such. Transfers and the
  * switch are evaluated at that rate at any load. Polls of an engine that is less than half full yield little, and each costs an agent
  * 0.7 ms of processor time.
  */
-const CALM_LOOKS = 2
-const CALM_SHARE = 0.5
+const LIGHT_LOAD_TICKS = 2
+const LIGHT_LOAD_SHARE = 0.5
 /**
  * The last engine of a zone switches this long before the version bound, in milliseconds. From then on entries send no new
  * requests to the old version, so an engine that still serves it should switch at once.
@@ -70,17 +70,17 @@
   private readonly _timer: NodeJS.Timeout
   private _unread = new UnreadTokens()
   private _report: EngineReport | undefined
-  private _looking = false
+  private _polling = false
   private _ticks = 0
-  private _stepDue = true
+  private _switchDue = true
   private _ordering = false
   private _reachable = true
   /** Start time of the engine, as last reported. */
-  private _born: number | undefined
+  private _engineStart: number | undefined
 
   constructor (private readonly _parts: EngineSwitcherParts) {
     this._switch = this._newSwitch()
-    this._timer = setInterval(() => { this._tick() }, LOOK_PAUSE)
+    this._timer = setInterval(() => { this._tick() }, POLL_INTERVAL)
   }
 
   close (): void { clearInterval(this._timer) }
@@ -89,7 +89,7 @@
   get ordering (): boolean { return this._ordering || this._report?.busy === true }
 
   /** Whether the engine has running or waiting requests. */
-  get working (): boolean { return this._report !== undefined && this._report.running + this._report.waiting > 0 }
+  get hasRequests (): boolean { return this._report !== undefined && this._report.running + this._report.waiting > 0 }
 
   /** Returns the version of a model that the engine serves; 0 for none. */
   version (model: string): number {
@@ -98,41 +98,41 @@
 
   private _tick (): void {
     this._ticks += 1
-    if (this._ticks % CALM_LOOKS === 0) this._stepDue = true
-    if (this._stepDue || this._crowded) this._look()
+    if (this._ticks % LIGHT_LOAD_TICKS === 0) this._switchDue = true
+    if (this._switchDue || this._busy) this._poll()
   }
 
-  private get _crowded (): boolean {
+  private get _busy (): boolean {
     const slots = this._parts.pool()?.slots ?? Infinity
-    return this._report !== undefined && this._report.running + this._report.waiting >= CALM_SHARE * slots
+    return this._report !== undefined && this._report.running + this._report.waiting >= LIGHT_LOAD_SHARE * slots
   }
 
   /** Polls the engine immediately, outside the regular interval. */
-  look (): void {
-    this._stepDue = true
-    this._look()
+  poll (): void {
+    this._switchDue = true
+    this._poll()
   }
 
-  private async _look (): Promise<void> {
-    if (this._looking) return
-    this._looking = true
+  private async _poll (): Promise<void> {
+    if (this._polling) return
+    this._polling = true
     try {
       const before = this._report
       this._report = await this._parts.engine.report()
-      this._noteReachable()
-      this._noteStart(before)
-      this._noteVersion(before)
-      this._tellLoad()
-      if (!this._stepDue) return
-      this._stepDue = false
-      this._parts.onLooked()
-      await this._step()
+      this._updateReachability()
+      this._detectRestart(before)
+      this._logVersionChange(before)
+      this._publishLoad()
+      if (!this._switchDue) return
+      this._switchDue = false
+      this._parts.onPolled()
+      await this._stepSwitch()
     } finally {
-      this._looking = false
+      this._polling = false
     }
   }
 
-  private _noteReachable (): void {
+  private _updateReachability (): void {
     const reachable = this._report !== undefined
     if (reachable === this._reachable) return
     this._reachable = reachable
@@ -143,18 +143,18 @@
   private _newSwitch (): VersionSwitch { return new VersionSwitch(this._parts.versionBound, SWITCH_LEAD) }
 
   /** Discards all state about the engine after it has restarted: its prompts, its orders and the contents of its staging area. */
-  private _noteStart (before: EngineReport | undefined): void {
-    this._born ??= before?.born ?? this._report?.born
+  private _detectRestart (before: EngineReport | undefined): void {
+    this._engineStart ??= before?.born ?? this._report?.born
     const born = this._report?.born
-    if (born === undefined || born === this._born) return
-    this._parts.log.info('engine-started-again', { born, before: this._born })
-    this._born = born
+    if (born === undefined || born === this._engineStart) return
+    this._parts.log.info('engine-started-again', { born, before: this._engineStart })
+    this._engineStart = born
     this._unread = new UnreadTokens()
     this._switch = this._newSwitch()
-    this._parts.onStartedAgain()
+    this._parts.onEngineRestarted()
   }
 
-  private _noteVersion (before: EngineReport | undefined): void {
+  private _logVersionChange (before: EngineReport | undefined): void {
     const model = this._parts.situation().wanted?.model
     if (model === undefined || this._report === undefined) return
     const old = before?.models.find(held => held.model === model)?.version ?? 0
@@ -178,7 +178,7 @@
     }
   }
 
-  private _tellLoad (): void {
+  private _publishLoad (): void {
     const { wanted } = this._parts.situation()
     const view = this._view()
     if (this._report === undefined || wanted === undefined || view === undefined) return
@@ -200,12 +200,12 @@
     const pool = this._parts.pool()
     const timeToWhole = this._parts.timeToWhole()
     if (pool === undefined || timeToWhole === undefined || this.version(model) >= version) return undefined
-    const ends = running > 0 ? usualWriteTime(pool, running) : 0
+    const finishTime = running > 0 ? usualWriteTime(pool, running) : 0
     const warmUp = pool.models.find(({ name }) => name === model)?.warmUp ?? 0
-    return Math.round(timeToWhole + ends + warmUp)
+    return Math.round(timeToWhole + finishTime + warmUp)
   }
 
-  private async _step (): Promise<void> {
+  private async _stepSwitch (): Promise<void> {
     const { wanted, heardAt } = this._parts.situation()
     const view = this._view()
     if (wanted === undefined || view === undefined) return
@@ -216,7 +216,7 @@
 
   private async _order (wanted: ModelVersion, why: string, age: number | undefined): Promise<void> {
     this._ordering = true
-    this._tellLoad()
+    this._publishLoad()
     try {
       const result = await this._parts.confirmWhole() ? await this._parts.engine.order(wanted) : 'not-whole'
       this._switch.answered(result, performance.now())
--- a/packages/node/src/lib/routing/epoch-log.ts
+++ b/packages/node/src/lib/routing/epoch-log.ts
@@ -19,9 +19,9 @@
    * @param revision The revision followed in the current epoch.
    * @param by The source of the state: the store, or a peer's address.
    * @example
-   * epochs.followed(before, answer.upTo, 'store')
+   * epochs.reportEpoch(before, answer.upTo, 'store')
    */
-  followed (before: PublishedNote, revision: number, by: string): void {
+  reportEpoch (before: PublishedNote, revision: number, by: string): void {
     const { epoch } = this._state
     if (epoch === before.epoch) return
     this._counters.add('store_epoch', epoch - before.epoch)
@@ -33,7 +33,7 @@
    * Reports configurations older than the held one. Operators only ever increase the version, but a restored store returns an
    * older one until the configuration is written again.
    */
-  told (changes: readonly PublishedChange[]): void {
+  reportOlderConfigurations (changes: readonly PublishedChange[]): void {
     const held = this._state.configuration?.version ?? 0
     for (const change of changes) {
       if (change.type !== 'configuration' || change.configuration.version >= held) continue
--- a/packages/node/src/lib/routing/news-relay.ts
+++ b/packages/node/src/lib/routing/news-relay.ts
@@ -9,25 +9,25 @@
  */
 import type { PeerRequest, RelayNote } from '@drumdrift/core'
 import type { PeerConnection, Responder } from '../peer/connection.js'
-import { NewsPacker } from './packed-news.js'
+import { DeltaEncoder } from './packed-news.js'
 import type { PublishedFeed } from './published-feed.js'
 
 /** Maximum interval between messages to a follower, in milliseconds. */
-const SIGN_OF_LIFE = 500
+const HEARTBEAT_INTERVAL = 500
 /** Minimum interval between announcements, in milliseconds, since changes come in bursts. */
-const TELL_PAUSE = 50
+const ANNOUNCE_INTERVAL = 50
 
 /** Announces the published state that one process holds, and serves it to peers. */
 export class NewsRelay {
   private readonly _followers = new Map<PeerConnection, Responder>()
-  private readonly _packer: NewsPacker
+  private readonly _encoder: DeltaEncoder
   /** Set once there is a first follower. */
   private _timer: NodeJS.Timeout | undefined
-  private _told = ''
-  private _toldAt = -Infinity
+  private _announced = ''
+  private _announcedAt = -Infinity
 
   constructor (private readonly _feed: PublishedFeed, private readonly _availabilityZone: string) {
-    this._packer = new NewsPacker(_feed.state)
+    this._encoder = new DeltaEncoder(_feed.state)
   }
 
   close (): void { clearInterval(this._timer) }
@@ -36,14 +36,14 @@
   follow (responder: Responder): void {
     const { connection } = responder
     this._followers.set(connection, responder)
-    this._timer ??= setInterval(() => this._tick(), TELL_PAUSE)
+    this._timer ??= setInterval(() => this._tick(), ANNOUNCE_INTERVAL)
     connection.onEnd(() => { this._followers.delete(connection) })
     responder.send({ type: 'news-note', note: this._note() })
   }
 
   /** Sends a peer the changes that it requested. */
   answer ({ note, topics }: Extract<PeerRequest, { type: 'news' }>, responder: Responder): void {
-    responder.send({ type: 'news' }, this._packer.since(note, topics, performance.now()))
+    responder.send({ type: 'news' }, this._encoder.since(note, topics, performance.now()))
   }
 
   private _tick (): void {
@@ -51,10 +51,10 @@
     const now = performance.now()
     const note = this._note()
     // Progress of the followed revisions without changes is sent with the next heartbeat.
-    const news = JSON.stringify([note.held, note.fresh])
-    if (news === this._told && now - this._toldAt < SIGN_OF_LIFE) return
-    this._told = news
-    this._toldAt = now
+    const announcement = JSON.stringify([note.held, note.fresh])
+    if (announcement === this._announced && now - this._announcedAt < HEARTBEAT_INTERVAL) return
+    this._announced = announcement
+    this._announcedAt = now
     for (const responder of this._followers.values()) responder.send({ type: 'news-note', note })
   }
 
--- a/packages/node/src/lib/routing/packed-news.ts
+++ b/packages/node/src/lib/routing/packed-news.ts
@@ -13,9 +13,9 @@
 import { peerError } from '../peer/frame.js'
 
 /** Maximum decompressed size of a message, in bytes: several times the store's limit for one document. */
-const LARGEST_NEWS = 16 * 1024 * 1024
+const MAX_DECOMPRESSED_BYTES = 16 * 1024 * 1024
 /** Compression level. Favours speed: a relay encodes each configuration several times, for processes with different revisions. */
-const LEVEL = 3
+const COMPRESSION_LEVEL = 3
 
 const codec = new Encoder({ useRecords: true })
 
@@ -23,10 +23,10 @@
  * Encodes a delta of published state.
  *
  * @example
- * responder.send({ type: 'news' }, packNews(state.since(note, now)))
+ * responder.send({ type: 'news' }, encodeDelta(state.since(note, now)))
  */
-export function packNews (delta: PublishedDelta): Buffer {
-  return deflateRawSync(codec.encode(delta), { level: LEVEL })
+export function encodeDelta (delta: PublishedDelta): Buffer {
+  return deflateRawSync(codec.encode(delta), { level: COMPRESSION_LEVEL })
 }
 
 /**
@@ -34,10 +34,10 @@
  *
  * @throws DrumdriftError with a peer failure of reason `malformed`.
  */
-export function unpackNews (bytes: Buffer): PublishedDelta {
+export function decodeDelta (bytes: Buffer): PublishedDelta {
   let value: unknown
   try {
-    value = codec.decode(inflateRawSync(bytes, { maxOutputLength: LARGEST_NEWS }))
+    value = codec.decode(inflateRawSync(bytes, { maxOutputLength: MAX_DECOMPRESSED_BYTES }))
   } catch (error) {
     throw peerError('malformed', `cannot decode the published state: ${error instanceof Error ? error.message : 'unknown error'}`)
   }
@@ -55,17 +55,17 @@
  * Encodes the published state of one process for its peers. After a restart of all processes many peers request the same
  * delta, so the last encoding is cached until the state changes.
  */
-export class NewsPacker {
-  private _last: { readonly key: string, readonly packed: Buffer } | undefined
+export class DeltaEncoder {
+  private _last: { readonly key: string, readonly encoded: Buffer } | undefined
 
   constructor (private readonly _state: PublishedState) {}
 
   /** Returns the encoded changes since the revisions in `note`. */
   since (note: PublishedNote, topics: readonly PublishedTopic[] | undefined, now: number): Buffer {
     const key = JSON.stringify([this._state.edition, note, topics])
-    if (this._last?.key === key) return this._last.packed
-    const packed = packNews(this._state.since(note, now, topics))
-    this._last = { key, packed }
-    return packed
+    if (this._last?.key === key) return this._last.encoded
+    const encoded = encodeDelta(this._state.since(note, now, topics))
+    this._last = { key, encoded }
+    return encoded
   }
 }
--- a/packages/node/src/lib/routing/peer-news.ts
+++ b/packages/node/src/lib/routing/peer-news.ts
@@ -8,7 +8,7 @@
 import type { Log } from '../observe/log.js'
 import type { Counters } from '../observe/metrics.js'
 import type { PeerPool } from '../peer/pool.js'
-import { unpackNews } from './packed-news.js'
+import { decodeDelta } from './packed-news.js'
 
 /** Dependencies and settings of a {@link PeerNews}. */
 export interface PeerNewsParts {
@@ -18,40 +18,40 @@
   readonly counters: Counters
   /** Addresses of peers that may hold newer state. */
   readonly peers: () => readonly string[]
-  readonly onNews: (address: string, delta: PublishedDelta, took: number) => void
+  readonly onDelta: (address: string, delta: PublishedDelta, took: number) => void
 }
 
 /** Timeout of a query, in milliseconds: allows for a few network round trips and a busy peer. */
-const TIMEOUT = 400
+const QUERY_TIMEOUT = 400
 /** Timeout of a query by a process without any state, whose response is the full state, in milliseconds. */
-const WHOLE_TIMEOUT = 2_000
+const FULL_STATE_TIMEOUT = 2_000
 
 /** Queries the peers of one process. */
 export class PeerNews {
-  private _asking = false
+  private _querying = false
 
   constructor (private readonly _parts: PeerNewsParts) {}
 
   /** Queries a random peer, unless a query is in flight. */
-  async ask (): Promise<void> {
+  async query (): Promise<void> {
     const addresses = this._parts.peers()
     const address = addresses[Math.floor(Math.random() * addresses.length)]
-    if (address === undefined || this._asking) return
-    this._asking = true
+    if (address === undefined || this._querying) return
+    this._querying = true
     try {
-      await this._askOne(address)
+      await this._queryPeer(address)
     } finally {
-      this._asking = false
+      this._querying = false
     }
   }
 
-  private async _askOne (address: string): Promise<void> {
-    const { state, pool, log, counters, onNews } = this._parts
+  private async _queryPeer (address: string): Promise<void> {
+    const { state, pool, log, counters, onDelta } = this._parts
     const askedAt = performance.now()
     counters.add('peer_news_asked')
     try {
-      const { reply, payload } = await pool.call(address, { type: 'news', note: state.note }, { timeout: state.complete ? TIMEOUT : WHOLE_TIMEOUT })
-      if (reply.type === 'news') onNews(address, unpackNews(payload), Math.round(performance.now() - askedAt))
+      const { reply, payload } = await pool.call(address, { type: 'news', note: state.note }, { timeout: state.complete ? QUERY_TIMEOUT : FULL_STATE_TIMEOUT })
+      if (reply.type === 'news') onDelta(address, decodeDelta(payload), Math.round(performance.now() - askedAt))
     } catch (error) {
       counters.add('peer_news_failures')
       log.debug('peer-silent', { address, reason: failureOf(error).type, took: Math.round(performance.now() - askedAt) })
--- a/packages/node/src/lib/routing/published-readings.ts
+++ b/packages/node/src/lib/routing/published-readings.ts
@@ -12,48 +12,48 @@
 import type { PublishedFeed } from './published-feed.js'
 
 /** Interval between reads of the pool description and the wanted version until they are known, in milliseconds. */
-const UNKNOWN_PAUSE = 500
+const INITIAL_READ_INTERVAL = 500
 /**
  * Interval between reads of the wanted version, in milliseconds, in case no entry reports a new one: a third of the time
  * allowed to transfer a version.
  */
-const VERSIONS_PAUSE = 2_700
+const VERSIONS_READ_INTERVAL = 2_700
 /** Interval between checks for due reads, in milliseconds. */
-const REFRESH_PAUSE = 250
+const CHECK_INTERVAL = 250
 /** Interval between reads of the endpoint list during a transfer, in milliseconds: members rarely change in its few seconds. */
-const LIST_PAUSE = 2_000
+const ENDPOINTS_READ_INTERVAL = 2_000
 
 /** Callbacks of a {@link PublishedReadings}. */
 export interface PublishedReadingsParts {
   /** Whether a transfer is in progress or due. */
-  readonly wantsMembers: () => boolean
+  readonly needsMembers: () => boolean
   /**
    * Called after the first read of the versions. An empty result causes no change event, but means that the first version is
    * wanted.
    */
-  readonly onFirstVersions: () => void
+  readonly onFirstVersionsRead: () => void
 }
 
 /** Reads published state for one agent. */
 export class PublishedReadings {
   private _timer: NodeJS.Timeout | undefined
-  private _listReadAt = -Infinity
+  private _endpointsReadAt = -Infinity
   private _configurationReadAt = -Infinity
   private _versionsReadAt = -Infinity
 
   constructor (private readonly _feed: PublishedFeed, private readonly _parts: PublishedReadingsParts) {}
 
   start (): void {
-    this._timer = setInterval(() => { this._read() }, REFRESH_PAUSE)
-    this._read()
+    this._timer = setInterval(() => { this._readDue() }, CHECK_INTERVAL)
+    this._readDue()
   }
 
   close (): void { clearInterval(this._timer) }
 
   /** Makes the next check read the endpoint list, because a transfer begins. */
-  membersMatter (): void { this._listReadAt = -Infinity }
+  refreshMembers (): void { this._endpointsReadAt = -Infinity }
 
-  private async _read (): Promise<void> {
+  private async _readDue (): Promise<void> {
     const now = performance.now()
     await this._readConfiguration(now)
     await this._readVersions(now)
@@ -61,23 +61,23 @@
   }
 
   private async _readConfiguration (now: number): Promise<void> {
-    if (this._feed.state.configuration !== undefined || now - this._configurationReadAt < UNKNOWN_PAUSE) return
+    if (this._feed.state.configuration !== undefined || now - this._configurationReadAt < INITIAL_READ_INTERVAL) return
     this._configurationReadAt = now
     await this._feed.refresh('configuration')
   }
 
   private async _readVersions (now: number): Promise<void> {
     const known = this._feed.state.knows('versions')
-    if (now - this._versionsReadAt < (known ? VERSIONS_PAUSE : UNKNOWN_PAUSE)) return
+    if (now - this._versionsReadAt < (known ? VERSIONS_READ_INTERVAL : INITIAL_READ_INTERVAL)) return
     this._versionsReadAt = now
     await this._feed.refresh('versions')
-    if (!known) this._parts.onFirstVersions()
+    if (!known) this._parts.onFirstVersionsRead()
   }
 
   private async _readMembers (now: number): Promise<void> {
-    const wanting = !this._feed.state.knows('endpoints') || this._parts.wantsMembers()
-    if (!wanting || now - this._listReadAt < LIST_PAUSE) return
-    this._listReadAt = now
+    const needed = !this._feed.state.knows('endpoints') || this._parts.needsMembers()
+    if (!needed || now - this._endpointsReadAt < ENDPOINTS_READ_INTERVAL) return
+    this._endpointsReadAt = now
     await this._feed.refresh('endpoints')
   }
 }
--- a/packages/node/src/lib/routing/refused-documents.ts
+++ b/packages/node/src/lib/routing/refused-documents.ts
@@ -9,9 +9,9 @@
 import type { Counters } from '../observe/metrics.js'
 
 /** Minimum interval between log entries with the same detail, in milliseconds. */
-const SILENCE = 60_000
+const LOG_INTERVAL = 60_000
 /** Maximum number of details remembered; beyond it, the oldest is forgotten and may be logged again sooner. */
-const MOST_REMEMBERED = 256
+const MAX_REMEMBERED = 256
 
 /** Counts and logs the invalid documents seen by one process. */
 export class RefusedDocuments {
@@ -28,11 +28,11 @@
    */
   note ({ reason, detail }: DocumentFailure, now: number): void {
     this._counters.add('documents_refused')
-    if (now - (this._loggedAt.get(detail) ?? -Infinity) < SILENCE) return
+    if (now - (this._loggedAt.get(detail) ?? -Infinity) < LOG_INTERVAL) return
     this._loggedAt.delete(detail)
     this._loggedAt.set(detail, now)
     const [oldest] = this._loggedAt.keys()
-    if (this._loggedAt.size > MOST_REMEMBERED && oldest !== undefined) this._loggedAt.delete(oldest)
+    if (this._loggedAt.size > MAX_REMEMBERED && oldest !== undefined) this._loggedAt.delete(oldest)
     this._log.error('document-refused', { reason, detail })
   }
 }
--- a/packages/node/src/lib/routing/relay-follower.ts
+++ b/packages/node/src/lib/routing/relay-follower.ts
@@ -13,7 +13,7 @@
 import type { Counters } from '../observe/metrics.js'
 import type { PeerConnection } from '../peer/connection.js'
 import type { PeerPool } from '../peer/pool.js'
-import { unpackNews } from './packed-news.js'
+import { decodeDelta } from './packed-news.js'
 
 /** Dependencies and settings of a {@link RelayFollower}. */
 export interface RelayFollowerParts {
@@ -25,58 +25,58 @@
   readonly state: PublishedState
   /** Topics whose changes are fetched as soon as a relay has them. */
   readonly topics: () => readonly PublishedTopic[]
-  readonly onNews: (address: string, delta: PublishedDelta, took: number) => void
+  readonly onDelta: (address: string, delta: PublishedDelta, took: number) => void
 }
 
 /** Interval between checks for due work, in milliseconds. */
-const TICK = 100
+const TICK_INTERVAL = 100
 /** Timeout for opening a connection to a relay, and delay before the next attempt after a failure, in milliseconds. */
-const CONNECT_PATIENCE = 300
-const RETRY_PAUSE = 200
+const CONNECT_TIMEOUT = 300
+const RETRY_DELAY = 200
 /** A connection that receives nothing for this time is reopened, in milliseconds. Relays send a heartbeat every 500 ms. */
-const SILENCE = 1_600
+const IDLE_TIMEOUT = 1_600
 /** Minimum interval between fetches, in milliseconds: changes come in bursts, and every copy of a configuration is costly. */
-const TAKE_PAUSE = 200
+const MIN_FETCH_INTERVAL = 200
 /**
  * Timeout of a fetch from a relay, in milliseconds. If a relay freezes after it announced a change, there must be time left to
  * fetch the change from another relay within 2 s. The first fetch has a longer timeout: it transfers tens of kilobytes, from a
  * process that may be sending them to its whole zone after a restart.
  */
-const NEWS_PATIENCE = 800
-const FIRST_NEWS_PATIENCE = 1_500
+const FETCH_TIMEOUT = 800
+const FIRST_FETCH_TIMEOUT = 1_500
 /** A relay whose fetch failed or timed out is not used for this time, in milliseconds. */
-const PASS_OVER = 2_000
+const EXCLUSION_TIME = 2_000
 
-interface Followed {
+interface RelayState {
   connecting: boolean
   connection: PeerConnection | undefined
-  heardAt: number
+  receivedAt: number
   retryAt: number
-  passedOverUntil: number
+  excludedUntil: number
 }
 
 /** Follows the relays of one process. */
 export class RelayFollower {
   private readonly _book: RelayBook
-  private readonly _followed = new Map<string, Followed>()
+  private readonly _relays = new Map<string, RelayState>()
   private _timer: NodeJS.Timeout | undefined
-  private _takenAt = -Infinity
-  private _taking = false
+  private _fetchedAt = -Infinity
+  private _fetching = false
 
   constructor (private readonly _parts: RelayFollowerParts) {
     this._book = new RelayBook(_parts.place)
-    for (const relay of _parts.relays) this._followed.set(relay, { connecting: false, connection: undefined, heardAt: 0, retryAt: 0, passedOverUntil: 0 })
+    for (const relay of _parts.relays) this._relays.set(relay, { connecting: false, connection: undefined, receivedAt: 0, retryAt: 0, excludedUntil: 0 })
   }
 
   /** Starts following the relays in the background. */
   start (): void {
-    if (this._followed.size === 0) return
-    this._timer = setInterval(() => this._tick(), TICK)
+    if (this._relays.size === 0) return
+    this._timer = setInterval(() => this._tick(), TICK_INTERVAL)
     this._tick()
   }
 
   /** Whether at least one connected relay currently follows the store. */
-  get confirmed (): boolean { return this._book.confirmed(this._parts.state.epoch, performance.now()) }
+  get followsStore (): boolean { return this._book.confirmed(this._parts.state.epoch, performance.now()) }
 
   close (): void { clearInterval(this._timer) }
 
@@ -85,102 +85,102 @@
    *
    * @returns Whether a relay delivered it.
    */
-  async take (topics: readonly PublishedTopic[]): Promise<boolean> {
+  async fetchState (topics: readonly PublishedTopic[]): Promise<boolean> {
     const now = performance.now()
-    const address = this._book.nearest(this._parts.state.epoch, this._passedOver(now), now)
-    return address !== undefined && await this._takeFrom(address, topics)
+    const address = this._book.nearest(this._parts.state.epoch, this._excludedRelays(now), now)
+    return address !== undefined && await this._fetchFrom(address, topics)
   }
 
   private _tick (): void {
     const now = performance.now()
-    for (const [address, followed] of this._followed) {
-      if (followed.connection !== undefined && now - followed.heardAt > SILENCE) followed.connection.close()
-      if (followed.connection === undefined && !followed.connecting && now >= followed.retryAt) this._connect(address, followed)
+    for (const [address, relay] of this._relays) {
+      if (relay.connection !== undefined && now - relay.receivedAt > IDLE_TIMEOUT) relay.connection.close()
+      if (relay.connection === undefined && !relay.connecting && now >= relay.retryAt) this._connect(address, relay)
     }
-    this._countFollowed(now)
-    if (!this._taking && now - this._takenAt >= TAKE_PAUSE) this._takeNews(now)
+    this._advanceFollowed(now)
+    if (!this._fetching && now - this._fetchedAt >= MIN_FETCH_INTERVAL) this._fetchChanges(now)
   }
 
   /**
    * Advances the followed revisions. A relay that holds nothing newer than this process confirms that there were no changes up
    * to the revision that the relay has followed.
    */
-  private _countFollowed (now: number): void {
+  private _advanceFollowed (now: number): void {
     const { state } = this._parts
     const { held } = state
     for (const topic of this._parts.topics()) state.followed(topic, this._book.followedBy(held, topic, now))
   }
 
-  private _takeNews (now: number): void {
+  private _fetchChanges (now: number): void {
     const topics = this._parts.topics()
-    const address = this._book.ahead(this._parts.state.held, topics, this._passedOver(now), now)
-    if (address !== undefined) this._takeFrom(address, topics)
+    const address = this._book.ahead(this._parts.state.held, topics, this._excludedRelays(now), now)
+    if (address !== undefined) this._fetchFrom(address, topics)
   }
 
-  private _passedOver (now: number): ReadonlySet<string> {
-    return new Set([...this._followed].filter(([, { passedOverUntil }]) => now < passedOverUntil).map(([address]) => address))
+  private _excludedRelays (now: number): ReadonlySet<string> {
+    return new Set([...this._relays].filter(([, { excludedUntil }]) => now < excludedUntil).map(([address]) => address))
   }
 
-  private async _takeFrom (address: string, topics: readonly PublishedTopic[]): Promise<boolean> {
+  private async _fetchFrom (address: string, topics: readonly PublishedTopic[]): Promise<boolean> {
     const askedAt = performance.now()
-    this._taking = true
-    this._takenAt = askedAt
+    this._fetching = true
+    this._fetchedAt = askedAt
     this._parts.counters.add('relay_news_asked')
     try {
-      const { reply, payload } = await this._parts.pool.call(address, { type: 'news', note: this._parts.state.note, topics }, { timeout: this._parts.state.complete ? NEWS_PATIENCE : FIRST_NEWS_PATIENCE })
+      const { reply, payload } = await this._parts.pool.call(address, { type: 'news', note: this._parts.state.note, topics }, { timeout: this._parts.state.complete ? FETCH_TIMEOUT : FIRST_FETCH_TIMEOUT })
       if (reply.type !== 'news') return false
       this._parts.counters.add('relay_news_bytes', payload.length)
-      this._parts.onNews(address, unpackNews(payload), Math.round(performance.now() - askedAt))
+      this._parts.onDelta(address, decodeDelta(payload), Math.round(performance.now() - askedAt))
       return true
     } catch (error) {
       this._parts.counters.add('relay_news_failures')
       this._parts.log.warn('relay-silent', { address, reason: failureOf(error).type, took: Math.round(performance.now() - askedAt) })
-      const followed = this._followed.get(address)
-      if (followed !== undefined) followed.passedOverUntil = performance.now() + PASS_OVER
+      const relay = this._relays.get(address)
+      if (relay !== undefined) relay.excludedUntil = performance.now() + EXCLUSION_TIME
       return false
     } finally {
-      this._taking = false
+      this._fetching = false
     }
   }
 
-  private async _connect (address: string, followed: Followed): Promise<void> {
-    followed.connecting = true
+  private async _connect (address: string, relay: RelayState): Promise<void> {
+    relay.connecting = true
     try {
-      const connection = await this._parts.pool.connection(address, { patience: CONNECT_PATIENCE })
-      followed.connection = connection
-      followed.heardAt = performance.now()
+      const connection = await this._parts.pool.connection(address, { patience: CONNECT_TIMEOUT })
+      relay.connection = connection
+      relay.receivedAt = performance.now()
       connection.ask({ type: 'follow-news' }, undefined, {
         reply: reply => {
           if (reply.type !== 'news-note') return
-          followed.heardAt = performance.now()
-          this._book.heard(address, reply.note, followed.heardAt)
+          relay.receivedAt = performance.now()
+          this._book.heard(address, reply.note, relay.receivedAt)
           this._tick()
         },
-        lost: () => this._lost(address, followed)
+        lost: () => this._onDisconnected(address, relay)
       })
     } catch (error) {
       this._parts.log.debug('relay-unreachable', { address, reason: failureOf(error).type })
-      this._lost(address, followed)
+      this._onDisconnected(address, relay)
     } finally {
-      followed.connecting = false
+      relay.connecting = false
     }
   }
 
-  private _lost (address: string, followed: Followed): void {
-    followed.connection = undefined
-    followed.retryAt = performance.now() + RETRY_PAUSE
+  private _onDisconnected (address: string, relay: RelayState): void {
+    relay.connection = undefined
+    relay.retryAt = performance.now() + RETRY_DELAY
     this._book.lost(address)
   }
 }
 
 /**
- * Polls until a condition holds, for at most `patience` milliseconds.
+ * Polls until a condition holds, for at most `timeout` milliseconds.
  *
  * @param step Poll interval in milliseconds.
  * @example
  * await waitUntil(() => feed.state.complete, 1_000, 20)
  */
-export async function waitUntil (holds: () => boolean, patience: number, step: number): Promise<void> {
-  const until = performance.now() + patience
-  while (!holds() && performance.now() < until) await pause(step)
+export async function waitUntil (condition: () => boolean, timeout: number, step: number): Promise<void> {
+  const until = performance.now() + timeout
+  while (!condition() && performance.now() < until) await pause(step)
 }
--- a/packages/node/src/lib/routing/version-transfer.ts
+++ b/packages/node/src/lib/routing/version-transfer.ts
@@ -39,11 +39,11 @@
 /** Number of members that fetch each chunk from the origin. */
 const ORIGIN_COPIES = 1
 /** The limit of a transfer that may send no requests. */
-const NOTHING: SwarmLimit = { peers: 0, origin: 0 }
+const NO_REQUESTS: SwarmLimit = { peers: 0, origin: 0 }
 
 /** Transfers versions, one after the other, to one staging area. */
 export class VersionTransfer {
-  private readonly _weights: WeightsKeeper
+  private readonly _keeper: WeightsKeeper
   private readonly _holdings: HoldingsFollower
   private _swarm: ChunkSwarm | undefined
   private _limit: SwarmLimit | undefined
@@ -63,28 +63,28 @@
       holds: (peer, { held, elsewhere }) => {
         this._swarm?.peerHolds(peer, held)
         this._swarm?.heardOf(elsewhere, performance.now())
-        this._noteZone()
+        this._updateZoneWholeAt()
       },
       lost: peer => this._swarm?.peerLost(peer)
     })
-    this._weights = this._newWeights()
+    this._keeper = this._newKeeper()
   }
 
   /** The identity of the version in transfer or staged; empty for none. */
-  get identity (): string { return this._weights.wanted }
+  get identity (): string { return this._keeper.wanted }
   /** Whether the version is complete and verified. */
-  get whole (): boolean { return this.identity !== '' && this._weights.wholeDigest === this.identity }
+  get whole (): boolean { return this.identity !== '' && this._keeper.wholeDigest === this.identity }
   /** The share of the version's chunks held by this instance, 0 to 1. */
-  get progress (): number { return this._weights.progress }
+  get progress (): number { return this._keeper.progress }
   /** The share of the version's chunks held by this instance or a peer, 0 to 1; 0 while the manifest is unknown. */
-  get known (): number { return this._weights.currentManifest === undefined ? 0 : this._swarm?.known ?? 0 }
+  get known (): number { return this._keeper.currentManifest === undefined ? 0 : this._swarm?.known ?? 0 }
   /** Bytes not yet received; 0 while the manifest is unknown. */
-  get missingBytes (): number { return (1 - this.progress) * (this._weights.currentManifest?.bytes ?? 0) }
+  get missingBytes (): number { return (1 - this.progress) * (this._keeper.currentManifest?.bytes ?? 0) }
   /** When the last chunk was received, on this process's clock; -Infinity for never. */
-  get arrivedAt (): number { return this._swarm?.arrivedAt ?? -Infinity }
+  get lastChunkAt (): number { return this._swarm?.arrivedAt ?? -Infinity }
 
   close (): void {
-    this._weights.close()
+    this._keeper.close()
     this._holdings.close()
   }
 
@@ -98,7 +98,7 @@
     this._namedAt = namedAt
     this._swarm = undefined
     this._zoneWholeAt = undefined
-    this._weights.want(identity, ORIGIN_COPIES)
+    this._keeper.want(identity, ORIGIN_COPIES)
     if (identity === '') this._follow('')
   }
 
@@ -109,14 +109,14 @@
   }
 
   /** Stops following peers, since the engine serves the version. */
-  settle (): void {
+  stopFollowing (): void {
     if (this._following) this._follow('')
   }
 
   /** Applies a change of the member list. */
   membersChanged (): void {
-    this._weights.membersChanged()
-    if (this._following && this._weights.currentManifest !== undefined) this._follow(this.identity)
+    this._keeper.membersChanged()
+    if (this._following && this._keeper.currentManifest !== undefined) this._follow(this.identity)
   }
 
   /** Limits the requests in flight in favour of another transfer; `undefined` restores the default limits. */
@@ -127,22 +127,22 @@
 
   /** Returns the indexes of the version's chunks that this instance holds. */
   held (): number[] {
-    return (this._weights.currentManifest?.chunks ?? []).flatMap(({ digest }, index) => this.store.staged.has(digest) ? [index] : [])
+    return (this._keeper.currentManifest?.chunks ?? []).flatMap(({ digest }, index) => this.store.staged.has(digest) ? [index] : [])
   }
 
   /** Returns the indexes of chunks known to be held by other members. */
   elsewhere (): number[] { return this._swarm?.elsewhere(performance.now()) ?? [] }
 
   /** Whether a chunk belongs, or may belong, to the version. */
-  expects (digest: string): boolean { return this._weights.expects(digest) }
+  expects (digest: string): boolean { return this._keeper.expects(digest) }
 
   /** See `WeightsKeeper.manifest`. */
-  manifest (identity: string, wait: number): Promise<Buffer | undefined> { return this._weights.manifest(identity, wait) }
+  manifest (identity: string, wait: number): Promise<Buffer | undefined> { return this._keeper.manifest(identity, wait) }
 
   /** See `WeightsKeeper.confirmWhole`. */
-  confirmWhole (): Promise<boolean> { return this._weights.confirmWhole() }
+  confirmWhole (): Promise<boolean> { return this._keeper.confirmWhole() }
 
-  private _newWeights (): WeightsKeeper {
+  private _newKeeper (): WeightsKeeper {
     const { self, largestBytes, source, pool, log, counters, members, chunkDigest, manifestMatches } = this._parts
     return new WeightsKeeper({
       self,
@@ -165,7 +165,7 @@
     })
   }
 
-  private _noteZone (): void {
+  private _updateZoneWholeAt (): void {
     if (this._zoneWholeAt !== undefined) return
     const { self, members } = this._parts
     const whole = this._swarm?.wholePeers ?? []
@@ -175,7 +175,7 @@
 
   private _follow (identity: string): void {
     this._following = identity !== ''
-    this._holdings.follow(identity, identity === '' ? [] : this._parts.members(), this._weights.currentManifest?.chunks.length ?? 0)
+    this._holdings.follow(identity, identity === '' ? [] : this._parts.members(), this._keeper.currentManifest?.chunks.length ?? 0)
   }
 
   /**
@@ -195,7 +195,7 @@
   }
 
   private _applyLimit (): void {
-    const tooLarge = (this._weights.currentManifest?.bytes ?? 0) > this._capacity
-    this._swarm?.limit(tooLarge ? NOTHING : this._limit)
+    const tooLarge = (this._keeper.currentManifest?.bytes ?? 0) > this._capacity
+    this._swarm?.limit(tooLarge ? NO_REQUESTS : this._limit)
   }
 }
--- a/packages/node/src/lib/routing/weights-agent.ts
+++ b/packages/node/src/lib/routing/weights-agent.ts
@@ -26,7 +26,7 @@
 import { EngineSwitcher } from './engine-switcher.js'
 import { LoadPublisher } from './load-publisher.js'
 import type { WeightsPlatform } from './ports.js'
-import { NewsPacker } from './packed-news.js'
+import { DeltaEncoder } from './packed-news.js'
 import { PublishedFeed } from './published-feed.js'
 import { PublishedReadings } from './published-readings.js'
 import { placeOf } from './regions.js'
@@ -39,7 +39,7 @@
 const FIRST_VERSION = 1
 
 /** Interval between polls of an engine that is not up yet, in milliseconds. */
-const ENGINE_PAUSE = 100
+const ENGINE_POLL_INTERVAL = 100
 
 /** The daemon of a weights agent. */
 export class WeightsAgent implements Daemon {
@@ -50,17 +50,17 @@
   private readonly _service: string
   private readonly _platform: WeightsPlatform
   /** Bandwidth in bytes per second that transfers may use in each direction while the engine sends responses. */
-  private readonly _linkRate: number
+  private readonly _transferRate: number
   private readonly _pool: PeerPool
   private readonly _server: PeerServer
   private readonly _feed: PublishedFeed
   private readonly _readings: PublishedReadings
-  private readonly _packer: NewsPacker
+  private readonly _encoder: DeltaEncoder
   private readonly _versions: VersionsUnderWay
   private readonly _chunks: ChunkServer
   private readonly _switcher: EngineSwitcher
-  private readonly _published = new HoldingsPublisher(identity => this._versions.known(identity))
-  private readonly _publisher = new LoadPublisher(() => ({ readRate: readRate(this._poolDescription), slots: this._poolDescription?.slots ?? Infinity }))
+  private readonly _holdingsPublisher = new HoldingsPublisher(identity => this._versions.known(identity))
+  private readonly _loadPublisher = new LoadPublisher(() => ({ readRate: readRate(this._poolDescription), slots: this._poolDescription?.slots ?? Infinity }))
   /** Reports by entries of requests that may crash endpoints; kept for entries that restart. */
   private readonly _suspects = new SuspectRequests()
   /** Reports by entries of the limits of endpoints; kept for entries that restart. */
@@ -81,17 +81,17 @@
     this._service = text('endpoint', 'name')
     this._self = { instance: address, availabilityZone: text('process', 'availability-zone') }
     const wholeRate = _settings.number('weights', 'link-megabits-per-second') * BYTES_PER_MEGABIT
-    this._linkRate = wholeRate * _settings.number('weights', 'link-percent') / 100
-    const beside = new LinkPacer(this._linkRate, performance.now())
-    const whole = new LinkPacer(wholeRate, performance.now())
-    const pacer = (): LinkPacer => this._engineAnswers() ? beside : whole
+    this._transferRate = wholeRate * _settings.number('weights', 'link-percent') / 100
+    const sharedPacer = new LinkPacer(this._transferRate, performance.now())
+    const fullPacer = new LinkPacer(wholeRate, performance.now())
+    const pacer = (): LinkPacer => this._engineServes() ? sharedPacer : fullPacer
     const readPacer: ReadPacer = { received: bytes => pacer().received(bytes, performance.now()) }
     this._platform = connect(readPacer)
     const self = { instance: text('process', 'instance'), key: text('peers', 'key') }
     this._pool = new PeerPool(self, this._traffic, readPacer)
     this._feed = this._newFeed()
-    this._readings = new PublishedReadings(this._feed, { wantsMembers: () => this._versions.transferring, onFirstVersions: () => this._apply() })
-    this._packer = new NewsPacker(this._feed.state)
+    this._readings = new PublishedReadings(this._feed, { needsMembers: () => this._versions.transferring, onFirstVersionsRead: () => this._applyState() })
+    this._encoder = new DeltaEncoder(this._feed.state)
     this._versions = this._newVersions()
     this._chunks = new ChunkServer(this._versions, { upload: (bytes, now) => pacer().upload(bytes, now) }, digest => this._versions.expects(digest))
     this._switcher = this._newSwitcher()
@@ -117,7 +117,7 @@
     this._feed.close()
     this._versions.close()
     this._chunks.close()
-    this._published.close()
+    this._holdingsPublisher.close()
     this._switcher.close()
     this._server.close()
     this._pool.close()
@@ -135,7 +135,7 @@
       watches: [],
       relays: { addresses: this._settings.list('peers', 'seeds'), place: placeOf(this._settings), topics: () => this._relayedTopics() },
       peers: () => [...this._settings.list('peers', 'seeds'), ...this._members.map(({ instance }) => instance)].filter(address => address !== this._self.instance),
-      onChanges: changes => this._changed(changes)
+      onChanges: changes => this._onChanges(changes)
     })
   }
 
@@ -158,7 +158,7 @@
       chunkDigest,
       manifestMatches,
       originCopyTime: manifest => this._originCopyTime(manifest),
-      onWhole: () => this._switcher.look()
+      onWhole: () => this._switcher.poll()
     }, engine, this._settings.number('weights', 'memory-megabytes') * MEBIBYTE)
   }
 
@@ -166,11 +166,11 @@
    * Whether the engine sends responses that transfers could delay. An engine without a version, or without requests on a version
    * that accepts no new ones, does not, so that transfers may use the full link.
    */
-  private _engineAnswers (): boolean {
+  private _engineServes (): boolean {
     const model = this._poolDescription?.models[0]?.name
     if (model === undefined) return true
     const version = this._switcher.version(model)
-    return version > 0 && (this._switcher.working || this._mayBegin(model, version))
+    return version > 0 && (this._switcher.hasRequests || this._mayBegin(model, version))
   }
 
   /** Whether new requests may still start on a version: until the version bound after a newer one is named. */
@@ -199,11 +199,11 @@
       },
       turn: () => this._versions.turn,
       confirmWhole: () => this._versions.confirmWhole(),
-      onLooked: () => this._stepVersions(),
-      onStartedAgain: () => { this._versions.recover() },
+      onPolled: () => this._stepVersions(),
+      onEngineRestarted: () => { this._versions.recover() },
       pool: () => this._poolDescription,
-      timeToWhole: () => this._versions.timeToWhole(this._linkRate),
-      onLoad: load => this._publisher.publish(load, performance.now())
+      timeToWhole: () => this._versions.timeToWhole(this._transferRate),
+      onLoad: load => this._loadPublisher.publish(load, performance.now())
     })
   }
 
@@ -213,27 +213,27 @@
     if (model === undefined) return
     const view = { served: this._switcher.version(model), ordering: this._switcher.ordering, mayBegin: (version: number) => this._mayBegin(model, version) }
     this._versions.step(view, performance.now())
-    if (this._versions.transferring) this._published.wake()
+    if (this._versions.transferring) this._holdingsPublisher.resume()
   }
 
-  private _changed (changes: readonly PublishedChange[]): void {
-    if (changes.some(({ type }) => type === 'wanted-version')) this._readings.membersMatter()
-    this._apply()
+  private _onChanges (changes: readonly PublishedChange[]): void {
+    if (changes.some(({ type }) => type === 'wanted-version')) this._readings.refreshMembers()
+    this._applyState()
   }
 
   /** Reads the staging area, so that chunks staged by an earlier agent or by the platform are not fetched again. */
-  private async _recover (model: string): Promise<void> {
+  private async _recoverStaging (model: string): Promise<void> {
     if (this._recovering) return
     this._recovering = true
     this._platform.engine.useModel(model)
     while (await this._platform.engine.report() === undefined) {
       if (this._stopped) return
-      await pause(ENGINE_PAUSE)
+      await pause(ENGINE_POLL_INTERVAL)
     }
     await this._versions.recover()
     this._recovered = true
     this._log.info('staging-read', { model, staged: this._versions.stagedCount })
-    this._apply()
+    this._applyState()
   }
 
   /** The wanted version of this pool's model. */
@@ -244,7 +244,7 @@
     return { model, version: wanted?.version ?? FIRST_VERSION, heardAt: wanted?.heardAt }
   }
 
-  private _apply (): void {
+  private _applyState (): void {
     const { configuration } = this._feed.state
     this._poolDescription = configuration?.services.find(({ name }) => name === this._service)?.pool ?? this._poolDescription
     if (configuration?.origin !== undefined) this._platform.source.setOrigin(configuration.origin.address)
@@ -253,7 +253,7 @@
       .map(({ address, availabilityZone }) => ({ instance: `${parseAddress(address).host}:${port}`, availabilityZone }))
     this._versions.membersChanged()
     const wanted = this._wanted()
-    if (wanted !== undefined) this._recover(wanted.model)
+    if (wanted !== undefined) this._recoverStaging(wanted.model)
     if (wanted !== undefined && this._recovered && this._mayFetch()) this._versions.want(wanted, this._switcher.version(wanted.model))
   }
 
@@ -272,52 +272,52 @@
 
   private readonly _handlers: { readonly [Type in PeerRequest['type']]?: (request: Extract<PeerRequest, { type: Type }>, responder: Responder) => void } = {
     ping: ({ sentRate, followed, named }, responder) => {
-      if (named !== undefined) this._hearNamed(named)
-      this._publisher.noteRate(responder.connection, Number(sentRate) || 0, Number(followed) || 0, performance.now())
-      this._publisher.answerPing(responder, performance.now())
+      if (named !== undefined) this._onNamedVersion(named)
+      this._loadPublisher.noteRate(responder.connection, Number(sentRate) || 0, Number(followed) || 0, performance.now())
+      this._loadPublisher.answerPing(responder, performance.now())
     },
-    news: ({ note, topics }, responder) => responder.send({ type: 'news' }, this._packer.since(note, topics, performance.now())),
+    news: ({ note, topics }, responder) => responder.send({ type: 'news' }, this._encoder.since(note, topics, performance.now())),
     chunk: ({ digest, wait }, responder) => { this._chunks.serve(String(digest), Number(wait) || 0, responder) },
-    manifest: ({ digest, wait }, responder) => { this._manifest(String(digest), Number(wait) || 0, responder) },
-    'follow-chunks': ({ identity }, responder) => this._published.follow(String(identity), responder),
+    manifest: ({ digest, wait }, responder) => { this._sendManifest(String(digest), Number(wait) || 0, responder) },
+    'follow-chunks': ({ identity }, responder) => this._holdingsPublisher.follow(String(identity), responder),
     'follow-load': (_request, responder) => {
-      this._publisher.follow(responder, performance.now())
+      this._loadPublisher.follow(responder, performance.now())
       const losses = this._suspects.known(performance.now())
       if (losses.length > 0) responder.send({ type: 'suspects', news: { losses, answers: [] } })
       const limits = this._limits.known(performance.now())
       if (limits.length > 0) responder.send({ type: 'limits', news: limits })
     },
-    suspects: ({ news }, responder) => { this._passOnSuspects(news, responder) },
-    limits: ({ news }, responder) => { this._passOnLimits(news, responder) }
+    suspects: ({ news }, responder) => { this._forwardSuspects(news, responder) },
+    limits: ({ news }, responder) => { this._forwardLimits(news, responder) }
   }
 
   /** Forwards an entry's reports of crashing requests to the other entries, which are not connected to each other. */
-  private _passOnSuspects (input: unknown, { connection }: Responder): void {
-    const told = readSuspectNews(input)
-    if (told === undefined) return this._log.warn('peer-malformed', { type: 'suspects', detail: 'malformed report of suspect requests' })
-    const news = this._suspects.heard(told, performance.now())
-    if (news.losses.length + news.answers.length > 0) this._publisher.tellOthers({ type: 'suspects', news }, connection)
+  private _forwardSuspects (input: unknown, { connection }: Responder): void {
+    const report = readSuspectNews(input)
+    if (report === undefined) return this._log.warn('peer-malformed', { type: 'suspects', detail: 'malformed report of suspect requests' })
+    const news = this._suspects.heard(report, performance.now())
+    if (news.losses.length + news.answers.length > 0) this._loadPublisher.tellOthers({ type: 'suspects', news }, connection)
   }
 
   /** Forwards reported limits to the other entries, and sends the sender corrections where its values differ from this agent's. */
-  private _passOnLimits (input: unknown, responder: Responder): void {
-    const told = readLimitNews(input)
-    if (told === undefined) return this._log.warn('peer-malformed', { type: 'limits', detail: 'malformed report of limits' })
+  private _forwardLimits (input: unknown, responder: Responder): void {
+    const report = readLimitNews(input)
+    if (report === undefined) return this._log.warn('peer-malformed', { type: 'limits', detail: 'malformed report of limits' })
     const now = performance.now()
-    const news = this._limits.told(told, now)
-    if (news.length > 0) this._publisher.tellOthers({ type: 'limits', news }, responder.connection)
-    const corrections = this._limits.corrections(told, now)
-    if (corrections.length > 0) this._publisher.tellOne({ type: 'limits', news: corrections }, responder.connection)
+    const news = this._limits.told(report, now)
+    if (news.length > 0) this._loadPublisher.tellOthers({ type: 'limits', news }, responder.connection)
+    const corrections = this._limits.corrections(report, now)
+    if (corrections.length > 0) this._loadPublisher.tellOne({ type: 'limits', news: corrections }, responder.connection)
   }
 
-  private _hearNamed ({ model, version, age }: NamedVersion): void {
+  private _onNamedVersion ({ model, version, age }: NamedVersion): void {
     if (typeof model !== 'string' || ![version, age].every(Number.isFinite)) {
       return this._log.warn('peer-malformed', { type: 'ping', detail: 'malformed wanted version' })
     }
-    this._feed.told({ model, version }, performance.now() - age)
+    this._feed.takeWantedVersion({ model, version }, performance.now() - age)
   }
 
-  private async _manifest (identity: string, wait: number, responder: Responder): Promise<void> {
+  private async _sendManifest (identity: string, wait: number, responder: Responder): Promise<void> {
     const bytes = await this._versions.manifest(identity, wait)
     const absent: PeerReply = { type: 'no-chunk', reason: 'not-held' }
     if (bytes === undefined) responder.send(absent)
--- a/packages/node/src/test/lib/routing/chunk-holdings_test.ts
+++ b/packages/node/src/test/lib/routing/chunk-holdings_test.ts
@@ -8,26 +8,26 @@
 import type { PeerReply } from '@drumdrift/core'
 import type { PeerConnection, Responder } from '../../../lib/peer/connection.js'
 import { ChunkPlaces, type ChunkMember } from '@drumdrift/core'
-import { HoldingsPublisher, neighboursOf, type KnownChunks } from '../../../lib/routing/chunk-holdings.js'
+import { HoldingsPublisher, peersToFollow, type KnownChunks } from '../../../lib/routing/chunk-holdings.js'
 
 /** Waits until all chunks are announced: a single chunk is delayed for up to 0.24 s, and checks are 0.06 s apart. */
-function lastNews (): Promise<void> { return new Promise(resolve => setTimeout(resolve, 400)) }
+function allAnnounced (): Promise<void> { return new Promise(resolve => setTimeout(resolve, 400)) }
 
 describe('HoldingsPublisher', () => {
   let publisher: HoldingsPublisher | undefined
   afterEach(() => publisher?.close())
 
   /** Follows versions over one connection, one after the other, then adds one held chunk to each. */
-  async function heard (identities: readonly string[]): Promise<Map<string, readonly number[]>> {
+  async function announcedTo (identities: readonly string[]): Promise<Map<string, readonly number[]>> {
     let more = false
     publisher = new HoldingsPublisher(() => ({ held: more ? [1, 2] : [1], elsewhere: [] }))
-    const told = new Map<string, readonly number[]>()
+    const announced = new Map<string, readonly number[]>()
     const connection = { open: true, onEnd: () => {} } as unknown as PeerConnection
-    const send = (reply: PeerReply): void => { if (reply.type === 'chunks') told.set(reply.identity, reply.held) }
+    const send = (reply: PeerReply): void => { if (reply.type === 'chunks') announced.set(reply.identity, reply.held) }
     for (const identity of identities) publisher.follow(identity, { connection, send } as unknown as Responder)
     more = true
-    await lastNews()
-    return told
+    await allAnnounced()
+    return announced
   }
 
   const cases: [name: string, identities: readonly string[], expected: Readonly<Record<string, readonly number[]>>][] = [
@@ -37,7 +37,7 @@
     ['the new chunks once to a follower that subscribes twice', ['m@2', 'm@2'], { 'm@2': [2] }]
   ]
   for (const [name, identities, expected] of cases) {
-    it(`announces ${name}`, async () => assert.deepEqual(Object.fromEntries(await heard(identities)), expected))
+    it(`announces ${name}`, async () => assert.deepEqual(Object.fromEntries(await announcedTo(identities)), expected))
   }
 })
 
@@ -49,15 +49,15 @@
   ]
   for (const [name, before, after, expected] of cases) {
     it(`announces ${name}`, async () => {
-      const told: KnownChunks[] = []
+      const announced: KnownChunks[] = []
       let known = before
       const publisher = new HoldingsPublisher(() => known)
-      const send = (reply: PeerReply): void => { if (reply.type === 'chunks') told.push({ held: reply.held, elsewhere: reply.elsewhere }) }
+      const send = (reply: PeerReply): void => { if (reply.type === 'chunks') announced.push({ held: reply.held, elsewhere: reply.elsewhere }) }
       publisher.follow('m@2', { connection: { onEnd: () => {} }, send } as unknown as Responder)
       known = after
-      await lastNews()
+      await allAnnounced()
       publisher.close()
-      assert.deepEqual(told.at(-1), expected)
+      assert.deepEqual(announced.at(-1), expected)
     })
   }
 })
@@ -80,37 +80,37 @@
         for (let more = 0; more < perRound; more += 1) held.push(held.length)
         return { held: [...held], elsewhere: [], settled: settled && held.length > 10 * perRound }
       })
-      const told = new Set<number>()
+      const announced = new Set<number>()
       const send = (reply: PeerReply): void => {
         count += 1
-        if (reply.type === 'chunks') for (const index of reply.held) told.add(index)
+        if (reply.type === 'chunks') for (const index of reply.held) announced.add(index)
       }
       publisher.follow('m@2', { connection: { onEnd: () => {} }, send } as unknown as Responder)
       while (held.length < 11 * perRound) await new Promise(resolve => setTimeout(resolve, 10))
       publisher.close()
       assert.ok(count <= most, `${count} messages`)
-      if (settled) assert.equal(told.size, held.length)
+      if (settled) assert.equal(announced.size, held.length)
       else assert.ok(count >= least, `${count} messages`)
     })
   }
 })
 
-describe('neighboursOf', () => {
+describe('peersToFollow', () => {
   const CHUNKS = 64
   const fleet = (perZone: number): ChunkMember[] => ['koshi', 'bagmati', 'gandaki'].flatMap(zone => Array.from({ length: perZone }, (_, index) => ({ instance: `${zone}-${index}`, availabilityZone: zone })))
 
   it('returns all peers of a small fleet', () => {
     const members = fleet(3)
     const [self] = members as [ChunkMember]
-    assert.deepEqual(neighboursOf(self, members, CHUNKS).sort(), members.slice(1).map(({ instance }) => instance).sort())
+    assert.deepEqual(peersToFollow(self, members, CHUNKS).sort(), members.slice(1).map(({ instance }) => instance).sort())
   })
 
   it('returns a bounded sample of a large fleet that includes the predecessor and the readers of the chunks that the member fetches into its zone', () => {
     const members = fleet(20)
     for (const self of members) {
-      const [places, peers] = [new ChunkPlaces(self, members), neighboursOf(self, members, CHUNKS)]
-      const brings = Array.from({ length: CHUNKS }, (_, chunk) => chunk).filter(chunk => places.turn(chunk).inZone === 0)
-      const readers = brings.map(chunk => places.reader(chunk)).filter(reader => reader !== self.instance)
+      const [places, peers] = [new ChunkPlaces(self, members), peersToFollow(self, members, CHUNKS)]
+      const fetched = Array.from({ length: CHUNKS }, (_, chunk) => chunk).filter(chunk => places.turn(chunk).inZone === 0)
+      const readers = fetched.map(chunk => places.reader(chunk)).filter(reader => reader !== self.instance)
       assert.ok([places.predecessor, ...readers].every(peer => peers.includes(peer)), self.instance)
       assert.ok(peers.length <= 12 + 2 * 6, `${peers.length}`)
     }
--- a/packages/node/src/test/lib/routing/engine-switcher_test.ts
+++ b/packages/node/src/test/lib/routing/engine-switcher_test.ts
@@ -15,8 +15,8 @@
 const report: EngineReport = { running: 4, waiting: 0, contextTokens: 4_000, models: [{ model: 'm', version: 1 }], busy: false, pace: 1 }
 
 /** Polls an engine once per report. Returns the published loads and the number of detected restarts. */
-async function looked (reports: readonly EngineReport[]): Promise<{ told: LoadReport[], startedAgain: number }> {
-  const told: LoadReport[] = []
+async function pollEach (reports: readonly EngineReport[]): Promise<{ loads: LoadReport[], startedAgain: number }> {
+  const loads: LoadReport[] = []
   let startedAgain = 0
   const left = [...reports]
   const engine = { report: async () => left.shift(), order: async () => 'done' } as unknown as LoadableEngine
@@ -28,18 +28,18 @@
     situation: () => ({ wanted: { model: 'm', version: 1 }, heardAt: undefined, whole: 'm@1' }),
     turn: () => ({ index: 0, finalIndex: 0, of: 1, since: 0 }),
     confirmWhole: async () => true,
-    onLoad: load => { told.push(load) },
-    onLooked: () => {},
-    onStartedAgain: () => { startedAgain += 1 },
+    onLoad: load => { loads.push(load) },
+    onPolled: () => {},
+    onEngineRestarted: () => { startedAgain += 1 },
     pool: () => undefined,
     timeToWhole: () => 0
   })
   switcher.close()
   while (left.length > 0) {
-    switcher.look()
+    switcher.poll()
     await new Promise(resolve => setImmediate(resolve))
   }
-  return { told, startedAgain }
+  return { loads, startedAgain }
 }
 
 describe('EngineSwitcher', () => {
@@ -52,13 +52,13 @@
   ]
   for (const [name, borns, expected] of cases) {
     it(`reports the load and detects restarts of ${name}`, async () => {
-      const { told, startedAgain } = await looked(borns.map(born => ({ ...report, born })))
-      assert.deepEqual([startedAgain, told.map(({ born }) => born)], [expected, borns])
+      const { loads, startedAgain } = await pollEach(borns.map(born => ({ ...report, born })))
+      assert.deepEqual([startedAgain, loads.map(({ born }) => born)], [expected, borns])
     })
   }
 
   it('does not count prompts from before a restart as read', async () => {
-    const { told } = await looked([{ ...report, born: 100 }, { ...report, born: 200 }])
-    assert.deepEqual(told.map(({ unreadTokens }) => unreadTokens), [4_000, 4_000])
+    const { loads } = await pollEach([{ ...report, born: 100 }, { ...report, born: 200 }])
+    assert.deepEqual(loads.map(({ unreadTokens }) => unreadTokens), [4_000, 4_000])
   })
 })
--- a/packages/node/src/test/lib/routing/memory-staging_test.ts
+++ b/packages/node/src/test/lib/routing/memory-staging_test.ts
@@ -11,7 +11,7 @@
 
 describe('MemoryStaging', () => {
   const manifests = new Map<string, Buffer>()
-  const book = {
+  const manifestStore = {
     stage: async (_kind: string, digest: string, manifest: Buffer) => {
       manifests.set(digest, manifest)
       return true
@@ -20,7 +20,7 @@
   }
 
   it('stores chunks until they are dropped', async () => {
-    const staging = new MemoryStaging(book, 100)
+    const staging = new MemoryStaging(manifestStore, 100)
     assert.equal(await staging.stage('chunks', 'a', bytes), true)
     assert.deepEqual([...await staging.staged()], ['a'])
     assert.equal(await staging.readBack('chunks', 'a'), bytes)
@@ -35,7 +35,7 @@
   ]
   for (const [name, digests, expected] of fits) {
     it(`accepts chunks ${name}`, async () => {
-      const staging = new MemoryStaging(book, 20)
+      const staging = new MemoryStaging(manifestStore, 20)
       const taken: boolean[] = []
       for (const digest of digests) taken.push(await staging.stage('chunks', digest, bytes))
       assert.deepEqual(taken, expected)
@@ -43,7 +43,7 @@
   }
 
   it('frees the capacity of dropped chunks', async () => {
-    const staging = new MemoryStaging(book, 10)
+    const staging = new MemoryStaging(manifestStore, 10)
     await staging.stage('chunks', 'a', bytes)
     await staging.drop('a')
     await staging.drop('never-held')
@@ -51,7 +51,7 @@
   })
 
   it('stores manifests with the engine', async () => {
-    const staging = new MemoryStaging(book, 0)
+    const staging = new MemoryStaging(manifestStore, 0)
     await staging.stage('manifests', 'm@2', bytes)
     assert.equal(manifests.get('m@2'), bytes)
     assert.equal(await staging.readBack('manifests', 'm@2'), bytes)
--- a/packages/node/src/test/lib/routing/packed-news_test.ts
+++ b/packages/node/src/test/lib/routing/packed-news_test.ts
@@ -8,38 +8,38 @@
 import { deflateRawSync } from 'node:zlib'
 import { failureOf, PublishedState, type PublishedChange } from '@drumdrift/core'
 import { encode } from 'cbor-x'
-import { NewsPacker, packNews, unpackNews } from '../../../lib/routing/packed-news.js'
+import { DeltaEncoder, encodeDelta, decodeDelta } from '../../../lib/routing/packed-news.js'
 
 const record = { id: 'a', service: 'pool', address: '10.0.0.1:80', availabilityZone: 'koshi', slots: 4, draining: false, models: [{ model: 'm', version: 2 }] }
-const listed: PublishedChange = { type: 'endpoint', revision: 2, record }
-const named: PublishedChange = { type: 'wanted-version', revision: 3, wanted: { model: 'm', version: 2 } }
-const nothing = { epoch: 0, configuration: 0, versions: 0, endpoints: 0 }
+const endpointChange: PublishedChange = { type: 'endpoint', revision: 2, record }
+const versionChange: PublishedChange = { type: 'wanted-version', revision: 3, wanted: { model: 'm', version: 2 } }
+const noRevisions = { epoch: 0, configuration: 0, versions: 0, endpoints: 0 }
 
-function known (): PublishedState {
+function stateWithChanges (): PublishedState {
   const state = new PublishedState()
-  state.takeWhole('endpoints', [listed], 3, 0)
-  state.takeWhole('versions', [named], 3, 0)
+  state.takeWhole('endpoints', [endpointChange], 3, 0)
+  state.takeWhole('versions', [versionChange], 3, 0)
   return state
 }
 
-describe('packNews and unpackNews', () => {
+describe('encodeDelta and decodeDelta', () => {
   it('round-trip a delta', () => {
-    const delta = known().since(nothing, 0)
-    assert.deepEqual(unpackNews(packNews(delta)), delta)
+    const delta = stateWithChanges().since(noRevisions, 0)
+    assert.deepEqual(decodeDelta(encodeDelta(delta)), delta)
   })
 
   it('include only the requested topics', () => {
-    const delta = unpackNews(new NewsPacker(known()).since({ ...nothing, endpoints: 1 }, ['versions'], 0))
+    const delta = decodeDelta(new DeltaEncoder(stateWithChanges()).since({ ...noRevisions, endpoints: 1 }, ['versions'], 0))
     assert.deepEqual([delta.changes.map(({ type }) => type), delta.upTo], [['wanted-version'], { epoch: 0, configuration: 0, versions: 3, endpoints: 1 }])
   })
 
   it('invalidate the cached encoding when the state changes', () => {
-    const state = known()
-    const packer = new NewsPacker(state)
-    const before = packer.since(nothing, undefined, 0)
-    assert.equal(packer.since(nothing, undefined, 0), before)
-    state.take({ ...listed, revision: 9, record: { ...record, draining: true } }, 0)
-    assert.equal(unpackNews(packer.since(nothing, undefined, 0)).changes.some(change => change.type === 'endpoint' && change.record.draining), true)
+    const state = stateWithChanges()
+    const packer = new DeltaEncoder(state)
+    const before = packer.since(noRevisions, undefined, 0)
+    assert.equal(packer.since(noRevisions, undefined, 0), before)
+    state.take({ ...endpointChange, revision: 9, record: { ...record, draining: true } }, 0)
+    assert.equal(decodeDelta(packer.since(noRevisions, undefined, 0)).changes.some(change => change.type === 'endpoint' && change.record.draining), true)
   })
 
   const malformed: [name: string, bytes: Buffer][] = [
@@ -50,7 +50,7 @@
   ]
   for (const [name, bytes] of malformed) {
     it(`reject ${name}`, () => {
-      assert.throws(() => unpackNews(bytes), (error: unknown) => {
+      assert.throws(() => decodeDelta(bytes), (error: unknown) => {
         const failure = failureOf(error)
         return failure.type === 'peer-failure' && failure.reason === 'malformed'
       })
--- a/packages/node/src/test/lib/routing/published-feed_test.ts
+++ b/packages/node/src/test/lib/routing/published-feed_test.ts
@@ -16,8 +16,8 @@
 const PAUSE = 150
 const log = new Log('error', { role: 'test' }, new BoundedOutput(1, 1_000_000, (_descriptor, bytes, callback) => { setImmediate(() => callback(null, bytes.length)) }))
 const record = { id: 'a', service: 'pool', address: '10.0.0.1:80', availabilityZone: 'koshi', slots: 4, draining: false, models: [] }
-const listed: PublishedChange = { type: 'endpoint', revision: 2, record }
-const named: PublishedChange = { type: 'wanted-version', revision: 3, wanted: { model: 'm', version: 2 } }
+const endpointChange: PublishedChange = { type: 'endpoint', revision: 2, record }
+const versionChange: PublishedChange = { type: 'wanted-version', revision: 3, wanted: { model: 'm', version: 2 } }
 
 /** Returns an empty read, then responds to each watch with the next change or failure after a delay; the last watch hangs. */
 class StoreFake implements PublishedStore {
@@ -29,7 +29,7 @@
   async readWhole (): Promise<StoreChanges> { return { type: 'changes', changes: [], upTo: this._upTo, refused: [] } }
 
   async awaitChanges (): Promise<StoreChanges | StoreFailure> {
-    const [after, change] = this._answers.shift() ?? [60_000, listed]
+    const [after, change] = this._answers.shift() ?? [60_000, endpointChange]
     await new Promise(resolve => { setTimeout(resolve, after).unref() })
     if (change === 'failure') return { type: 'store-failure', reason: 'timed-out', detail: 'no answer' }
     this.answeredAt.push(performance.now())
@@ -49,19 +49,19 @@
   ]
   for (const [name, between, after, expected] of cases) {
     it(`a version ${name}`, async () => {
-      const store = new StoreFake([[0, listed], ...between, [after, named]])
+      const store = new StoreFake([[0, endpointChange], ...between, [after, versionChange]])
       const pool = new PeerPool({ instance: 'a', key: 'k' })
-      const heard = new Promise<void>(resolve => {
+      const received = new Promise<void>(resolve => {
         const feed: PublishedFeed = new PublishedFeed({
           store, pool, log, counters: new Counters(), watches: [{ scope: 'everything', pause: PAUSE, wait: 1_000, relayed: false }], relays: { addresses: [], place: { availabilityZone: 'koshi', regionOf: zone => zone }, topics: () => [] }, peers: () => [], onChanges: () => { if (feed.state.firstNewerAt('m', 1) !== undefined) resolve() }
         })
         open.push(feed, pool)
         feed.start()
       })
-      await heard
-      const [before = 0, came = 0] = store.answeredAt
+      await received
+      const [previous = 0, own = 0] = store.answeredAt
       const at = (open[0] as PublishedFeed).state.firstNewerAt('m', 1) ?? 0
-      const wanted = expected === 'when it came' ? came : before
+      const wanted = expected === 'when it came' ? own : previous
       assert.ok(Math.abs(at - wanted) < PAUSE / 2, `${at} differs from ${wanted}`)
     })
   }
--- a/packages/node/src/test/lib/routing/refused-documents_test.ts
+++ b/packages/node/src/test/lib/routing/refused-documents_test.ts
@@ -11,14 +11,14 @@
 import { RefusedDocuments } from '../../../lib/routing/refused-documents.js'
 
 /** Returns the number of log lines for failures, each given as a document and the time at which it is noted. */
-async function linesFor (complaints: readonly (readonly [document: string, at: number])[]): Promise<number> {
+async function countLogLines (failures: readonly (readonly [document: string, at: number])[]): Promise<number> {
   const lines: string[] = []
   const log = new Log('info', { role: 'test' }, new BoundedOutput(1, 1_000_000, (_descriptor, bytes, callback) => {
     lines.push(...bytes.toString('utf8').trim().split('\n'))
     setImmediate(() => callback(null, bytes.length))
   }))
   const refused = new RefusedDocuments(log, new Counters())
-  for (const [document, at] of complaints) refused.note({ type: 'document-failure', reason: 'invalid', detail: document }, at)
+  for (const [document, at] of failures) refused.note({ type: 'document-failure', reason: 'invalid', detail: document }, at)
   await new Promise(resolve => setTimeout(resolve, 20))
   return lines.length
 }
@@ -31,6 +31,6 @@
     ['logs the same failure again after a minute', [['a', 0], ['a', 60_000]], 2]
   ]
   for (const [name, complaints, lines] of cases) {
-    it(name, async () => { assert.equal(await linesFor(complaints), lines) })
+    it(name, async () => { assert.equal(await countLogLines(complaints), lines) })
   }
 })
--- a/packages/node/src/test/lib/routing/versions-under-way_test.ts
+++ b/packages/node/src/test/lib/routing/versions-under-way_test.ts
@@ -209,8 +209,8 @@
   const orders: [name: string, index: number][] = [['before', 1], ['after', 0]]
   for (const [name, index] of orders) {
     it(`starts the switch order when the first member of the zone is complete, if that member comes ${name} this one`, async () => {
-      const placed = (address: string): boolean => switchPlace(self, [address], [self, { ...self, instance: address }], 'm@2').index === index
-      const address = await peerWithAll(2, true, placed)
+      const hasPosition = (address: string): boolean => switchPlace(self, [address], [self, { ...self, instance: address }], 'm@2').index === index
+      const address = await peerWithAll(2, true, hasPosition)
       const { versions } = begin({ 2: 0 }, 1_000, [address])
       const begunAt = performance.now()
       versions.want({ model: 'm', version: 2 }, 1)
--- a/packages/node/src/test/lib/routing/weights-agent_test.ts
+++ b/packages/node/src/test/lib/routing/weights-agent_test.ts
@@ -111,7 +111,7 @@
     return { store, lines, address }
   }
 
-  async function begin (): Promise<{ store: StoreFake, lines: string[], ask: (request: PeerRequest) => Promise<unknown> }> {
+  async function startWithEntry (): Promise<{ store: StoreFake, lines: string[], ask: (request: PeerRequest) => Promise<unknown> }> {
     const { store, lines, address } = await start(true, [])
     const pool = new PeerPool({ instance: 'entry-1', key: 'k' })
     open.push(pool)
@@ -128,18 +128,18 @@
   }
 
   it('learns the wanted version from an entry, without watching the store', async () => {
-    const { store, lines, ask } = await begin()
+    const { store, lines, ask } = await startWithEntry()
     await ask({ type: 'ping', named: { model: 'm', version: 2, age: 50 } })
     assert.ok(lines.join('').includes('version=2'))
     assert.deepEqual([store.watches, new Set(store.readings.map(([, freshness]) => freshness))], [0, new Set(['may-be-old'])])
   })
 
-  const beginnings: [name: string, listed: boolean, staged: readonly string[], expected: boolean][] = [
+  const startCases: [name: string, listed: boolean, staged: readonly string[], expected: boolean][] = [
     ['starts the transfer once the other members are known', true, [], true],
     ['waits for the other members while nothing is staged', false, [], false],
     ['does not wait for the other members if chunks are staged', false, ['digest'], true]
   ]
-  for (const [name, listed, staged, expected] of beginnings) {
+  for (const [name, listed, staged, expected] of startCases) {
     it(name, async () => {
       const { lines } = await start(listed, staged)
       await until('the staging memory is read', () => lines.join('').includes('event=staging-read'))
@@ -148,18 +148,18 @@
     })
   }
 
-  const unheeded: [name: string, named: unknown, told: boolean][] = [
+  const ignored: [name: string, named: unknown, logged: boolean][] = [
     ['an older version', { model: 'm', version: 1, age: 50 }, false],
     ['a version without a number', { model: 'm', age: 50 }, true],
     ['a version without a model', { version: 2, age: 50 }, true],
     ['a version without an age', { model: 'm', version: 2 }, true]
   ]
-  for (const [name, named, told] of unheeded) {
+  for (const [name, named, logged] of ignored) {
     it(`ignores ${name}`, async () => {
-      const { lines, ask } = await begin()
+      const { lines, ask } = await startWithEntry()
       await ask({ type: 'ping', named } as PeerRequest)
       await new Promise(resolve => setTimeout(resolve, 20))
-      assert.deepEqual([lines.join('').includes('event=peer-malformed'), lines.join('').match(/event=version-wanted/g)?.length], [told, 1])
+      assert.deepEqual([lines.join('').includes('event=peer-malformed'), lines.join('').match(/event=version-wanted/g)?.length], [logged, 1])
     })
   }
 })
