--- a/packages/node/src/lib/routing/chunk-holdings.ts
+++ b/packages/node/src/lib/routing/chunk-holdings.ts
@@ -52,7 +52,7 @@
   readonly settled?: boolean
 }
 
-/** Maximum number of versions followed over one connection: the staged one, the next one, and the one before a change. */
+/** Maximum number of versions followed over one connection: the staged one, the next one, and one that is being replaced. */
 const MAX_VERSIONS_PER_CONNECTION = 3
 
 /**
@@ -102,13 +102,13 @@
 
   /** Announces chunks to all followers; computes the known chunks once per version. */
   private _announceAll (): void {
-    const knownOf = new Map<string, OwnChunks>()
+    const knownByIdentity = new Map<string, OwnChunks>()
     for (const follower of [...this._followers.values()].flat()) {
-      const known = knownOf.get(follower.identity) ?? this._known(follower.identity)
-      knownOf.set(follower.identity, known)
+      const known = knownByIdentity.get(follower.identity) ?? this._known(follower.identity)
+      knownByIdentity.set(follower.identity, known)
       this._announce(follower, known)
     }
-    if ([...knownOf.values()].every(({ settled }) => settled === true)) this._stopTimer()
+    if ([...knownByIdentity.values()].every(({ settled }) => settled === true)) this._stopTimer()
   }
 
   private _announce (follower: Follower, known: OwnChunks): void {
--- a/packages/node/src/lib/routing/epoch-log.ts
+++ b/packages/node/src/lib/routing/epoch-log.ts
@@ -21,7 +21,7 @@
    * @example
    * epochs.reportEpoch(before, answer.upTo, 'store')
    */
-  reportEpoch (before: PublishedNote, revision: number, by: string): void {
+  reportEpochChange (before: PublishedNote, revision: number, by: string): void {
     const { epoch } = this._state
     if (epoch === before.epoch) return
     this._counters.add('store_epoch', epoch - before.epoch)
--- a/packages/node/src/lib/routing/published-feed.ts
+++ b/packages/node/src/lib/routing/published-feed.ts
@@ -254,7 +254,7 @@
     const now = performance.now()
     const before = this.state.note
     if (answer.epoch !== undefined) this.state.enter(answer.epoch, now)
-    this._epochs.reportEpoch(before, answer.upTo, 'store')
+    this._epochs.reportEpochChange(before, answer.upTo, 'store')
     this._epochs.reportOlderConfigurations(answer.changes)
     const changes = topicsOfScope[scope].flatMap(topic => this.state.takeWhole(topic, answer.changes.filter(change => topicOf(change) === topic), answer.upTo, now))
     this._recordRefused(answer)
@@ -313,7 +313,7 @@
     const before = this.state.note
     const changes = this.state.takeDelta(delta, performance.now())
     const { configuration, versions, endpoints } = delta.upTo
-    this._epochs.reportEpoch(before, Math.max(configuration, versions, endpoints), address)
+    this._epochs.reportEpochChange(before, Math.max(configuration, versions, endpoints), address)
     if (changes.length === 0) return
     this._parts.log.info('published-from-peer', { address, epoch: this.state.epoch, news: changes.length, configuration, endpoints, took })
     this._emitChanges(changes)
--- a/packages/node/src/lib/routing/refused-documents.ts
+++ b/packages/node/src/lib/routing/refused-documents.ts
@@ -3,7 +3,7 @@
  * Copyright 2026 the drumdrift contributors
  * SPDX-License-Identifier: BSD-3-Clause
  */
-/** Counts documents that could not be parsed, and logs them with a rate limit, since a writer may rewrite the same one repeatedly. */
+/** Counts rejected documents, and logs them with a rate limit, since a writer may rewrite the same one repeatedly. */
 import type { DocumentFailure } from '@drumdrift/core'
 import type { Log } from '../observe/log.js'
 import type { Counters } from '../observe/metrics.js'
@@ -13,7 +13,7 @@
 /** Maximum number of details remembered; beyond it, the oldest is forgotten and may be logged again sooner. */
 const MAX_REMEMBERED = 256
 
-/** Counts and logs the invalid documents seen by one process. */
+/** Counts and logs the documents that one process rejects. */
 export class RefusedDocuments {
   /** When each detail was last logged, oldest first. */
   private readonly _loggedAt = new Map<string, number>()
@@ -21,7 +21,7 @@
   constructor (private readonly _log: Log, private readonly _counters: Counters) {}
 
   /**
-   * Records an invalid document.
+   * Records a rejected document.
    *
    * @example
    * refused.note(failure, performance.now())
--- a/packages/node/src/lib/routing/version-transfer.ts
+++ b/packages/node/src/lib/routing/version-transfer.ts
@@ -50,7 +50,7 @@
   private _following = false
   private _namedAt: number | undefined
   /** When the version was first known to be complete at a member of this zone. */
-  private _zoneWholeAt: number | undefined
+  private _firstWholeInZoneAt: number | undefined
 
   /**
    * @param _staging The staging area for the chunks.
@@ -63,7 +63,7 @@
       holds: (peer, { held, elsewhere }) => {
         this._swarm?.peerHolds(peer, held)
         this._swarm?.heardOf(elsewhere, performance.now())
-        this._updateZoneWholeAt()
+        this._detectFirstWholeInZone()
       },
       lost: peer => this._swarm?.peerLost(peer)
     })
@@ -97,7 +97,7 @@
     if (identity === this.identity) return
     this._namedAt = namedAt
     this._swarm = undefined
-    this._zoneWholeAt = undefined
+    this._firstWholeInZoneAt = undefined
     this._keeper.want(identity, ORIGIN_COPIES)
     if (identity === '') this._follow('')
   }
@@ -105,7 +105,7 @@
   /** The position of this instance's engine in the switch order of its zone. */
   get turn (): SwitchTurn {
     const { self, members } = this._parts
-    return { ...switchPlace(self, this._swarm?.wholePeers ?? [], members(), this.identity), since: this._zoneWholeAt ?? performance.now() }
+    return { ...switchPlace(self, this._swarm?.wholePeers ?? [], members(), this.identity), since: this._firstWholeInZoneAt ?? performance.now() }
   }
 
   /** Stops following peers, since the engine serves the version. */
@@ -157,7 +157,7 @@
       members,
       addressOf: instance => instance,
       onWhole: () => {
-        this._zoneWholeAt ??= performance.now()
+        this._firstWholeInZoneAt ??= performance.now()
         this._parts.onWhole()
       },
       chunkDigest,
@@ -165,12 +165,12 @@
     })
   }
 
-  private _updateZoneWholeAt (): void {
-    if (this._zoneWholeAt !== undefined) return
+  private _detectFirstWholeInZone (): void {
+    if (this._firstWholeInZoneAt !== undefined) return
     const { self, members } = this._parts
     const whole = this._swarm?.wholePeers ?? []
-    const inZone = members().some(({ instance, availabilityZone }) => availabilityZone === self.availabilityZone && whole.includes(instance))
-    if (inZone) this._zoneWholeAt = performance.now()
+    const wholeInZone = members().some(({ instance, availabilityZone }) => availabilityZone === self.availabilityZone && whole.includes(instance))
+    if (wholeInZone) this._firstWholeInZoneAt = performance.now()
   }
 
   private _follow (identity: string): void {
--- a/packages/node/src/lib/routing/versions-under-way.ts
+++ b/packages/node/src/lib/routing/versions-under-way.ts
@@ -123,18 +123,18 @@
 
   /** Replaces the staged version by the next one if due, and divides the links between both. Must be called periodically. */
   async step ({ served, ordering, mayBegin }: EngineView, now: number): Promise<void> {
-    const [staged, ahead] = [this._stagedView(), this._nextVersion]
+    const [staged, next] = [this._stagedView(), this._nextVersion]
     if (staged !== undefined && staged.whole && served >= staged.version) this._stagedTransfer.stopFollowing()
-    if (staged === undefined || ahead === undefined || this._replacing) return
+    if (staged === undefined || next === undefined || this._replacing) return
     const progressing = !staged.whole && now - this._stagedTransfer.lastChunkAt < STALL_TIMEOUT
     this._nextTransfer.limit(progressing ? { peers: NEXT_VERSION_PEER_REQUESTS, origin: staged.known < 1 ? 0 : 1 } : undefined)
-    const step = overlapStep({ staged, ahead: { version: ahead.version, whole: this._nextTransfer.whole }, served, ordering, mayBegin: mayBegin(staged.version) })
+    const step = overlapStep({ staged, ahead: { version: next.version, whole: this._nextTransfer.whole }, served, ordering, mayBegin: mayBegin(staged.version) })
     if (step.type === 'wait') return
-    this._log.info('version-takes-over', { model: ahead.model, version: ahead.version, before: staged.version, why: step.why, whole: this._nextTransfer.whole, served })
-    await this._replaceStaged(ahead)
-    const named = this._pendingVersion
+    this._log.info('version-takes-over', { model: next.model, version: next.version, before: staged.version, why: step.why, whole: this._nextTransfer.whole, served })
+    await this._replaceStaged(next)
+    const pending = this._pendingVersion
     this._pendingVersion = undefined
-    if (named !== undefined) this.want(named, served)
+    if (pending !== undefined) this.want(pending, served)
   }
 
   /** Returns the indexes of a version's chunks that this instance holds. */
--- a/packages/node/src/lib/routing/weights-agent.ts
+++ b/packages/node/src/lib/routing/weights-agent.ts
@@ -80,10 +80,10 @@
     const address = text('process', 'address')
     this._service = text('endpoint', 'name')
     this._self = { instance: address, availabilityZone: text('process', 'availability-zone') }
-    const wholeRate = _settings.number('weights', 'link-megabits-per-second') * BYTES_PER_MEGABIT
-    this._transferRate = wholeRate * _settings.number('weights', 'link-percent') / 100
+    const linkRate = _settings.number('weights', 'link-megabits-per-second') * BYTES_PER_MEGABIT
+    this._transferRate = linkRate * _settings.number('weights', 'link-percent') / 100
     const sharedPacer = new LinkPacer(this._transferRate, performance.now())
-    const fullPacer = new LinkPacer(wholeRate, performance.now())
+    const fullPacer = new LinkPacer(linkRate, performance.now())
     const pacer = (): LinkPacer => this._engineServes() ? sharedPacer : fullPacer
     const readPacer: ReadPacer = { received: bytes => pacer().received(bytes, performance.now()) }
     this._platform = connect(readPacer)
--- a/packages/node/src/test/lib/routing/engine-switcher_test.ts
+++ b/packages/node/src/test/lib/routing/engine-switcher_test.ts
@@ -18,8 +18,8 @@
 async function pollEach (reports: readonly EngineReport[]): Promise<{ loads: LoadReport[], startedAgain: number }> {
   const loads: LoadReport[] = []
   let startedAgain = 0
-  const left = [...reports]
-  const engine = { report: async () => left.shift(), order: async () => 'done' } as unknown as LoadableEngine
+  const remaining = [...reports]
+  const engine = { report: async () => remaining.shift(), order: async () => 'done' } as unknown as LoadableEngine
   const switcher = new EngineSwitcher({
     engine,
     log: new Log('error', { role: 'test' }, new BoundedOutput(1, 1_000, (_descriptor, bytes, callback) => { setImmediate(() => callback(null, bytes.length)) })),
@@ -35,7 +35,7 @@
     timeToWhole: () => 0
   })
   switcher.close()
-  while (left.length > 0) {
+  while (remaining.length > 0) {
     switcher.poll()
     await new Promise(resolve => setImmediate(resolve))
   }
@@ -43,17 +43,17 @@
 }
 
 describe('EngineSwitcher', () => {
-  const cases: [name: string, borns: (number | undefined)[], startedAgain: number][] = [
+  const cases: [name: string, startTimes: (number | undefined)[], startedAgain: number][] = [
     ['an engine that does not restart', [100, 100, 100], 0],
     ['an engine that restarts once', [100, 200, 200], 1],
     ['an engine that restarts twice', [100, 200, 300], 2],
     ['an engine that does not report its start time', [undefined, undefined], 0],
     ['an engine that reports its start time late', [undefined, 100, 100], 0]
   ]
-  for (const [name, borns, expected] of cases) {
+  for (const [name, startTimes, expected] of cases) {
     it(`reports the load and detects restarts of ${name}`, async () => {
-      const { loads, startedAgain } = await pollEach(borns.map(born => ({ ...report, born })))
-      assert.deepEqual([startedAgain, loads.map(({ born }) => born)], [expected, borns])
+      const { loads, startedAgain } = await pollEach(startTimes.map(born => ({ ...report, born })))
+      assert.deepEqual([startedAgain, loads.map(({ born }) => born)], [expected, startTimes])
     })
   }
 
--- a/packages/node/src/test/lib/routing/versions-under-way_test.ts
+++ b/packages/node/src/test/lib/routing/versions-under-way_test.ts
@@ -23,13 +23,13 @@
 function chunkOf (version: number, index: number): Buffer { return Buffer.from(`v${version} chunk ${index}`) }
 /** Below the ephemeral port range, and apart from the ports that other tests use. */
 const FIRST_PORT = 10_000
-let portsTried = 0
+let portOffset = 0
 
 /** Listens on the first free address that satisfies the predicate. */
-async function listenAtWanted (onRequest: RequestHandler, wanted: (address: string) => boolean): Promise<{ server: PeerServer, address: string }> {
+async function listenOnFreePort (onRequest: RequestHandler, accepts: (address: string) => boolean): Promise<{ server: PeerServer, address: string }> {
   for (;;) {
-    const address = `127.0.0.1:${FIRST_PORT + portsTried++}`
-    if (!wanted(address)) continue
+    const address = `127.0.0.1:${FIRST_PORT + portOffset++}`
+    if (!accepts(address)) continue
     const server = new PeerServer({ instance: 'peer', key: 'k', address, log, traffic: { sent: 0, received: 0 }, onRequest })
     const listens = await server.listen().then(() => true, () => false)
     if (listens) return { server, address }
@@ -44,16 +44,16 @@
 
 /** An origin that serves the chunks of each version up to a limit. */
 class OriginFake {
-  readonly given = new Map<number, number>()
+  readonly sentCounts = new Map<number, number>()
   limits: Readonly<Record<number, number>> = {}
 
   async weights (_upstream: string, kind: 'chunks' | 'manifests', identity: string): Promise<Buffer | undefined> {
     if (kind === 'manifests') return Buffer.from(JSON.stringify(manifestOf(Number(identity.split('@')[1]))))
     for (const version of [2, 3, 4]) {
       const index = manifestOf(version).chunks.findIndex(({ digest }) => digest === identity)
-      const given = this.given.get(version) ?? 0
-      if (index < 0 || given >= (this.limits[version] ?? CHUNKS)) continue
-      this.given.set(version, given + 1)
+      const sent = this.sentCounts.get(version) ?? 0
+      if (index < 0 || sent >= (this.limits[version] ?? CHUNKS)) continue
+      this.sentCounts.set(version, sent + 1)
       return chunkOf(version, index)
     }
     return undefined
@@ -62,24 +62,24 @@
 
 /** An engine's staging memory with one slot per chunk index, shared by all versions. */
 class StagingFake implements ChunkStaging {
-  readonly places = new Map<number, Buffer>()
+  readonly chunksByIndex = new Map<number, Buffer>()
   private readonly _manifests = new Map<string, Buffer>()
 
-  async staged (): Promise<ReadonlySet<string>> { return new Set([...this.places.values()].map(digestOf)) }
+  async staged (): Promise<ReadonlySet<string>> { return new Set([...this.chunksByIndex.values()].map(digestOf)) }
   async stage (kind: 'chunks' | 'manifests', digest: string, bytes: Buffer): Promise<boolean> {
     if (kind === 'manifests') this._manifests.set(digest, bytes)
-    else this.places.set(Number(bytes.toString().split(' ').at(-1)), bytes)
+    else this.chunksByIndex.set(Number(bytes.toString().split(' ').at(-1)), bytes)
     return true
   }
 
   async readBack (kind: 'chunks' | 'manifests', digest: string): Promise<Buffer | undefined> {
     if (kind === 'manifests') return this._manifests.get(digest)
-    return [...this.places.values()].find(bytes => digestOf(bytes) === digest)
+    return [...this.chunksByIndex.values()].find(bytes => digestOf(bytes) === digest)
   }
 
   async drop (): Promise<void> {}
   /** The versions that have chunks in the staging memory. */
-  get versions (): string[] { return [...new Set([...this.places.values()].map(bytes => bytes.toString().split(' ')[0] ?? ''))].sort() }
+  get versions (): string[] { return [...new Set([...this.chunksByIndex.values()].map(bytes => bytes.toString().split(' ')[0] ?? ''))].sort() }
 }
 
 const view: EngineView = { served: 1, ordering: false, mayBegin: () => true }
@@ -89,7 +89,7 @@
   const open: { close (): void }[] = []
   afterEach(() => { for (const each of open.splice(0)) each.close() })
 
-  function begin (limits: Readonly<Record<number, number>>, memory = 1_000, peers: readonly string[] = []): { versions: VersionsUnderWay, origin: OriginFake, staging: StagingFake } {
+  function setUp (limits: Readonly<Record<number, number>>, memory = 1_000, peers: readonly string[] = []): { versions: VersionsUnderWay, origin: OriginFake, staging: StagingFake } {
     const [origin, staging, pool] = [new OriginFake(), new StagingFake(), new PeerPool({ instance: 'a', key: 'k' })]
     origin.limits = limits
     const versions = new VersionsUnderWay({
@@ -100,7 +100,7 @@
   }
 
   /** Starts a peer that announces all chunks of a version, and sends them unless it is mute. */
-  async function peerWithAll (version: number, mute = false, wanted: (address: string) => boolean = () => true): Promise<string> {
+  async function startPeerWithAllChunks (version: number, mute = false, accepts: (address: string) => boolean = () => true): Promise<string> {
     const holdings = new HoldingsPublisher(() => ({ held: Array.from({ length: CHUNKS }, (_, index) => index), elsewhere: [] }))
     const onRequest: RequestHandler = (request, _payload, responder) => {
       if (request.type === 'follow-chunks') holdings.follow(request.identity, responder)
@@ -109,7 +109,7 @@
       const index = manifestOf(version).chunks.findIndex(({ digest }) => digest === request.digest)
       responder.send({ type: 'chunk', digest: request.digest }, chunkOf(version, index))
     }
-    const { server, address } = await listenAtWanted(onRequest, wanted)
+    const { server, address } = await listenOnFreePort(onRequest, accepts)
     open.push(holdings, server)
     return address
   }
@@ -123,17 +123,17 @@
   }
 
   it('transfers one version into the staging memory', async () => {
-    const { versions, staging } = begin({})
+    const { versions, staging } = setUp({})
     versions.want({ model: 'm', version: 2 }, 1)
     await until('version 2 is complete', () => versions.whole === 'm@2')
-    assert.deepEqual([staging.places.size, versions.target?.version, versions.transferring], [CHUNKS, 2, false])
+    assert.deepEqual([staging.chunksByIndex.size, versions.target?.version, versions.transferring], [CHUNKS, 2, false])
     assert.equal(versions.timeToWhole(1_000), 0)
   })
 
   it('completes a nearly transferred version when a newer one is named, and transfers the newer one in parallel', async () => {
-    const { versions, origin, staging } = begin({ 2: 6 })
+    const { versions, origin, staging } = setUp({ 2: 6 })
     versions.want({ model: 'm', version: 2 }, 1)
-    await until('six chunks are sent', () => origin.given.get(2) === 6)
+    await until('six chunks are sent', () => origin.sentCounts.get(2) === 6)
     await new Promise(resolve => setTimeout(resolve, 20))
     versions.want({ model: 'm', version: 3 }, 1)
     assert.equal(versions.target?.version, 2)
@@ -145,7 +145,7 @@
   })
 
   it('moves the newer version into the staging memory once it is complete, without fetching it again', async () => {
-    const { versions, origin, staging } = begin({})
+    const { versions, origin, staging } = setUp({})
     versions.want({ model: 'm', version: 2 }, 1)
     await until('version 2 is complete', () => versions.whole === 'm@2')
     versions.want({ model: 'm', version: 3 }, 1)
@@ -153,12 +153,12 @@
     assert.deepEqual(staging.versions, ['v2'])
     await versions.step(view, performance.now())
     await until('version 3 is staged', () => versions.whole === 'm@3')
-    assert.deepEqual([staging.versions, versions.target?.version, origin.given.get(3)], [['v3'], 3, CHUNKS])
+    assert.deepEqual([staging.versions, versions.target?.version, origin.sentCounts.get(3)], [['v3'], 3, CHUNKS])
     assert.equal(await versions.confirmWhole(), true)
   })
 
   it('does not modify the staging memory while the engine executes an order', async () => {
-    const { versions, staging } = begin({})
+    const { versions, staging } = setUp({})
     versions.want({ model: 'm', version: 2 }, 1)
     await until('version 2 is complete', () => versions.whole === 'm@2')
     versions.want({ model: 'm', version: 3 }, 1)
@@ -168,16 +168,16 @@
   })
 
   it('immediately replaces a version whose transfer has just begun', async () => {
-    const { versions, origin } = begin({ 2: 1 })
+    const { versions, origin } = setUp({ 2: 1 })
     versions.want({ model: 'm', version: 2 }, 1)
-    await until('one chunk is sent', () => origin.given.get(2) === 1)
+    await until('one chunk is sent', () => origin.sentCounts.get(2) === 1)
     versions.want({ model: 'm', version: 3 }, 1)
     assert.equal(versions.target?.version, 3)
     await until('version 3 is complete', () => versions.whole === 'm@3')
   })
 
   it('immediately replaces a version that the engine serves', async () => {
-    const { versions } = begin({})
+    const { versions } = setUp({})
     versions.want({ model: 'm', version: 2 }, 1)
     await until('version 2 is complete', () => versions.whole === 'm@2')
     versions.want({ model: 'm', version: 3 }, 2)
@@ -185,22 +185,22 @@
   })
 
   it('defers a version that exceeds its memory limit until the staging memory is free', async () => {
-    const { versions, origin } = begin({}, 10)
+    const { versions, origin } = setUp({}, 10)
     versions.want({ model: 'm', version: 2 }, 1)
     await until('version 2 is complete', () => versions.whole === 'm@2')
     versions.want({ model: 'm', version: 3 }, 1)
     await new Promise(resolve => setTimeout(resolve, 200))
-    assert.equal(origin.given.get(3) ?? 0, 0)
+    assert.equal(origin.sentCounts.get(3) ?? 0, 0)
     await versions.step({ ...view, served: 2 }, performance.now())
     await until('version 3 is complete', () => versions.whole === 'm@3')
   })
 
-  it('fetches chunks again from peers that were corrupted in the staging memory', async () => {
-    const address = await peerWithAll(2)
-    const { versions, staging } = begin({ 2: 0 }, 1_000, [address])
+  it('fetches chunks that were corrupted in the staging memory again from peers', async () => {
+    const address = await startPeerWithAllChunks(2)
+    const { versions, staging } = setUp({ 2: 0 }, 1_000, [address])
     versions.want({ model: 'm', version: 2 }, 1)
     await until('version 2 is complete', () => versions.whole === 'm@2')
-    staging.places.set(3, Buffer.from('spoilt 3'))
+    staging.chunksByIndex.set(3, Buffer.from('corrupt 3'))
     assert.equal(await versions.confirmWhole(), false)
     await until('version 2 is complete again', () => versions.whole === 'm@2')
     assert.equal(await versions.confirmWhole(), true)
@@ -209,9 +209,9 @@
   const orders: [name: string, index: number][] = [['before', 1], ['after', 0]]
   for (const [name, index] of orders) {
     it(`starts the switch order when the first member of the zone is complete, if that member comes ${name} this one`, async () => {
-      const hasPosition = (address: string): boolean => switchPlace(self, [address], [self, { ...self, instance: address }], 'm@2').index === index
-      const address = await peerWithAll(2, true, hasPosition)
-      const { versions } = begin({ 2: 0 }, 1_000, [address])
+      const isInOrder = (address: string): boolean => switchPlace(self, [address], [self, { ...self, instance: address }], 'm@2').index === index
+      const address = await startPeerWithAllChunks(2, true, isInOrder)
+      const { versions } = setUp({ 2: 0 }, 1_000, [address])
       const begunAt = performance.now()
       versions.want({ model: 'm', version: 2 }, 1)
       await until('the peer is known to be complete', () => performance.now() - begunAt > 200 && versions.timeToWhole(1) !== undefined)
@@ -223,7 +223,7 @@
   }
 
   it('transfers a version that is named while another is moved into the staging memory', async () => {
-    const { versions } = begin({})
+    const { versions } = setUp({})
     versions.want({ model: 'm', version: 2 }, 1)
     await until('version 2 is complete', () => versions.whole === 'm@2')
     versions.want({ model: 'm', version: 3 }, 1)
