--- a/packages/node/src/lib/routing/peer-news.ts
+++ b/packages/node/src/lib/routing/peer-news.ts
@@ -10,7 +10,7 @@
 import type { PeerPool } from '../peer/pool.js'
 import { decodeDelta } from './packed-news.js'
 
-/** Dependencies and settings of a {@link PeerNews}. */
+/** Dependencies and settings of the queries to peers. */
 export interface PeerNewsParts {
   readonly state: PublishedState
   readonly pool: PeerPool
--- a/packages/node/src/lib/routing/published-readings.ts
+++ b/packages/node/src/lib/routing/published-readings.ts
@@ -23,7 +23,7 @@
 /** Interval between reads of the endpoint list during a transfer, in milliseconds: members rarely change in its few seconds. */
 const ENDPOINTS_READ_INTERVAL = 2_000
 
-/** Callbacks of a {@link PublishedReadings}. */
+/** Callbacks that control an agent's reads. */
 export interface PublishedReadingsParts {
   /** Whether a transfer is in progress or due. */
   readonly needsMembers: () => boolean
