--- a/packages/node/src/lib/routing/epoch-log.ts
+++ b/packages/node/src/lib/routing/epoch-log.ts
@@ -19,7 +19,7 @@
    * @param revision The revision followed in the current epoch.
    * @param by The source of the state: the store, or a peer's address.
    * @example
-   * epochs.reportEpoch(before, answer.upTo, 'store')
+   * epochs.reportEpochChange(before, response.upTo, 'store')
    */
   reportEpochChange (before: PublishedNote, revision: number, by: string): void {
     const { epoch } = this._state
--- a/packages/node/src/lib/routing/peer-news.ts
+++ b/packages/node/src/lib/routing/peer-news.ts
@@ -47,14 +47,14 @@
 
   private async _queryPeer (address: string): Promise<void> {
     const { state, pool, log, counters, onDelta } = this._parts
-    const askedAt = performance.now()
+    const sentAt = performance.now()
     counters.add('peer_news_asked')
     try {
       const { reply, payload } = await pool.call(address, { type: 'news', note: state.note }, { timeout: state.complete ? QUERY_TIMEOUT : FULL_STATE_TIMEOUT })
-      if (reply.type === 'news') onDelta(address, decodeDelta(payload), Math.round(performance.now() - askedAt))
+      if (reply.type === 'news') onDelta(address, decodeDelta(payload), Math.round(performance.now() - sentAt))
     } catch (error) {
       counters.add('peer_news_failures')
-      log.debug('peer-silent', { address, reason: failureOf(error).type, took: Math.round(performance.now() - askedAt) })
+      log.debug('peer-silent', { address, reason: failureOf(error).type, took: Math.round(performance.now() - sentAt) })
     }
   }
 }
--- a/packages/node/src/lib/routing/published-feed.ts
+++ b/packages/node/src/lib/routing/published-feed.ts
@@ -146,15 +146,15 @@
       if (this._closed || this._followed(scope) > 0) return
     }
     if (await this._relays.fetchState(topicsOfScope[scope])) return
-    const askedAt = performance.now()
-    let answer = this._rejectEarlierEpoch(await this._read(scope, 'may-be-old'))
+    const sentAt = performance.now()
+    let response = this._rejectEarlierEpoch(await this._read(scope, 'may-be-old'))
     // A possibly stale read may return an earlier epoch; a read of the newest state does not.
-    if (answer.type === 'store-failure' && answer.reason === 'earlier-epoch') answer = this._rejectEarlierEpoch(await this._read(scope, 'newest'))
+    if (response.type === 'store-failure' && response.reason === 'earlier-epoch') response = this._rejectEarlierEpoch(await this._read(scope, 'newest'))
     if (this._closed) return
-    if (answer.type === 'store-failure') return this._onCallFailed(scope, answer, askedAt)
+    if (response.type === 'store-failure') return this._onCallFailed(scope, response, sentAt)
     // A possibly stale read does not show the store's current revision.
     this._onCallSucceeded(scope, Infinity)
-    this._applySnapshot(scope, answer, askedAt)
+    this._applySnapshot(scope, response, sentAt)
   }
 
   /**
@@ -192,32 +192,32 @@
         pausedAt = undefined
         continue
       }
-      const askedAt = performance.now()
-      const notBefore = pausedAt ?? askedAt
+      const sentAt = performance.now()
+      const notBefore = pausedAt ?? sentAt
       pausedAt = undefined
       const call = cursor.next
-      const answer = this._rejectEarlierEpoch(call === 'watch' ? await this._watch(watch) : await this._read(scope, 'newest'))
+      const response = this._rejectEarlierEpoch(call === 'watch' ? await this._watch(watch) : await this._read(scope, 'newest'))
       if (this._closed) return
-      const verdict = cursor.judge(call, answer)
-      if (answer.type === 'store-failure') {
-        this._onCallFailed(scope, answer, askedAt)
+      const verdict = cursor.judge(call, response)
+      if (response.type === 'store-failure') {
+        this._onCallFailed(scope, response, sentAt)
         await pause(backoff * (0.5 + Math.random()))
         backoff = Math.min(MAX_BACKOFF, backoff * 2)
         continue
       }
       backoff = MIN_BACKOFF
-      if (answer.type === 'history-lost' || verdict === 'read-whole') {
-        this._parts.log.warn('history-lost', { scope, revision: cursor.followed, epoch: this.state.epoch, told: answer.epoch })
+      if (response.type === 'history-lost' || verdict === 'read-whole') {
+        this._parts.log.warn('history-lost', { scope, revision: cursor.followed, epoch: this.state.epoch, told: response.epoch })
         this._scopesFromStore.delete(scope)
         // All processes lose the history at the same time; a relay rereads the full state within a few hundred milliseconds.
         if (relayed) await waitUntil(() => this._closed || this._relays.followsStore, STARTUP_RELAY_TIMEOUT, STARTUP_POLL_INTERVAL)
         continue
       }
-      this._onCallSucceeded(scope, answer.upTo)
+      this._onCallSucceeded(scope, response.upTo)
       this._scopesFromStore.add(scope)
-      if (call === 'watch') this._applyChanges(scope, answer, effectiveChangeTime(notBefore, askedAt, performance.now()))
-      else this._applySnapshot(scope, answer, askedAt)
-      if (answer.changes.length === 0 || interval === 0) continue
+      if (call === 'watch') this._applyChanges(scope, response, effectiveChangeTime(notBefore, sentAt, performance.now()))
+      else this._applySnapshot(scope, response, sentAt)
+      if (response.changes.length === 0 || interval === 0) continue
       pausedAt = performance.now()
       await pause(interval)
     }
@@ -234,9 +234,9 @@
   }
 
   /** Turns a response from an epoch before the current one into a failure: its contents may have been lost since. */
-  private _rejectEarlierEpoch<Answer extends StoreAnswer> (answer: Answer): Answer | StoreFailure {
-    const { epoch } = answer
-    if (epoch === undefined || epoch >= this.state.epoch) return answer
+  private _rejectEarlierEpoch<Answer extends StoreAnswer> (response: Answer): Answer | StoreFailure {
+    const { epoch } = response
+    if (epoch === undefined || epoch >= this.state.epoch) return response
     return { type: 'store-failure', reason: 'earlier-epoch', detail: `response is from epoch ${epoch}; current epoch is ${this.state.epoch}`, epoch }
   }
 
@@ -250,23 +250,23 @@
   /** The revision up to which every topic of a scope is known. */
   private _followed (scope: StoreScope): number { return new StoreCursor(this.state, topicsOfScope[scope]).followed }
 
-  private _applySnapshot (scope: StoreScope, answer: StoreChanges, askedAt: number): void {
+  private _applySnapshot (scope: StoreScope, response: StoreChanges, sentAt: number): void {
     const now = performance.now()
     const before = this.state.note
-    if (answer.epoch !== undefined) this.state.enter(answer.epoch, now)
-    this._epochs.reportEpochChange(before, answer.upTo, 'store')
-    this._epochs.reportOlderConfigurations(answer.changes)
-    const changes = topicsOfScope[scope].flatMap(topic => this.state.takeWhole(topic, answer.changes.filter(change => topicOf(change) === topic), answer.upTo, now))
-    this._recordRefused(answer)
-    this._parts.log.info('published-read', { scope, epoch: this.state.epoch, revision: answer.upTo, items: answer.changes.length, news: changes.length, took: Math.round(now - askedAt), bytes: answer.bytes })
+    if (response.epoch !== undefined) this.state.enter(response.epoch, now)
+    this._epochs.reportEpochChange(before, response.upTo, 'store')
+    this._epochs.reportOlderConfigurations(response.changes)
+    const changes = topicsOfScope[scope].flatMap(topic => this.state.takeWhole(topic, response.changes.filter(change => topicOf(change) === topic), response.upTo, now))
+    this._recordRefused(response)
+    this._parts.log.info('published-read', { scope, epoch: this.state.epoch, revision: response.upTo, items: response.changes.length, news: changes.length, took: Math.round(now - sentAt), bytes: response.bytes })
     this._emitChanges(changes)
   }
 
-  private _applyChanges (scope: StoreScope, answer: StoreChanges, changedAt: number): void {
-    this._epochs.reportOlderConfigurations(answer.changes)
-    const changes = answer.changes.flatMap(change => this.state.take(change, changedAt))
-    for (const topic of topicsOfScope[scope]) this.state.followed(topic, answer.upTo)
-    this._recordRefused(answer)
+  private _applyChanges (scope: StoreScope, response: StoreChanges, changedAt: number): void {
+    this._epochs.reportOlderConfigurations(response.changes)
+    const changes = response.changes.flatMap(change => this.state.take(change, changedAt))
+    for (const topic of topicsOfScope[scope]) this.state.followed(topic, response.upTo)
+    this._recordRefused(response)
     this._emitChanges(changes)
   }
 
@@ -278,12 +278,12 @@
     if (changes.length > 0) this._parts.onChanges(changes)
   }
 
-  private _onCallFailed (scope: StoreScope, failure: StoreFailure, askedAt: number): void {
+  private _onCallFailed (scope: StoreScope, failure: StoreFailure, sentAt: number): void {
     const now = performance.now()
     this._scopesFromStore.delete(scope)
     this._parts.counters.add('store_failures')
     this._parts.counters.add(`store_failures_${failure.reason.replaceAll('-', '_')}`)
-    this._parts.log.debug('store-call-failed', { scope, reason: failure.reason, took: Math.round(now - askedAt), complete: this.state.complete })
+    this._parts.log.debug('store-call-failed', { scope, reason: failure.reason, took: Math.round(now - sentAt), complete: this.state.complete })
     this._lastFailureAt = now
     if (!this._failing.has(scope)) {
       this._failing.set(scope, now)
@@ -328,6 +328,6 @@
  *
  * @param notBefore When the pause before the watch began or, without a pause, when the watch was sent.
  */
-function effectiveChangeTime (notBefore: number, askedAt: number, now: number): number {
-  return now - askedAt <= IMMEDIATE_RESPONSE_TIME ? notBefore : now
+function effectiveChangeTime (notBefore: number, sentAt: number, now: number): number {
+  return now - sentAt <= IMMEDIATE_RESPONSE_TIME ? notBefore : now
 }
--- a/packages/node/src/lib/routing/relay-follower.ts
+++ b/packages/node/src/lib/routing/relay-follower.ts
@@ -60,7 +60,7 @@
   private readonly _book: RelayBook
   private readonly _relays = new Map<string, RelayState>()
   private _timer: NodeJS.Timeout | undefined
-  private _fetchedAt = -Infinity
+  private _fetchStartedAt = -Infinity
   private _fetching = false
 
   constructor (private readonly _parts: RelayFollowerParts) {
@@ -98,7 +98,7 @@
       if (relay.connection === undefined && !relay.connecting && now >= relay.retryAt) this._connect(address, relay)
     }
     this._advanceFollowed(now)
-    if (!this._fetching && now - this._fetchedAt >= MIN_FETCH_INTERVAL) this._fetchChanges(now)
+    if (!this._fetching && now - this._fetchStartedAt >= MIN_FETCH_INTERVAL) this._fetchChanges(now)
   }
 
   /**
@@ -122,19 +122,19 @@
   }
 
   private async _fetchFrom (address: string, topics: readonly PublishedTopic[]): Promise<boolean> {
-    const askedAt = performance.now()
+    const sentAt = performance.now()
     this._fetching = true
-    this._fetchedAt = askedAt
+    this._fetchStartedAt = sentAt
     this._parts.counters.add('relay_news_asked')
     try {
       const { reply, payload } = await this._parts.pool.call(address, { type: 'news', note: this._parts.state.note, topics }, { timeout: this._parts.state.complete ? FETCH_TIMEOUT : FIRST_FETCH_TIMEOUT })
       if (reply.type !== 'news') return false
       this._parts.counters.add('relay_news_bytes', payload.length)
-      this._parts.onDelta(address, decodeDelta(payload), Math.round(performance.now() - askedAt))
+      this._parts.onDelta(address, decodeDelta(payload), Math.round(performance.now() - sentAt))
       return true
     } catch (error) {
       this._parts.counters.add('relay_news_failures')
-      this._parts.log.warn('relay-silent', { address, reason: failureOf(error).type, took: Math.round(performance.now() - askedAt) })
+      this._parts.log.warn('relay-silent', { address, reason: failureOf(error).type, took: Math.round(performance.now() - sentAt) })
       const relay = this._relays.get(address)
       if (relay !== undefined) relay.excludedUntil = performance.now() + EXCLUSION_TIME
       return false
--- a/packages/node/src/test/lib/routing/published-feed_test.ts
+++ b/packages/node/src/test/lib/routing/published-feed_test.ts
@@ -21,18 +21,18 @@
 
 /** Returns an empty read, then responds to each watch with the next change or failure after a delay; the last watch hangs. */
 class StoreFake implements PublishedStore {
-  readonly answeredAt: number[] = []
+  readonly respondedAt: number[] = []
   private _upTo = 1
 
-  constructor (private readonly _answers: (readonly [after: number, change: PublishedChange | 'failure'])[]) {}
+  constructor (private readonly _responses: (readonly [after: number, change: PublishedChange | 'failure'])[]) {}
 
   async readWhole (): Promise<StoreChanges> { return { type: 'changes', changes: [], upTo: this._upTo, refused: [] } }
 
   async awaitChanges (): Promise<StoreChanges | StoreFailure> {
-    const [after, change] = this._answers.shift() ?? [60_000, endpointChange]
+    const [after, change] = this._responses.shift() ?? [60_000, endpointChange]
     await new Promise(resolve => { setTimeout(resolve, after).unref() })
     if (change === 'failure') return { type: 'store-failure', reason: 'timed-out', detail: 'no answer' }
-    this.answeredAt.push(performance.now())
+    this.respondedAt.push(performance.now())
     this._upTo += 1
     return { type: 'changes', changes: [change], upTo: this._upTo, refused: [] }
   }
@@ -59,7 +59,7 @@
         feed.start()
       })
       await received
-      const [previous = 0, own = 0] = store.answeredAt
+      const [previous = 0, own = 0] = store.respondedAt
       const at = (open[0] as PublishedFeed).state.firstNewerAt('m', 1) ?? 0
       const wanted = expected === 'when it came' ? own : previous
       assert.ok(Math.abs(at - wanted) < PAUSE / 2, `${at} differs from ${wanted}`)
