--- a/packages/node/src/lib/routing/chunk-holdings.ts
+++ b/packages/node/src/lib/routing/chunk-holdings.ts
@@ -209,7 +209,7 @@
  *
  * @param chunks Number of chunks of the version.
  * @example
- * const peers = neighboursOf(self, members, 64)
+ * const peers = peersToFollow(self, members, 64)
  */
 export function peersToFollow (self: ChunkMember, members: readonly ChunkMember[], chunks: number): string[] {
   const places = new ChunkPlaces(self, members)
--- a/packages/node/src/lib/routing/readiness-server.ts
+++ b/packages/node/src/lib/routing/readiness-server.ts
@@ -20,8 +20,8 @@
    */
   constructor (private readonly _address: string, path: string, ready: () => boolean) {
     this._server = createServer((request, response) => {
-      const asked = request.method === 'GET' && request.url?.split('?')[0] === path
-      response.writeHead(!asked ? 404 : ready() ? 200 : 503, { 'content-length': '0' }).end()
+      const matches = request.method === 'GET' && request.url?.split('?')[0] === path
+      response.writeHead(!matches ? 404 : ready() ? 200 : 503, { 'content-length': '0' }).end()
     })
   }
 
