--- a/packages/node/src/lib/routing/caller-answer.ts
+++ b/packages/node/src/lib/routing/caller-answer.ts
@@ -4,12 +4,12 @@
  * SPDX-License-Identifier: BSD-3-Clause
  */
 /**
- * The caller's side of one exchange: passes an answer on, and never lets a broken one look whole.
+ * Writes the answer to a caller. A broken answer never looks complete to the caller.
  */
 import type { ServerResponse } from 'node:http'
 import type { AnswerHead, OwnAnswer } from './ports.js'
 
-/** Where the answer of one request goes. */
+/** The answer to one request. */
 export class CallerAnswer {
   private _begun = false
   private _ended = false
@@ -17,7 +17,7 @@
   private _onGone: () => void = () => {}
 
   /**
-   * @param _leaving Whether the caller is to open a new connection for its next request.
+   * @param _leaving Whether the answer asks the caller to close the connection after it.
    */
   constructor (private readonly _response: ServerResponse, private readonly _leaving: () => boolean) {
     _response.on('close', () => {
@@ -28,17 +28,17 @@
     _response.on('error', () => { _response.destroy() })
   }
 
-  /** Whether anything of an answer has been passed on. */
+  /** Whether any part of an answer has been passed on. */
   get begun (): boolean { return this._begun }
-  /** Whether the caller has closed its connection before the end. */
+  /** Whether the caller closed its connection before the answer ended. */
   get gone (): boolean { return this._gone }
-  /** Whether the answer is over, whole or not. */
+  /** Whether the answer has ended, complete or not. */
   get ended (): boolean { return this._ended }
 
-  /** Calls back once when the caller closes its connection before the end. */
+  /** Sets the listener for the caller closing its connection before the answer ends. */
   onGone (listener: () => void): void { this._onGone = listener }
 
-  /** Begins to pass an endpoint's answer on. A stream that goes on elsewhere keeps its first head. */
+  /** Writes the head of an endpoint's answer. A stream that is resumed at another endpoint keeps its first head. */
   head ({ status, headers }: AnswerHead): void {
     if (this._begun || this._over()) return
     this._begun = true
@@ -50,14 +50,14 @@
     if (!this._over()) this._response.write(bytes)
   }
 
-  /** The answer is whole. */
+  /** Ends an answer that is complete. */
   end (): void {
     if (this._over()) return
     this._ended = true
     this._response.end()
   }
 
-  /** Passes a whole answer on at once. */
+  /** Writes a complete answer. */
   whole ({ status, headers }: AnswerHead, body: Buffer): void {
     if (this._begun || this._over()) return
     this._begun = true
@@ -67,7 +67,7 @@
     this._response.end(body)
   }
 
-  /** Answers with a failure of the system's own; an answer that has begun is cut off instead. */
+  /** Writes a failure that the system itself reports. If an answer has begun, closes its connection instead. */
   fail ({ status, headers, body }: OwnAnswer): void {
     if (this._over()) return
     this._ended = true
--- a/packages/node/src/lib/routing/connection-reserve.ts
+++ b/packages/node/src/lib/routing/connection-reserve.ts
@@ -4,38 +4,38 @@
  * SPDX-License-Identifier: BSD-3-Clause
  */
 /**
- * Holds one open, never used connection to each endpoint that is in demand, so that a request does not wait for its
- * connection to be opened over a busy link. Each is used for one request, as those that are opened on demand.
+ * Keeps one open, unused connection to each endpoint that receives requests, so that a request does not wait for a connection to
+ * open over a busy link. Like connections that are opened on demand, each carries only one request.
  */
 import { createConnection, type Socket } from 'node:net'
 import { parseAddress } from '../settings/address.js'
 
 /**
- * A connection that nobody took after this is closed, in milliseconds. Endpoints close resting connections too, after
- * seconds, and one that is closed while a request is under way would lose that request.
+ * An unused connection is closed after this time, in milliseconds. Endpoints also close idle connections, after seconds; if that
+ * happens while a request is in flight, the request is lost.
  */
 const LONGEST_REST = 1_500
-/** Bounds descriptors. */
+/** Bounds the number of file descriptors. */
 const MOST_HELD = 256
 
-/** A held connection that does any of this is of no use: bytes before any request belong to no request. */
+/** Events that make an unused connection unusable. Bytes that arrive before any request belong to none. */
 const watched = ['error', 'end', 'close', 'readable'] as const
 
 interface Held {
-  /** The start of the endpoint that it was opened to. */
+  /** The start of the endpoint to which the connection was opened. */
   readonly start: string
   readonly socket: Socket
   readonly timer: NodeJS.Timeout
 }
 
-/** Ready connections of one entry. */
+/** The open, unused connections of one entry. */
 export class ConnectionReserve {
   private readonly _held = new Map<string, Held>()
 
   /**
-   * Takes a ready connection, if there is one, and has the next one opened.
+   * Returns an open connection, or `undefined` if there is none, and opens the next one.
    *
-   * @param start The start of the endpoint that is wanted there: a connection to an earlier one leads nowhere.
+   * @param start The expected start of the endpoint: a connection to an earlier start is not usable.
    * @example
    * const socket = reserve.take('10.0.0.7:8080', startOf(record)) ?? connect('10.0.0.7:8080')
    */
--- a/packages/node/src/lib/routing/endpoint-attempt.ts
+++ b/packages/node/src/lib/routing/endpoint-attempt.ts
@@ -4,8 +4,8 @@
  * SPDX-License-Identifier: BSD-3-Clause
  */
 /**
- * One attempt of a request at an endpoint: the call, what came of its answer, and the times after which it is given up. It tells
- * how it ended in the terms of the decision on what follows.
+ * One attempt of a request at an endpoint: the call, the part of the answer that has arrived, and the timeouts. Its outcome is an
+ * `AttemptEnd`, from which the next step is decided.
  */
 import type { IncomingMessage } from 'node:http'
 import { LEAST_UNSUCCESSFUL_STATUS, type AttemptEnd, type Choice } from '@drumdrift/core'
@@ -13,34 +13,37 @@
 import type { AnswerHead, EndpointHead } from './ports.js'
 import type { StreamProgress } from './stream-progress.js'
 
-/** A stream without a first event for this many times what was expected, and at least the time below, goes elsewhere. */
+/**
+ * A stream that has no first event after this multiple of the expected time, and at least after the minimum below in
+ * milliseconds, is retried elsewhere.
+ */
 const STALL_FACTOR = 4
 const LEAST_STALL = 900
-/** A stream that pauses longer goes on elsewhere: a few times the longest pause of a sound engine, in milliseconds. */
+/** A stream that pauses for longer is resumed elsewhere, in milliseconds: several times the longest pause of a healthy engine. */
 const GAP_STALL = 800
 
-const SILENT = 'no event for too long'
+const SILENT = 'timed out waiting for an event'
 
-/** What an attempt is. */
+/** The parameters of an attempt. */
 export interface AttemptPlan {
   readonly choice: Choice
   readonly request: EndpointRequest
-  /** Where the events of the request's answer are collected, over all attempts. */
+  /** The events of the answer that have arrived, over all attempts of the request. */
   readonly progress: StreamProgress
-  /** Whether silence ends it: only where the request may go elsewhere then. */
+  /** Whether a missing event ends the attempt: only if the request may be retried elsewhere. */
   readonly endsOnSilence: boolean
-  /** When the endpoint must have begun to answer, by this process's clock; nothing for no bound. */
+  /** When the endpoint must have begun to answer, by this process's clock; `undefined` if there is no bound. */
   readonly beginBy: number | undefined
 }
 
-/** What the owner of an attempt is asked and told. */
+/** Callbacks of an attempt. */
 export interface AttemptListener {
   readHead (response: IncomingMessage): EndpointHead
-  /** Whole events of a stream came. */
+  /** Receives whole events of a stream. */
   events (head: AnswerHead, bytes: Uint8Array): void
 }
 
-/** An attempt under way. */
+/** An attempt in progress. */
 export class EndpointAttempt {
   readonly choice: Choice
   readonly sentAt = performance.now()
@@ -49,10 +52,10 @@
   private _head: AnswerHead | undefined
   private _takenBackFor: string | undefined
   private _stallTimer: NodeJS.Timeout | undefined
-  /** The same timer, once events come. */
+  /** The same timer, once events arrive. */
   private _gapTimer: NodeJS.Timeout | undefined
   private _beginTimer: NodeJS.Timeout | undefined
-  /** Resolves when it has ended, however it ended. */
+  /** Resolves when the attempt has ended, whatever its outcome. */
   readonly ended: Promise<AttemptEnd>
 
   /**
@@ -73,15 +76,15 @@
     if (_plan.beginBy !== undefined) this._beginTimer = setTimeout(() => this.takeBack(SILENT), _plan.beginBy - performance.now())
   }
 
-  /** The head of the answer; nothing until it came. */
+  /** The head of the answer; `undefined` until it arrives. */
   get head (): AnswerHead | undefined { return this._head }
-  /** The body of an answer that is no stream. */
+  /** The body of an answer that is not a stream. */
   get body (): Buffer { return Buffer.concat(this._pieces) }
 
-  /** Ends the attempt at once; the endpoint sees its connection close. */
+  /** Closes the connection at once. */
   stop (): void { this._call.stop() }
 
-  /** Ends the attempt at once, as one from which nothing more is to come. */
+  /** Closes the connection at once and ends the attempt as stalled. */
   takeBack (why: string): void {
     this._takenBackFor = why
     this._call.stop()
@@ -106,7 +109,7 @@
     if (this._plan.endsOnSilence) this._stallTimer = setTimeout(() => this.takeBack(SILENT), milliseconds)
   }
 
-  /** Each event of a stream begins the same wait anew, so its timer is kept. */
+  /** Every event restarts the same timeout, so the timer is refreshed instead of replaced. */
   private _watchForGap (): void {
     if (this._gapTimer !== undefined) {
       this._gapTimer.refresh()
@@ -119,7 +122,7 @@
   private _finish (end: EndpointCallEnd): AttemptEnd {
     clearTimeout(this._stallTimer)
     clearTimeout(this._beginTimer)
-    // A timer that was cleared would run again if it were refreshed.
+    // Refreshing a cleared timer would start it again.
     this._gapTimer = undefined
     if (end.type === 'not-run') return end
     if (this._takenBackFor !== undefined) return { type: 'stalled', detail: this._takenBackFor }
@@ -129,16 +132,16 @@
 
   private _answered (head: AnswerHead, framed: boolean): AttemptEnd {
     const { status } = head
-    // A success without a length looks whole when its endpoint crashed in the middle of it, so it is never believed: half an
-    // answer that looks whole is worse for its caller than none.
-    if (!framed && status < LEAST_UNSUCCESSFUL_STATUS) return { type: 'broken', connection: 'lost', detail: 'the answer ended with its connection' }
+    // A success without a length or chunked encoding looks complete even if its endpoint crashed midway, so it is never trusted:
+    // for the caller, a truncated answer that looks complete is worse than none.
+    if (!framed && status < LEAST_UNSUCCESSFUL_STATUS) return { type: 'broken', connection: 'lost', detail: 'the answer has no declared length and ended when its connection closed' }
     const stream = isStream(head)
-    if (stream && this._plan.progress.withinEvent) return { type: 'broken', connection: 'open', detail: 'the stream ended within an event' }
+    if (stream && this._plan.progress.withinEvent) return { type: 'broken', connection: 'open', detail: 'the stream ended in the middle of an event' }
     return { type: 'answered', status, stream }
   }
 }
 
-/** Only successes are streamed to callers: what an endpoint rejects or fails is one answer. */
+/** Only successes are streamed to callers; rejections and failures are passed on as one answer. */
 function isStream ({ eventStream, status }: AnswerHead): boolean {
   return eventStream && status < LEAST_UNSUCCESSFUL_STATUS
 }
--- a/packages/node/src/lib/routing/endpoint-call.ts
+++ b/packages/node/src/lib/routing/endpoint-call.ts
@@ -4,9 +4,8 @@
  * SPDX-License-Identifier: BSD-3-Clause
  */
 /**
- * One attempt of a request at one endpoint, over a connection of its own. A connection that is used once can bring no
- * late answer of an earlier request, and a broken one tells nothing about any other; the price of opening it is small
- * (dev-docs/platform.md).
+ * One HTTP call to one endpoint, over a connection of its own. A connection that is used once can't carry a late answer to an
+ * earlier request, and its loss affects no other request; opening one is cheap (dev-docs/platform.md).
  */
 import { request as openRequest, type ClientRequest, type IncomingMessage } from 'node:http'
 import { createConnection, type Socket } from 'node:net'
@@ -16,49 +15,49 @@
 
 /** How a call ended. */
 export type EndpointCallEnd =
-  /** `framed`: the answer told its end itself; one that only ended with its connection may have been cut off. */
+  /** `framed`: the answer declared its end. One that ended only because its connection closed may be truncated. */
   | { readonly type: 'whole', readonly framed: boolean }
   | { readonly type: 'not-run', readonly reason: NotRunReason }
-  /** No whole answer to this request. `begun` tells whether its head had been taken. */
+  /** There was no complete answer to this request. `begun`: whether its head had been accepted. */
   | { readonly type: 'broken', readonly begun: boolean, readonly connection: 'lost' | 'open', readonly detail: string }
-  /** This side stopped it. */
+  /** The entry ended the call. */
   | { readonly type: 'stopped' }
 
-/** What to send. */
+/** The request to send. */
 export interface EndpointRequest {
   readonly address: string
   readonly method: string
   readonly path: string
-  /** Name, value, name, value. */
+  /** Alternating names and values. */
   readonly headers: readonly string[]
   readonly body: Buffer
-  /** An open connection that has not been used; nothing to open one. */
+  /** An open, unused connection; if `undefined`, one is opened. */
   readonly socket?: Socket | undefined
-  /** Milliseconds for a connection to open. */
+  /** How long the connection may take to open, in milliseconds. */
   readonly connectPatience: number
 }
 
-/** What happens during a call. */
+/** Callbacks of a call. */
 export interface EndpointCallListener {
-  /** Reads the head of the answer. */
+  /** Parses the head of the answer. */
   readHead (response: IncomingMessage): EndpointHead
   head (head: AnswerHead): void
   data (bytes: Buffer): void
 }
 
 /**
- * Time to open a connection, as a share of the route's objective, and its bounds in milliseconds: the least is many times
- * the way between regions (some milliseconds), the most under the second after which a lost opening packet is sent again.
- * Nothing has been sent before, so nothing can have run, and the request can still be in time elsewhere.
+ * The timeout for opening a connection, as a share of the route's objective, and its bounds in milliseconds. The minimum is many
+ * times the latency between regions (some milliseconds); the maximum is below the second after which TCP retransmits a lost SYN.
+ * Nothing has been sent before the connection opens, so the request can't have run and can still meet its objective elsewhere.
  */
 const CONNECT_SHARE = 0.25
 const LEAST_CONNECT_PATIENCE = 45
 const MOST_CONNECT_PATIENCE = 250
 
 /**
- * How long a connection may take to open, in milliseconds.
+ * Returns how long a connection may take to open, in milliseconds.
  *
- * @param objective The route's, in milliseconds.
+ * @param objective The objective of the route, in milliseconds.
  * @example
  * connectPatience(400) // 100
  */
@@ -66,7 +65,7 @@
   return Math.min(MOST_CONNECT_PATIENCE, Math.max(LEAST_CONNECT_PATIENCE, CONNECT_SHARE * objective))
 }
 
-/** A call under way. */
+/** A call in progress. */
 export class EndpointCall {
   private readonly _request: ClientRequest
   private readonly _connectTimer: NodeJS.Timeout
@@ -74,7 +73,7 @@
   private _begun = false
   private _finished = false
   private _finish: (end: EndpointCallEnd) => void = () => {}
-  /** Resolves when the call has ended, however it ended. */
+  /** Resolves when the call has ended, whatever its outcome. */
   readonly ended = new Promise<EndpointCallEnd>(resolve => { this._finish = resolve })
 
   /**
@@ -86,7 +85,7 @@
   constructor ({ address, method, path, headers, body, socket: ready, connectPatience: patience }: EndpointRequest, private readonly _listener: EndpointCallListener) {
     const { host, port } = parseAddress(address)
     this._request = openRequest({ host, port, method, path, headers: headers as unknown as string[], setHost: false, createConnection: () => ready ?? createConnection({ host, port, noDelay: true }) })
-    // A process that was held up runs its timers before it sees that connections have opened meanwhile.
+    // After the event loop was blocked, timers run before the events of connections that have opened in the meantime.
     this._connectTimer = setTimeout(() => setImmediate(() => this._connectTimedOut()), patience)
     this._request.on('socket', socket => {
       if (socket.connecting) socket.once('connect', () => this._onConnect())
@@ -97,7 +96,7 @@
     this._request.end(body)
   }
 
-  /** Ends the call at once; the endpoint sees its connection close. */
+  /** Closes the connection at once. */
   stop (): void { this._end({ type: 'stopped' }) }
 
   private _connectTimedOut (): void {
@@ -120,7 +119,7 @@
     response.on('data', (bytes: Buffer) => { if (!this._finished) this._listener.data(bytes) })
     response.on('end', () => {
       if (response.complete) this._end({ type: 'whole', framed: isFramed(response) })
-      else this._lost('the answer ended early')
+      else this._lost('the answer is incomplete')
     })
   }
 
@@ -138,7 +137,7 @@
   }
 }
 
-/** Whether an answer tells where it ends (RFC 9112, 6.3), so that the end of its connection is no guess. */
+/** Whether an answer declares where it ends (RFC 9112, 6.3), so that its end does not depend on the connection closing. */
 function isFramed ({ headers, statusCode = 0 }: IncomingMessage): boolean {
   const bodiless = statusCode === 204 || statusCode === 304
   return bodiless || headers['content-length'] !== undefined || headers['transfer-encoding'] !== undefined
--- a/packages/node/src/lib/routing/load-follower.ts
+++ b/packages/node/src/lib/routing/load-follower.ts
@@ -4,67 +4,66 @@
  * SPDX-License-Identifier: BSD-3-Clause
  */
 /**
- * Follows the load of engines: one connection to the agent beside each, over which the agent tells of every change.
+ * Follows the load of engines over one connection to the agent of each, on which the agent reports every significant change.
  */
 import { failureOf, type LoadReport, type NamedVersion, type PeerReply, type PeerRequest } from '@drumdrift/core'
 import type { Log } from '../observe/log.js'
 import type { PeerConnection } from '../peer/connection.js'
 import type { PeerPool } from '../peer/pool.js'
 
-/** What an entry tells the agents that it follows. */
+/** What an entry sends with each ping to an agent that it follows. */
 export interface AgentNews {
-  /** Requests in a millisecond that this process sends to the agent's pool. */
+  /** The rate at which this process sends requests to the pool of the agent, in requests per millisecond. */
   readonly sentRate: number
-  /** Engines of the pool that it follows and hears. */
+  /** The number of engines of the pool that this process follows and has reports of. */
   readonly followed: number
-  /** The version that is wanted of the pool; nothing when this process does not know since when. */
+  /** The version that is wanted of the pool; `undefined` if this process does not know when it was published. */
   readonly named: NamedVersion | undefined
 }
 
-/** What agents pass on from other entries. */
+/** Messages of other entries that agents relay. */
 export type EntryNews = Extract<PeerReply, { type: 'suspects' | 'limits' }>
 
-/** What the follower works with. */
+/** Dependencies of {@link LoadFollower}. */
 export interface LoadFollowerParts {
   readonly pool: PeerPool
   readonly log: Log
-  /** Takes a report of the agent at an address. */
+  /** Receives a report of the agent at an address. */
   readonly onLoad: (agent: string, load: LoadReport) => void
-  /** What an agent is told with each measurement. */
+  /** Returns what is sent to an agent with each ping. */
   readonly news: (agent: string) => AgentNews
-  /** Takes what an agent passes on from other entries. */
+  /** Receives a message of another entry that an agent relays. */
   readonly onNews: (news: EntryNews, agent: string) => void
-  /** What an agent is told for other entries once it is reached. */
+  /** Returns the messages for other entries that an agent is sent once it is connected. */
   readonly known: () => readonly PeerRequest[]
-  /** A measurement of the way to the agent and back began or ended. */
+  /** Called when a measurement of the round-trip time to an agent begins or ends. */
   readonly onMeasured: (agent: string, step: 'begun' | 'ended') => void
 }
 
-/** How often the follower looks what is due, in milliseconds. */
+/** How often the follower checks for due pings and connections, in milliseconds. */
 const TICK = 100
 /**
- * Time to open a connection to an agent, and before one that could not be reached is tried again, in milliseconds. The
- * opening packet to an instance that is just coming back is lost, and the network sends it again after a second only;
- * until the agent is heard, its engine's load is a guess.
+ * The timeout for connecting to an agent, and the delay before the next try, in milliseconds. A SYN to an instance that is just
+ * starting is lost, and TCP retransmits it only after a second; until the agent reports, the load of its engine is unknown.
  */
 const CONNECT_PATIENCE = 300
 const RETRY_PAUSE = 200
 /**
- * The way to each agent is measured this often, in milliseconds: queues of a link grow and go within half a second. While a
- * way is short it is measured less often, until a transfer or a narrowed link shows in it; both in milliseconds. The answer tells
- * the load, so that it comes before the one before is too old.
+ * The pause between pings of an agent, in milliseconds. Queues of a link grow and drain within half a second, so the first applies
+ * while the last round trip was long, as it is during a transfer or on a link with reduced bandwidth. The second applies while it
+ * was short, up to the third value. Each answer carries the load, so the pause is shorter than the lifetime of a report.
  */
 const MEASURE_PAUSE = 400
 const CALM_MEASURE_PAUSE = 700
 const SHORT_WAY = 10
-/** A measurement that takes longer is given up, in milliseconds; the connection is then taken for lost. */
+/** The timeout of a ping, in milliseconds. The connection is then considered lost. */
 const MEASURE_PATIENCE = 3_000
 /**
- * Agents that are told what other entries should know; each tells all entries that follow it. Where an agent has 16 followers of 98 entries, six reach six in
- * ten at once, and those tell further what is news to them.
+ * The number of agents to which a message for other entries is sent; each relays it to all entries that follow it. Where each agent
+ * is followed by 16 of 98 entries, six agents reach 60% of the entries directly, and these relay what is new to them.
  */
 const TOLD_AGENTS = 6
-/** A connection without any report for this time is opened anew, in milliseconds: two measurements of a short way. */
+/** A connection without a report for this time is replaced, in milliseconds: time for two pings at the longer pause. */
 const SILENCE = 1_600
 
 interface Followed {
@@ -74,7 +73,7 @@
   heardAt: number
   measuring: boolean
   measuredAt: number
-  /** The last measured way there and back, in milliseconds. */
+  /** The last round-trip time, in milliseconds. */
   way: number
   lost: boolean
 }
@@ -88,7 +87,7 @@
     this._timer = setInterval(() => { this._tick() }, TICK)
   }
 
-  /** Sets the agents to be followed. */
+  /** Sets the agents to follow. Closes the connections to all others. */
   follow (agents: ReadonlySet<string>): void {
     for (const [agent, followed] of this._followed) {
       if (agents.has(agent)) continue
@@ -102,13 +101,13 @@
     this._tick()
   }
 
-  /** Measures the ways to all agents now, since there is news for them. */
+  /** Pings all agents now, to send them what has changed. */
   tellNews (): void {
     for (const followed of this._followed.values()) followed.measuredAt = -Infinity
     this._tick()
   }
 
-  /** Tells some agents, drawn at random, what other entries should know. */
+  /** Sends a message for other entries to some agents, chosen at random. */
   tellSome (news: PeerRequest, agents = TOLD_AGENTS): void {
     const open = [...this._followed.values()].flatMap(({ connection }) => connection?.open === true ? [{ connection, place: Math.random() }] : [])
     open.sort((left, right) => left.place - right.place)
--- a/packages/node/src/lib/routing/load-publisher.ts
+++ b/packages/node/src/lib/routing/load-publisher.ts
@@ -4,42 +4,45 @@
  * SPDX-License-Identifier: BSD-3-Clause
  */
 /**
- * Tells the entries that follow it how loaded the engine beside this agent is: at once when that is news to them, and
- * otherwise with the answers to their measurements of the way, as a sign of life.
+ * Publishes the load of the agent's engine to the entries that follow it: at once if it has changed significantly since a follower's
+ * last report, and otherwise with the answers to their pings, as a heartbeat.
  */
 import { isLoadNews, type LoadReport, type PeerReply } from '@drumdrift/core'
 import type { PeerConnection, Responder } from '../peer/connection.js'
 
 /**
- * A follower that neither asked nor was told anything for this long hears the load all the same, in milliseconds: before what it
- * heard last is too old to say anything. Those that measure the way are told with the answer.
+ * A follower that was sent no report for this time is sent one even if the load has not changed, in milliseconds. This is before its
+ * last report expires. Followers that ping receive the report with the answer.
  */
 const SIGN_OF_LIFE = 900
-/** A look at the engine that is older is not told, in milliseconds: the engine does not answer, or this process was held up. */
+/**
+ * An older report is not sent with the answer to a ping, in milliseconds: the engine has stopped answering, or this process was
+ * blocked.
+ */
 const OLDEST_LOOK = 250
 
 /** The engine that the reports are about. */
 export interface PublishedEngine {
-  /** Prompt tokens that it reads in a millisecond. */
+  /** The rate at which it processes prompts, in tokens per millisecond. */
   readonly readRate: number
-  /** Requests that it runs at once. */
+  /** The number of requests that it runs concurrently. */
   readonly slots: number
 }
 
 interface Follower {
   readonly responder: Responder
-  /** Requests in a millisecond that it sends to the pool, and the engines that it follows there, as it told last. */
+  /** The rate at which it sends requests to the pool, per millisecond, and the number of engines that it follows there. */
   sentRate: number
   followed: number
   heardAt: number
-  /** What it was told last, and when; nothing before the first report. */
+  /** The last report that was sent to it, and when; `undefined` before the first one. */
   told: LoadReport | undefined
   toldAt: number
 }
 
 /**
- * A follower that was not heard for this long is cut off, and sends nothing here, in milliseconds: entries measure the way
- * twice in this time at least. Its connection may stay open for as long as the cut.
+ * A follower that has not pinged for this time is not counted, in milliseconds: entries ping at least twice in this time. It is
+ * partitioned from this agent and sends no requests here, although its connection may stay open for the whole partition.
  */
 const FOLLOWER_SILENCE = 1_800
 
@@ -51,7 +54,7 @@
 
   constructor (private readonly _engine: () => PublishedEngine) {}
 
-  /** Adds a follower and tells it the last report. */
+  /** Adds a follower and sends it the last report. */
   follow (responder: Responder, now: number): void {
     const { connection } = responder
     const follower = { responder, sentRate: 0, followed: 0, heardAt: now, told: undefined, toldAt: -Infinity }
@@ -61,8 +64,8 @@
   }
 
   /**
-   * A follower measures the way, and is told the load with the answer: told by themselves, signs of life were most of what idle
-   * agents and entries did.
+   * Answers a ping of a follower with the load. When heartbeats were sent as separate messages, they made up most of the work of
+   * idle agents and entries.
    */
   answerPing (responder: Responder, now: number): void {
     const follower = this._followers.get(responder.connection)
@@ -72,7 +75,7 @@
     responder.send({ type: 'load', load: { ...this._last, ...this._totals(now), age: Math.round(age) } })
   }
 
-  /** A follower told how many requests in a millisecond it sends to the pool, among how many engines. */
+  /** Records how many requests per millisecond a follower sends to the pool, and to how many engines. */
   noteRate (connection: PeerConnection, sentRate: number, followed: number, now: number): void {
     const follower = this._followers.get(connection)
     if (follower === undefined) return
@@ -81,15 +84,15 @@
     follower.heardAt = now
   }
 
-  /** Tells one follower. */
+  /** Sends a message to one follower. */
   tellOne (reply: PeerReply, connection: PeerConnection): void { this._followers.get(connection)?.responder.send(reply) }
 
-  /** Tells all followers but one. */
+  /** Sends a message to all followers except one. */
   tellOthers (reply: PeerReply, except: PeerConnection): void {
     for (const [connection, { responder }] of this._followers) if (connection !== except) responder.send(reply)
   }
 
-  /** Takes a new report. */
+  /** Stores a new report and sends it to the followers for which it is due. */
   publish (load: LoadReport, now: number): void {
     this._last = load
     this._lastAt = now
@@ -105,7 +108,7 @@
     return isLoadNews(load, { told, age, ...this._engine() })
   }
 
-  /** What all followers that can be reached send to this engine, and how many they are: see `LoadReport`. */
+  /** The request rate of all reachable followers to this engine, and the number of entries: see `LoadReport`. */
   private _totals (now: number): Pick<LoadReport, 'sentRate' | 'entries'> {
     let [sent, entries] = [0, 0]
     for (const { sentRate, followed, heardAt } of this._followers.values()) {
--- a/packages/node/src/lib/routing/notice-exchange.ts
+++ b/packages/node/src/lib/routing/notice-exchange.ts
@@ -4,31 +4,31 @@
  * SPDX-License-Identifier: BSD-3-Clause
  */
 /**
- * What endpoints say of themselves in their answers, heeded by one entry. Limits are shared with the other entries by way of the agents
- * that it follows: an entry that sends an endpoint almost nothing hears almost nothing from it, neither of a limit nor of its end.
+ * Applies the notices that endpoints send with their answers, and shares limits with the other entries through the agents that this
+ * entry follows. An entry that sends an endpoint few requests sees few of its answers, and would notice neither a limit nor its end.
  */
 import { EndpointLimits, EndpointNotices, readLimitNews, type EndpointGate, type EndpointNotice, type LimitNews } from '@drumdrift/core'
 import type { Log } from '../observe/log.js'
 import type { Counters } from '../observe/metrics.js'
 import { NoticeLog } from '../observe/notice-log.js'
 
-/** What the exchange works with. */
+/** Dependencies of {@link NoticeExchange}. */
 export interface NoticeExchangeParts {
   readonly log: Log
   readonly counters: Counters
-  /** How many entries there are; nothing while that is not known. */
+  /** Returns the number of entries, or `undefined` if it is not known. */
   readonly entries: (now: number) => number | undefined
-  /** Tells some agents, or one. */
+  /** Sends limits to some agents, or to one. */
   readonly tell: (news: LimitNews, to: 'some' | 'one') => void
 }
 
 /**
- * How often an agent hears all that holds here and puts it right, in milliseconds: a limit whose end was told in the moment in which it
- * was named once more would else hold for a turn of this entry, two minutes where there are a hundred.
+ * How often one agent is sent all current limits so that differences are corrected, in milliseconds. Without this, a limit whose end
+ * is announced at the moment at which it is named again would hold for one turn of this entry: two minutes with a hundred entries.
  */
 const COMPARE_PAUSE = 5_000
 
-/** What the endpoints said, at one entry. */
+/** The endpoints' notices, as one entry knows them. */
 export class NoticeExchange {
   private readonly _notices: EndpointNotices
   private readonly _noticeLog: NoticeLog
@@ -42,10 +42,10 @@
 
   close (): void { clearInterval(this._timer) }
 
-  /** What the endpoints ask of those who send to them. */
+  /** Decides which endpoints may be sent requests, according to the limits, pauses and draining that they announce. */
   get gate (): EndpointGate { return this._notices }
 
-  /** An answer said something of its endpoint. */
+  /** Records the notice that came with an answer of an endpoint. */
   heard (start: string, notice: EndpointNotice, askedAt: number, now: number): void {
     for (const change of this._notices.heard(start, notice, askedAt, now)) {
       this._noticeLog.note(change)
@@ -53,18 +53,21 @@
     }
   }
 
-  /** An agent passes on what another entry heard; what changes a limit here is told further, so that it reaches entries that follow other agents. */
+  /**
+   * Receives the limits that another entry knows, relayed by an agent. Those that change a limit here are sent on, so that they reach
+   * entries that follow other agents.
+   */
   told (input: unknown, agent: string): void {
     const now = performance.now()
     const news = readLimitNews(input)
-    if (news === undefined) return this._parts.log.warn('peer-malformed', { type: 'limits', agent, detail: 'it is no news of limits' })
+    if (news === undefined) return this._parts.log.warn('peer-malformed', { type: 'limits', agent, detail: 'the payload is not a valid message about limits' })
     const { limits } = this._notices
     const changes = limits.told(news, now)
     for (const change of changes) this._noticeLog.limit(change, 'told')
     this._tell(changes.flatMap(({ start }) => limits.report(start, now)), 'some')
   }
 
-  /** What an agent should know that this entry has just reached. */
+  /** Returns the limits to send to an agent to which this entry has just connected. */
   known (): LimitNews { return this._notices.limits.known(performance.now()) }
 
   private _tell (news: LimitNews, to: 'some' | 'one'): void {
--- a/packages/node/src/lib/routing/ports.ts
+++ b/packages/node/src/lib/routing/ports.ts
@@ -4,8 +4,8 @@
  * SPDX-License-Identifier: BSD-3-Clause
  */
 /**
- * What the routing daemons need of the platform that they run on. An adapter implements these; the daemons know no
- * path, header or field of any platform.
+ * The interfaces that a platform adapter implements for the routing daemons. The daemons themselves depend on no path, header or
+ * field of any platform.
  */
 import type { IncomingHttpHeaders } from 'node:http'
 import type { DocumentFailure, EndpointNotice, EndpointRecord, ModelVersion, NotRunReason, OrderResult, PublishedChange, PublishedTopic, RequestFailure } from '@drumdrift/core'
@@ -13,7 +13,7 @@
 import type { ChunkStaging } from '../agent/engine-client.js'
 import type { WeightsSource } from '../platform/platform-client.js'
 
-/** What one reading or watch of the store covers. */
+/** The part of the store that one read or watch covers. */
 export type StoreScope = 'everything' | 'operators' | 'configuration' | 'versions' | 'endpoints'
 
 /** The topics that a scope covers. */
@@ -25,166 +25,166 @@
   endpoints: ['endpoints']
 }
 
-/** What each answer of a store may tell of it. */
+/** The properties that every answer of a store may have. */
 export interface StoreAnswer {
   /**
-   * Rises when the store comes back from an older copy of itself. Nothing where it is not told; a store that never tells it is in one
-   * epoch all the time.
+   * Increases when the store is restored from an older backup. `undefined` if the answer does not carry it; a store that never
+   * sends it stays in one epoch.
    */
   readonly epoch?: number | undefined
 }
 
-/** The store forgot its history, or never had the revision that was named. */
+/** The store has compacted its history, or never had the requested revision. */
 export interface HistoryLost extends StoreAnswer {
   readonly type: 'history-lost'
 }
 
-/** Why the store gave no answer that can be used. */
+/** A call to the store gave no usable answer. */
 export interface StoreFailure extends StoreAnswer {
   readonly type: 'store-failure'
   readonly reason: 'unreachable' | 'timed-out' | 'turned-away' | 'malformed' | 'earlier-epoch'
   readonly detail: string
 }
 
-/** Changes as the store tells them, up to its revision `upTo`. */
+/** Changes from the store, up to its revision `upTo`. */
 export interface StoreChanges extends StoreAnswer {
   readonly type: 'changes'
   readonly changes: readonly PublishedChange[]
   readonly upTo: number
-  /** Items that could not be read; the others count. */
+  /** Items that could not be parsed; the others are valid. */
   readonly refused: readonly DocumentFailure[]
-  /** Bytes of the answers that told them; nothing where that is not known. */
+  /** The size of the answers that carried the changes, in bytes; `undefined` if it is not known. */
   readonly bytes?: number | undefined
 }
 
-/** How new a reading must be. One that may be some seconds old is much cheaper for the store. */
+/** How fresh a read must be. One that may be some seconds old is much cheaper for the store. */
 export type ReadFreshness = 'newest' | 'may-be-old'
 
-/** The platform's store of published state. It is only read. */
+/** Read access to the platform's store of published state. */
 export interface PublishedStore {
-  /** Everything that a scope holds. */
+  /** Reads everything in a scope. */
   readWhole (scope: StoreScope, freshness: ReadFreshness): Promise<StoreChanges | StoreFailure>
   /**
    * Waits for changes after a revision.
    *
-   * @param wait Milliseconds that the store may hold the call.
+   * @param wait How long the store may hold the call, in milliseconds.
    */
   awaitChanges (scope: StoreScope, after: number, wait: number): Promise<StoreChanges | HistoryLost | StoreFailure>
 }
 
-/** The head of a caller's request, in the product's terms. */
+/** The head of a caller's request, independent of the platform. */
 export interface CallerHead {
-  /** The caller's name for this attempt; empty when it gave none. */
+  /** The ID that the caller gave this attempt; empty if it gave none. */
   readonly id: string
   readonly key: string | undefined
-  /** Milliseconds that the caller will wait. */
+  /** How long the caller will wait, in milliseconds. */
   readonly patience: number | undefined
-  /** The last event that the caller has of an earlier answer. */
+  /** The last event that the caller received from an earlier answer. */
   readonly lastEventId: string | undefined
   /** Empty for requests that need no model. */
   readonly model: string
   readonly promptTokens: number
-  /** What the caller expects of the answer's length, in tokens; 0 when it does not say. */
+  /** The answer length that the caller expects, in tokens; 0 if it does not give one. */
   readonly answerTokens: number
-  /** Headers that go to the endpoint as they are, as name, value, name, value. */
+  /** Headers that are passed to the endpoint unchanged, as alternating names and values. */
   readonly headers: readonly string[]
 }
 
-/** What the system adds when it sends a request to an endpoint. */
+/** What the entry adds to a request that it sends to an endpoint. */
 export interface SendTerms {
   readonly endpoint: EndpointRecord
-  /** Milliseconds after which the endpoint is to stop work. */
+  /** The time after which the endpoint should stop working on the request, in milliseconds. */
   readonly remaining: number
   readonly organisation: string | undefined
-  /** The weights that must answer; 0 for any. */
+  /** The version of the weights that must answer; 0 for any. */
   readonly version: number
-  /** The last event that the caller has; nothing for a new answer. */
+  /** The last event that the caller has; `undefined` for a new answer. */
   readonly resumeAfter: string | undefined
 }
 
-/** The head of an endpoint's answer, in the product's terms. */
+/** The head of an endpoint's answer, independent of the platform. */
 export type EndpointHead =
-  /** It says that it did not run the request and never will. */
+  /** The endpoint states that it did not run the request and never will. */
   | { readonly type: 'not-run', readonly reason: NotRunReason }
-  /** It answers another request, or is no answer of an endpoint. */
+  /** The answer belongs to another request, or does not come from an endpoint. */
   | { readonly type: 'foreign', readonly detail: string }
   | {
     readonly type: 'answer'
     readonly status: number
-    /** Headers for the caller, as name, value, name, value. */
+    /** Headers for the caller, as alternating names and values. */
     readonly headers: readonly string[]
     readonly eventStream: boolean
   }
 
-/** The head of an answer that is for the caller. */
+/** The head of an answer that is passed on to the caller. */
 export type AnswerHead = Extract<EndpointHead, { type: 'answer' }>
 
-/** An answer of the system's own. */
+/** An answer that the entry gives itself. */
 export interface OwnAnswer {
   readonly status: number
   readonly headers: readonly string[]
   readonly body: string
 }
 
-/** How callers and endpoints speak. */
+/** The HTTP conventions of the platform's callers and endpoints. */
 export interface Dialect {
-  /** The path at which the balancer asks whether this process takes callers. */
+  /** The path of the balancer's readiness probe. */
   readonly readinessPath: string
   readCaller (headers: IncomingHttpHeaders, rawHeaders: readonly string[]): CallerHead
-  /** Headers of a request to an endpoint. */
+  /** Returns the headers of a request to an endpoint. */
   writeRequest (head: CallerHead, terms: SendTerms, bodyLength: number): string[]
   readEndpoint (id: string, status: number, headers: IncomingHttpHeaders, rawHeaders: readonly string[]): EndpointHead
-  /** Also for answers that are nobody's: what an endpoint says of itself holds whoever it answers. */
+  /** Parses the endpoint's notices. They apply even if the answer belongs to another request or to none. */
   readNotice (status: number, headers: IncomingHttpHeaders): EndpointNotice
   writeFailure (id: string, failure: RequestFailure): OwnAnswer
 }
 
-/** What the engine beside an agent says of itself. */
+/** The status of the engine of an agent. */
 export interface EngineReport {
-  /** Tells the starts of the engine apart; nothing where it does not say. See `EndpointRecord`. */
+  /** Distinguishes the starts of the engine; `undefined` if it does not report it. See `EndpointRecord`. */
   readonly born?: number | undefined
   readonly running: number
   readonly waiting: number
-  /** Tokens held for the running requests: their prompts, and what has been written. */
+  /** The tokens of the running requests: their prompts and the output so far. */
   readonly contextTokens: number
-  /** Versions that are loaded. */
+  /** The loaded versions. */
   readonly models: readonly ModelVersion[]
-  /** Whether it carries out an order. */
+  /** Whether the engine is carrying out an order. */
   readonly busy: boolean
-  /** How much slower than described it works; 1 as described. */
+  /** The factor by which the engine is slower than its description; 1 if it is as fast as described. */
   readonly pace: number
 }
 
-/** The engine beside an agent. */
+/** The engine of an agent, on the same instance. */
 export interface LoadableEngine extends ChunkStaging {
   /** Sets the model whose chunks are staged. */
   useModel (model: string): void
-  /** Nothing when the engine cannot be reached. */
+  /** Returns the status of the engine, or `undefined` if it cannot be reached. */
   report (): Promise<EngineReport | undefined>
-  /** Orders the engine to take the version that is staged, once what runs has ended. */
+  /** Orders the engine to load the staged version once its running requests have ended. */
   order (wanted: ModelVersion): Promise<OrderResult>
 }
 
-/** Everything that a weights agent needs of its platform. */
+/** The platform adapter of a weights agent. */
 export interface WeightsPlatform {
   readonly store: PublishedStore
   readonly engine: LoadableEngine
-  /** The origin at an address; it may change with the configuration. */
+  /** The origin of the weights. Its address may change with the configuration. */
   readonly source: WeightsSource & { setOrigin (address: string): void }
-  /** How manifests name chunks. */
+  /** How manifests identify chunks. */
   readonly chunkDigest: ChunkDigest
-  /** Whether bytes are the manifest of a version. */
+  /** Whether bytes are the manifest of the version with an identity. */
   readonly manifestMatches: (identity: string, bytes: Buffer) => boolean
 }
 
-/** Everything that a route entry needs of its platform. */
+/** The platform adapter of a route entry. */
 export interface RoutingPlatform {
   readonly store: PublishedStore
   readonly dialect: Dialect
 }
 
 /**
- * The name of a numbered version, which stands for its manifest where other platforms have a digest.
+ * Returns the identity of a numbered version, which identifies its manifest where other platforms use a digest.
  *
  * @example
  * identityOf({ model: 'drafting', version: 2 }) // 'drafting@2'
--- a/packages/node/src/lib/routing/request-record.ts
+++ b/packages/node/src/lib/routing/request-record.ts
@@ -3,7 +3,7 @@
  * Copyright 2026 the drumdrift contributors
  * SPDX-License-Identifier: BSD-3-Clause
  */
-/** What is kept of one request for operators: its lines in the log, counters, and times by organisation and route. */
+/** Records one request for operators: log lines, counters, and latency histograms by organisation and route. */
 import type { AttemptEnd, Choice, NextStep, OrganisationDescription, RequestFailure, Route } from '@drumdrift/core'
 import type { Histograms } from '../observe/histograms.js'
 import type { Log } from '../observe/log.js'
@@ -12,14 +12,14 @@
 import type { CallerHead } from './ports.js'
 import type { StreamProgress } from './stream-progress.js'
 
-/** Where the records of all requests go. */
+/** The sinks for the records of all requests. */
 export interface RecordParts {
   readonly log: Log
   readonly counters: Counters
   readonly histograms: Histograms
 }
 
-/** A request, as far as its record needs it. */
+/** The properties of a request that are recorded. */
 export interface RecordedRequest {
   readonly head: CallerHead
   readonly route: Route
@@ -34,7 +34,7 @@
   | { readonly type: 'refused' | 'failed', readonly failure: RequestFailure }
   | { readonly type: 'abandoned' }
 
-/** An attempt that ended, as it is logged. */
+/** An attempt that has ended, as it is logged. */
 export interface EndedAttempt {
   /** Counted from 1. */
   readonly number: number
@@ -43,7 +43,7 @@
   /** In milliseconds. */
   readonly took: number
   readonly next: NextStep
-  /** Told where its endpoint may have ended under the request: see `fingerprintOf`. */
+  /** Set if the endpoint may have been lost while running the request: see `fingerprintOf`. */
   readonly fingerprint: string | undefined
 }
 
@@ -52,9 +52,9 @@
   constructor (private readonly _parts: RecordParts, private readonly _request: RecordedRequest) {}
 
   /**
-   * An attempt was sent.
+   * Records that an attempt was sent.
    *
-   * @param spared Other endpoints that are sent nothing because they ask for it.
+   * @param spared Other endpoints that receive no requests because they asked for it, by reason.
    */
   sent (number: number, choice: Choice, remaining: number, resumeAfter: string | undefined, spared: string | undefined): void {
     const { head, route } = this._request
@@ -65,17 +65,17 @@
     })
   }
 
-  /** The first event of a stream went to the caller. */
+  /** Records that the first event of a stream was passed on to the caller. */
   firstEvent (now: number): void { this._time('first-token', now - this._request.receivedAt) }
 
-  /** An attempt ended, and something follows. */
+  /** Records that an attempt ended, and the next step. */
   attemptEnded ({ number, choice, end, took, next, fingerprint }: EndedAttempt): void {
     this._parts.log.request('attempt-ended', {
       id: this._request.head.id, attempt: number, endpoint: choice.record.id, outcome: end.type, reason: reasonOf(end), took: Math.round(took), next: next.type, fingerprint
     })
   }
 
-  /** The request has its final answer. */
+  /** Records that the request has its final answer. */
   ended (result: RequestResult, attempts: number, { firstEventAt, longestGap }: StreamProgress, now: number): void {
     const { head, route, receivedAt, organisation, configurationVersion } = this._request
     const took = now - receivedAt
--- a/packages/node/src/lib/routing/route-entry.ts
+++ b/packages/node/src/lib/routing/route-entry.ts
@@ -4,8 +4,8 @@
  * SPDX-License-Identifier: BSD-3-Clause
  */
 /**
- * The entry for platforms whose callers name routes and whose endpoints are reached directly: reads what is published,
- * follows the load of engines, and routes requests.
+ * The entry process for platforms whose callers address routes and whose endpoints are reached directly. It watches the
+ * published state, follows the load of the engines, and routes requests.
  */
 import { setTimeout as pause } from 'node:timers/promises'
 import { ageOf, publishedTopics, RouteTable, type LoadReport, type PeerRequest, type PublishedChange, type RetryTerms } from '@drumdrift/core'
@@ -33,35 +33,35 @@
 import { SuspectExchange } from './suspect-exchange.js'
 
 /**
- * New connections still come after a stop is ordered, until the balancer has asked twice without a good answer, once a
- * second; half a second is added for its second question. In milliseconds.
+ * How long the server keeps listening after a stop is ordered, in milliseconds. The balancer probes readiness once a second and
+ * sends new connections until two probes have failed; half a second is added for the second probe.
  */
 const LISTEN_AFTER_STOP = 2_500
 /**
- * What is published changes in runs, and each answer to a watch is a call of the store that all entries make: news may be so
- * old, as a share of the time in which a configuration or a leaving endpoint must be heeded.
+ * The pause between two watches, as a share of the time within which a configuration or a draining endpoint must take effect.
+ * Published state changes in bursts, and each answer to a watch costs every entry one call to the store, so changes are batched.
  */
 const CHANGES_PAUSE_SHARE = 0.25
 /**
- * A relay watches the operators' documents with a shorter pause, and is held for less, so that those who rely on it learn soon
- * that it does not hear the store any more; in milliseconds. There are three of them at most.
+ * A relay pauses less between watches, and lets the store hold them for less time, so that the entries that depend on it soon
+ * detect that it has lost the store. In milliseconds. There are at most three relays.
  */
 const RELAY_PAUSE = 250
 const RELAY_WAIT = 1_000
-/** What is left of the patience for closing down once requests have been waited for, in milliseconds. */
+/** The part of the stop timeout that is reserved for closing after the wait for requests, in milliseconds. */
 const CLOSING_TIME = 500
 /**
- * Before the bound of a new version, requests already go only to endpoints that have it: a request that was sent begins
- * later, behind others. In milliseconds; a few times the wait that a sound engine has.
+ * How long before the bound of a new version requests are sent only to endpoints that have it, in milliseconds. A request may
+ * queue at its endpoint before it begins, so this is several times the queueing delay of a healthy engine.
  */
 const VERSION_MARGIN = 400
 /**
- * What has not begun on an old version so long before the bound is taken back and sent elsewhere: the news of its
- * beginning, and the closing of its connection, each take a way over a busy link. In milliseconds.
+ * How long before the bound a request that has not begun on an old version is cancelled and sent elsewhere, in milliseconds. Both
+ * the first event and the close of the connection need time to cross a busy link.
  */
 const BEGIN_MARGIN = 200
 
-/** A route entry process. */
+/** The daemon of a route entry. */
 export class RouteEntry implements Daemon {
   private readonly _counters = new Counters()
   private readonly _histograms = new Histograms()
@@ -79,7 +79,7 @@
   private readonly _readiness: ReadinessServer
   private readonly _metrics: MetricsServer | undefined
   private _table: RouteTable | undefined
-  /** Agents that told counts of entries that cannot be true; each is logged once. */
+  /** Agents that reported an implausible number of entries; each is logged once. */
   private readonly _miscounting = new Set<string>()
   private _ready = false
   private _leaving = false
@@ -143,14 +143,18 @@
     this._metrics = metricsAddress === '' ? undefined : new MetricsServer(metricsAddress, this._counters, this._histograms)
   }
 
-  /** Listens, and begins to read what is published. */
+  /** Starts watching the published state and opens the servers. */
   async start (): Promise<void> {
     this._feed.start()
     await Promise.all([this._server.listen(), this._front.listen(), this._readiness.listen(), this._metrics?.listen()])
     this._log.info('entry-started', { zone: this._settings.text('process', 'availability-zone') })
   }
 
-  /** Takes nothing new once the balancer knows, lets requests in progress end, then stops. */
+  /**
+   * Fails readiness probes, stops listening once the balancer has noticed, drains the requests in progress, then closes.
+   *
+   * @returns The number of requests that were cut off.
+   */
   async stop (): Promise<number> {
     const patience = this._settings.number('process', 'stop-patience-seconds') * 1000 - CLOSING_TIME
     const until = performance.now() + patience
@@ -202,7 +206,7 @@
     else this._notices.told(reply.news, agent)
   }
 
-  /** What an agent is to know for entries that start again. */
+  /** The state that a newly connected agent receives and passes on to entries that have restarted. */
   private _known (): PeerRequest[] {
     const suspects = this._suspects.known()
     const limits = this._notices.known()
@@ -224,12 +228,12 @@
 
   private get _versionBound (): number { return this._settings.number('platform', 'version-bound-milliseconds') }
 
-  /** Until shortly before the bound any version may begin a request; then only the wanted one. */
+  /** The lowest version that may begin a request: any version until shortly before the bound, then only the wanted one. */
   private _leastVersion (model: string): number {
     return this._feed.state.dueVersion(model, this._versionBound - VERSION_MARGIN, performance.now())
   }
 
-  /** When an endpoint of a version must have begun what it was sent; nothing for the newest version. */
+  /** When an endpoint of a version must have begun a request that it was sent. Returns `undefined` for the newest version. */
   private _mustBeginBy (model: string, version: number): number | undefined {
     const namedAt = this._feed.state.firstNewerAt(model, version)
     return namedAt === undefined ? undefined : namedAt + this._versionBound - BEGIN_MARGIN
@@ -241,7 +245,7 @@
     return { ...this._units.sentTo(agent, now), named }
   }
 
-  /** Seeds read what operators publish from the store, and the others hear it from them. */
+  /** Seeds read the operators' documents from the store and relay them to the other entries. */
   private get _isRelay (): boolean { return this._settings.list('peers', 'seeds').includes(this._settings.text('process', 'address')) }
 
   private get _seeds (): string[] {
@@ -252,8 +256,8 @@
   private _peers (): string[] { return [...this._seeds, ...this._units.agents] }
 
   /**
-   * An entry that hears from relays reads the store itself only while none of them follows it, since every watch is a call of the
-   * store. A leaving endpoint is heeded as soon: a relay watches with half the pause or less.
+   * An entry with relays reads the store itself only while none of them follows the store, since every watch is a call to the
+   * store. Draining endpoints are noticed as quickly, because a relay uses at most half the pause.
    */
   private _watches (): Watch[] {
     const pause = CHANGES_PAUSE_SHARE * this._settings.number('platform', 'apply-bound-milliseconds')
@@ -294,7 +298,7 @@
   private _answer (request: PeerRequest, responder: Responder): void {
     if (request.type === 'news') this._relay.answer(request, responder)
     else if (request.type === 'follow-news') this._relay.follow(responder)
-    else responder.send({ type: 'refused', reason: 'not-supported', detail: 'a route entry does not answer this' })
+    else responder.send({ type: 'refused', reason: 'not-supported', detail: 'a route entry does not support this request type' })
   }
 }
 
--- a/packages/node/src/lib/routing/route-front.ts
+++ b/packages/node/src/lib/routing/route-front.ts
@@ -4,7 +4,7 @@
  * SPDX-License-Identifier: BSD-3-Clause
  */
 /**
- * The HTTP server towards callers of routes: reads a request within the configured limits, matches it, and hands it on.
+ * The HTTP server for callers: reads a request within the configured limits, matches it to a route, and starts routing it.
  */
 import { createServer, type IncomingMessage, type Server, type ServerResponse } from 'node:http'
 import { requestFailure, type RequestFailure, type RouteTable } from '@drumdrift/core'
@@ -15,7 +15,7 @@
 import type { CallerHead, Dialect } from './ports.js'
 import type { ReadRequest, RoutedRequest } from './routed-request.js'
 
-/** What the front works with. */
+/** Dependencies and settings of a {@link RouteFront}. */
 export interface RouteFrontParts {
   readonly address: string
   readonly dialect: Dialect
@@ -27,26 +27,26 @@
   readonly counters: Counters
 }
 
-/** The largest head that the server can be set to read; configurations set less. In bytes. */
+/** The largest request head that the server accepts, in bytes; configurations set lower limits. */
 const LARGEST_HEAD = 64 * 1024
-/** Bounds memory: descriptors are bounded by the machine's limit, which is lower on small ones. */
+/** Bounds memory. File descriptors are bounded by the limit of the machine, which is lower on small machines. */
 const MOST_CONNECTIONS = 3_500
-/** Used until a configuration names its own, in milliseconds. */
+/** Timeouts that apply until a configuration sets its own, in milliseconds. */
 const FIRST_IDLE_TIMEOUT = 15_000
 const FIRST_HEAD_TIMEOUT = 3_000
-/** A whole request must have been read after this, in milliseconds; Node checks in steps. */
+/** The time within which a whole request must be read, in milliseconds. Node checks it periodically, so a timeout can come later. */
 const READ_TIMEOUT = 30_000
-/** How often connections that rest are ended once it has stopped to listen, in milliseconds. */
+/** How often idle connections are closed once the server has stopped listening, in milliseconds. */
 const IDLE_CLOSE_PAUSE = 20
 /**
- * Before a caller comes back that met a process without any configuration, in milliseconds: between these, at random. A
- * process reads it within some tens of milliseconds of its start, and 68 callers who came in these after a kill of everything
- * would otherwise come back at one moment.
+ * Bounds of the random retry delay for a caller that is refused because the process has no configuration yet, in milliseconds.
+ * A process reads its configuration within some tens of milliseconds after its start. The jitter spreads the retries: after all
+ * processes were killed, 68 callers were refused in this window and would otherwise have retried at the same moment.
  */
 const EARLIEST_RETRY_WITHOUT_CONFIGURATION = 100
 const LATEST_RETRY_WITHOUT_CONFIGURATION = 500
 
-/** The server towards callers. */
+/** The HTTP server for callers. */
 export class RouteFront {
   private readonly _server: Server
   private readonly _requests = new Set<RoutedRequest>()
@@ -61,25 +61,25 @@
 
   listen (): Promise<void> { return listenAt(this._server, this._parts.address) }
 
-  /** Requests that have no final answer yet. */
+  /** The number of requests that have no final answer yet. */
   get inProgress (): number { return this._requests.size }
 
-  /** Takes the limits of a new configuration. */
+  /** Applies the timeouts of a new configuration. */
   applyLimits (table: RouteTable): void {
     const { idleTimeout, headerTimeout } = table.configuration.limits
     this._server.keepAliveTimeout = idleTimeout
     this._server.headersTimeout = headerTimeout
   }
 
-  /** A request is held back from now on, also where it is in progress. */
+  /** Holds back a request from now on, including copies of it that are in progress. */
   holdBack (fingerprint: string): void { for (const request of this._requests) request.holdBack(fingerprint) }
 
-  /** From now on each answer asks its caller to open a new connection, elsewhere if it can. */
+  /** From now on, each answer asks its caller to close the connection, so that its next request opens one to another process. */
   leave (): void { this._leaving = true }
 
   /**
-   * Takes no new connections, and ends those that rest, now and as soon as their answers have ended: an answer whose
-   * head was sent before could not tell its caller to open a new connection for the next request.
+   * Accepts no new connections and closes idle ones, now and repeatedly as answers end. An answer whose head was sent before
+   * the stop could not carry `Connection: close`, so its caller would otherwise reuse the connection.
    */
   stopListening (): void {
     this._server.close()
@@ -104,14 +104,14 @@
     const answer = new CallerAnswer(response, () => this._leaving)
     const head = this._parts.dialect.readCaller(request.headers, request.rawHeaders)
     const table = this._parts.table()
-    if (table === undefined) return this._refuse(answer, head, requestFailure('no-configuration', 'not-run', 'no configuration is known yet', retryWithoutConfiguration(this._parts.draw())))
+    if (table === undefined) return this._refuse(answer, head, requestFailure('no-configuration', 'not-run', 'no configuration has been received yet', retryWithoutConfiguration(this._parts.draw())))
     const path = request.url ?? '/'
     const host = (request.headers.host ?? '').toLowerCase()
     const match = table.match(host, path.split('?')[0] ?? path, head.key)
-    if (match.type === 'unknown-route') return this._refuse(answer, head, requestFailure('unknown-route', 'not-run', `no route leads to ${host}${path.slice(0, 100)}`))
-    if (match.type === 'unknown-key') return this._refuse(answer, head, requestFailure('unknown-organisation', 'not-run', 'the key belongs to no organisation'))
+    if (match.type === 'unknown-route') return this._refuse(answer, head, requestFailure('unknown-route', 'not-run', `no route matches ${host}${path.slice(0, 100)}`))
+    if (match.type === 'unknown-key') return this._refuse(answer, head, requestFailure('unknown-organisation', 'not-run', 'the key does not belong to any organisation'))
     const body = await this._body(request, table.configuration.limits.bodyBytes)
-    if (body === 'too-large') return this._refuse(answer, head, requestFailure('body-too-large', 'not-run', `a body of ${table.configuration.limits.bodyBytes} bytes at most is taken`))
+    if (body === 'too-large') return this._refuse(answer, head, requestFailure('body-too-large', 'not-run', `the body exceeds the limit of ${table.configuration.limits.bodyBytes} bytes`))
     if (body === 'lost') return
     const { route, organisation } = match
     this._begin({ head, method: request.method ?? 'GET', path, body, receivedAt, route, organisation, configurationVersion: table.configuration.version }, answer)
--- a/packages/node/src/lib/routing/routed-request.ts
+++ b/packages/node/src/lib/routing/routed-request.ts
@@ -4,7 +4,7 @@
  * SPDX-License-Identifier: BSD-3-Clause
  */
 /**
- * One caller's request on its way: attempts at endpoints, what follows each, and the one final answer.
+ * Routes one request of a caller: makes attempts at endpoints, decides on retries, and gives exactly one final answer.
  */
 import type { IncomingMessage } from 'node:http'
 import type { Socket } from 'node:net'
@@ -23,39 +23,40 @@
 import type { SuspectExchange } from './suspect-exchange.js'
 import { StreamProgress } from './stream-progress.js'
 
-/** What requests work with. */
+/** Dependencies of {@link RoutedRequest}, shared by all requests. */
 export interface RoutedRequestParts extends RecordParts {
   readonly dialect: Dialect
   readonly unit: (service: string) => ServiceUnit | undefined
-  /** The least version of a model that may begin a request now; 0 for any. */
+  /** The lowest version of a model that may begin a request now; 0 for any. */
   readonly leastVersion: (model: string) => number
-  /** When an endpoint of a version must have begun what it was sent, by this process's clock; nothing for no bound. */
+  /** When an endpoint of a version must have begun a request, by this process's clock. Returns `undefined` if there is no bound. */
   readonly mustBeginBy: (model: string, version: number) => number | undefined
   readonly reserve: ConnectionReserve
   readonly draw: () => number
-  /** What makes two requests the same: see `fingerprintOf`. */
+  /** Identifies identical requests: see `fingerprintOf`. */
   readonly fingerprint: (request: ReadRequest) => string
   readonly notices: Pick<NoticeExchange, 'heard'>
   readonly suspects: Pick<SuspectExchange, 'standing' | 'evidence' | 'lost' | 'lived' | 'answered'>
 }
 
-/** A request as it was read. */
+/** A request that has been read completely and matched to a route. */
 export interface ReadRequest extends RecordedRequest {
   readonly method: string
-  /** With the query. */
+  /** Includes the query. */
   readonly path: string
   readonly body: Buffer
 }
 
 /**
- * An endpoint answers by itself at the deadline that it was given; its answer gets this time to arrive before the system
- * gives its own, in milliseconds. Under the quarter of a second that holding a request past its time-out may take.
+ * How long after the deadline the entry waits for the answer of an endpoint before it gives its own, in milliseconds. An endpoint
+ * answers at the deadline that it was sent, and that answer needs time to arrive. A request may be held for at most 250 ms past
+ * its timeout, so this is less.
  */
 const DEADLINE_GRACE = 80
-/** An endpoint whose agent reported within this can be reached, in milliseconds: three reports of a busy engine. */
+/** An endpoint counts as reachable if its agent reported within this time, in milliseconds: three reports of a busy engine. */
 const FRESH_REPORT = 350
 
-/** A request from its acceptance to its final answer. */
+/** The routing of one request, from its acceptance to its final answer. */
 export class RoutedRequest {
   private readonly _course: AttemptCourse
   private readonly _record: RequestRecord
@@ -68,11 +69,11 @@
   private _unit: ServiceUnit | undefined
   private _usualObjective = 0
   private readonly _fingerprint = once(() => this._parts.fingerprint(this._request))
-  /** When the objective is over, counted from the caller's first try; by this process's clock. */
+  /** When the objective ends, counted from the first try of the caller, by this process's clock. */
   private _inTimeUntil = 0
   private _over = false
   private _onOver: () => void = () => {}
-  /** Resolves when the final answer has been given. */
+  /** Resolves once the final answer has been given. */
   readonly done = new Promise<void>(resolve => { this._onOver = resolve })
 
   constructor (private readonly _parts: RoutedRequestParts, private readonly _request: ReadRequest, private readonly _answer: CallerAnswer) {
@@ -85,7 +86,7 @@
     _answer.onGone(() => this._callerGone())
   }
 
-  /** Makes the first attempt, or refuses. */
+  /** Makes the first attempt, or refuses the request. */
   start (): void {
     const { route } = this._request
     this._unit = this._parts.unit(targetOf(route, this._parts.draw()))
@@ -97,13 +98,13 @@
     const choice = this._choose(now)
     if (choice === undefined) return this._refuse('no-endpoint', `no endpoint of ${route.name} can take it`)
     const decision = decideStart({ expected: choice.expectedOfUsual, objective: route.objective, usualObjective: this._usualObjective })
-    if (decision.type === 'refuse') return this._refuse('overloaded', `an answer is expected in ${Math.round(choice.expected)} ms only`)
+    if (decision.type === 'refuse') return this._refuse('overloaded', `the expected answer time of ${Math.round(choice.expected)} ms is too long`)
     this._send(choice, now)
   }
 
-  /** From now on a request is held back: if it is this one, it is taken back from an engine that may not have begun it yet. */
+  /** Aborts the attempt if this request is held back from now on and its engine may not have begun it yet. */
   holdBack (fingerprint: string): void {
-    if (!this._answer.begun && fingerprint === this._fingerprint()) this._attempt?.takeBack('the request ends endpoints')
+    if (!this._answer.begun && fingerprint === this._fingerprint()) this._attempt?.takeBack('the request is held back because endpoints were lost while running it')
   }
 
   private _sinceFirstTry (): number {
@@ -146,8 +147,8 @@
   }
 
   /**
-   * What an endpoint says of itself holds whatever becomes of its answer, unless another one answers at its address. Bytes that are no
-   * answer of its own end no limit by naming none: endpoints that spoil answers are in need too.
+   * An endpoint's notices apply whatever the outcome of its answer, unless another instance answers at its address. A foreign answer
+   * that names no limit does not lift the current one, because an endpoint that sends corrupt answers may still be overloaded.
    */
   private _readHead ({ statusCode = 0, headers, rawHeaders }: IncomingMessage, { record }: Choice, sentAt: number): EndpointHead {
     const { dialect, notices } = this._parts
@@ -169,8 +170,8 @@
   }
 
   /**
-   * A connection opened in advance may have died unseen, so one is used only where the endpoint's agent was heard just
-   * now, and only for requests that may go elsewhere.
+   * A connection that was opened in advance may have failed unnoticed. One is used only if the agent of the endpoint has reported
+   * recently, and only for requests that may be retried elsewhere.
    */
   private _ready ({ record, reportAge }: Choice): Socket | undefined {
     const usable = this._course.repeatable && reportAge <= FRESH_REPORT
@@ -211,25 +212,25 @@
     const { chooser } = this._unit ?? {}
     if (chooser === undefined) return
     const start = startOf(choice.record)
-    // An endpoint's own failure says nothing of its speed: one at the deadline takes as long as a route allows, and 40 of 684
-    // plain requests were refused on a day for the slowness that was read from these.
+    // Failures don't count towards the response time of an endpoint: one at the deadline takes as long as the route allows. When they
+    // did count, 40 of 684 plain requests in a day were refused because their endpoints were taken for slow.
     if (end.type === 'answered' && end.status < LEAST_FAILURE_STATUS && head?.eventStream !== true) chooser.plainTook(start, now - sentAt, now)
     if (end.type === 'not-run') chooser.avoid(start, avoidanceOf(end.reason), now)
     chooser.ended(start, this._request.head.id, this._over && end.type !== 'answered' ? 'unclear' : healthOf(end), now)
   }
 
-  /** A rejection too says that the endpoint lives, but for one that names another instance. */
+  /** A rejection shows that the endpoint is alive too, unless it names another instance. */
   private _tellSuspects ({ choice }: EndpointAttempt, end: AttemptEnd, now: number): void {
     const { suspects } = this._parts
     const start = startOf(choice.record)
     if (end.type === 'broken' && end.connection === 'lost') suspects.lost(this._fingerprint(), start, now)
-    // An engine gives up at the deadline what it may not have begun: only a success shows that it survived the request.
+    // An engine rejects at the deadline requests that it may not have begun, so only a success shows that it survived the request.
     if (end.type === 'answered' && end.status < LEAST_UNSUCCESSFUL_STATUS) suspects.answered(this._fingerprint(), now)
     if (end.type === 'answered' || (end.type === 'not-run' && end.reason === 'full')) suspects.lived(start, now)
   }
 
   private _passOn ({ head, body }: EndpointAttempt): void {
-    if (head === undefined) return this._giveUp({ type: 'broken', connection: 'open', detail: 'no head' }, 'unknown')
+    if (head === undefined) return this._giveUp({ type: 'broken', connection: 'open', detail: 'the answer has no head' }, 'unknown')
     if (this._answer.begun) this._answer.end()
     else this._answer.whole(head, body)
     this._finish({ type: 'answered', status: head.status })
@@ -239,15 +240,15 @@
     const detail = 'detail' in end ? end.detail : end.type
     const now = performance.now()
     if (outcome === 'not-run' && this._parts.suspects.standing(this._fingerprint(), now) === 'held-back') return this._refuseSuspect(now)
-    if (outcome === 'not-run') return this._refuse('overloaded', `endpoints refused it: ${reasonOf(end) ?? detail}`)
+    if (outcome === 'not-run') return this._refuse('overloaded', `the endpoints refused the request: ${reasonOf(end) ?? detail}`)
     this._fail(requestFailure(outcome === 'cut' ? 'answer-cut' : 'outcome-unknown', outcome, detail))
   }
 
-  /** The time of the caller or of the route is over. */
+  /** The timeout of the caller or of the route has expired. */
   private _timeUp (): void {
     if (this._over) return
     const ran = this._attempt !== undefined || this._course.mayHaveRun
-    this._fail(requestFailure(ran ? 'timed-out' : 'deadline-passed', ran ? 'unknown' : 'not-run', 'the time is over'))
+    this._fail(requestFailure(ran ? 'timed-out' : 'deadline-passed', ran ? 'unknown' : 'not-run', 'the deadline has passed'))
   }
 
   private _refuse (code: 'overloaded' | 'no-endpoint', detail: string): void {
@@ -262,10 +263,10 @@
     this._fail(requestFailure(known, 'not-run', `${detail} (pool ${opening.type}${told}${why})`, wait))
   }
 
-  /** Endpoints were lost under it again and again. It is not run, and its caller is told when it may be again. */
+  /** Refuses a request that is held back because endpoints were repeatedly lost while running it, and names a retry time. */
   private _refuseSuspect (now: number): void {
     const { lost, heldBackFor } = this._parts.suspects.evidence(this._fingerprint(), now)
-    this._fail(requestFailure('ends-endpoints', 'not-run', `${lost.length} endpoints were lost under it: ${lost.join(', ')}`, Math.round(heldBackFor)))
+    this._fail(requestFailure('ends-endpoints', 'not-run', `${lost.length} endpoints were lost while running the request: ${lost.join(', ')}`, Math.round(heldBackFor)))
   }
 
   private _fail (failure: RequestFailure): void {
@@ -287,13 +288,15 @@
   }
 }
 
-/** Endpoints that are sent nothing now because they ask for it, as reason and number; nothing for none. */
+/**
+ * The numbers of endpoints that receive no requests now because they asked for it, by reason. Returns `undefined` if there are none.
+ */
 function sparedText (unit: ServiceUnit | undefined, now: number): string | undefined {
   const spared = [...unit?.chooser.spared(now) ?? []].map(([reason, count]) => `${reason}:${count}`)
   return spared.length === 0 ? undefined : spared.join(',')
 }
 
-/** Works something out when it is first asked for, and no more than once. */
+/** Returns a function that computes a value on its first call and caches it. */
 function once<Value> (workOut: () => Value): () => Value {
   let found: { readonly value: Value } | undefined
   return () => {
--- a/packages/node/src/lib/routing/service-units.ts
+++ b/packages/node/src/lib/routing/service-units.ts
@@ -4,12 +4,13 @@
  * SPDX-License-Identifier: BSD-3-Clause
  */
 /**
- * The services that one entry routes to, each with its endpoints and this entry's part of its retries, rebuilt from published state.
+ * The services to which one entry routes, each with its endpoints and the entry's share of the retry budget. They follow the
+ * published state.
  */
 import { EndpointChooser, type EndpointGate, enginesToFollow, FirstTries, FleetSize, isEarlierStart, RetryAllowance, startOf, UsualObjective, type EndpointRecord, type LoadReport, type Place, type PublishedState, type RetryTerms, type ServiceDescription, type ZoneOfAgents } from '@drumdrift/core'
 import { parseAddress } from '../settings/address.js'
 
-/** One service at one entry. */
+/** The routing state of one service at one entry. */
 export interface ServiceUnit {
   description: ServiceDescription
   readonly chooser: EndpointChooser
@@ -18,42 +19,42 @@
   readonly firstTries: FirstTries
 }
 
-/** An agent looks at its engine this often at least, in milliseconds: see the engine switcher's pauses. */
+/** The longest interval at which an agent polls its engine, in milliseconds: see the pauses of the engine switcher. */
 const LOOK_AGE = 100
 
-/** The endpoint that an agent stands beside. */
+/** The endpoint on the instance of an agent, and its service. */
 interface AgentPlace {
   readonly service: string
   readonly record: EndpointRecord
 }
 
-/** All services of one entry. */
+/** The routing state of all services at one entry. */
 export class ServiceUnits {
   private readonly _units = new Map<string, ServiceUnit>()
-  /** Endpoints by the address of the agent beside them. */
+  /** Endpoints by the address of their agent. */
   private readonly _byAgent = new Map<string, AgentPlace>()
   private _followed: ReadonlySet<string> = new Set()
   private readonly _fleet = new FleetSize(() => this._zones())
 
   /**
-   * @param _self This entry's name.
-   * @param _retryTerms What retries may add to the load of a service.
-   * @param _agentPort The port at which agents listen on their instances.
-   * @param _gate What endpoints ask of those who send to them.
+   * @param _self The name of this entry.
+   * @param _retryTerms The limits on the load that retries add to a service.
+   * @param _agentPort The port on which agents listen on their instances.
+   * @param _gate Decides which endpoints may be sent requests, according to their notices.
    */
   constructor (private readonly _self: string, private readonly _place: Place, private readonly _retryTerms: RetryTerms, private readonly _agentPort: number, private readonly _gate: EndpointGate) {}
 
-  /** How many entries the deployment has; nothing while no agent was heard. */
+  /** Returns the estimated number of entries of the deployment, or `undefined` if no agent has reported yet. */
   entries (now: number): number | undefined { return this._fleet.estimate(now) }
 
   get (service: string): ServiceUnit | undefined { return this._units.get(service) }
 
-  /** Addresses of the agents beside engines of pools. */
+  /** The addresses of the agents of all pools. */
   get agents (): ReadonlySet<string> { return new Set(this._byAgent.keys()) }
-  /** Those of the engines that this entry follows and sends to. */
+  /** The addresses of the agents whose engines this entry follows and sends requests to. */
   get followed (): ReadonlySet<string> { return this._followed }
 
-  /** Takes what is published. */
+  /** Applies the published state. */
   apply (state: PublishedState): void {
     const endpoints = state.endpoints()
     this._byAgent.clear()
@@ -95,40 +96,40 @@
     return { description, chooser: new EndpointChooser(this._place, Math.random, this._gate), retries, objective: new UsualObjective(), firstTries: new FirstTries() }
   }
 
-  /** Requests in a millisecond that go to the pool of an agent, and among how many engines. */
+  /** Returns the rate of requests to the pool of an agent, per millisecond, and the number of engines that share them. */
   sentTo (agent: string, now: number): { readonly sentRate: number, readonly followed: number } {
     const chooser = this._units.get(this._byAgent.get(agent)?.service ?? '')?.chooser
     return chooser === undefined ? { sentRate: 0, followed: 0 } : { sentRate: chooser.sentRate(now), followed: Math.max(1, chooser.heardCount(now)) }
   }
 
-  /** The model that the pool of an agent serves; nothing when it is not known. */
+  /** Returns the model that the pool of an agent serves, or `undefined` if it is not known. */
   modelOf (agent: string): string | undefined {
     const endpoint = this._byAgent.get(agent)
     return endpoint === undefined ? undefined : this._units.get(endpoint.service)?.description.pool?.models[0]?.name
   }
 
-  /** A measurement of the way to an agent, which is that to the engine beside it, began or ended. */
+  /** Records that a round-trip measurement to an agent, and so to the engine on its instance, began or ended. */
   measured (agent: string, step: 'begun' | 'ended', now: number): void {
     const endpoint = this._byAgent.get(agent)
     if (endpoint !== undefined) this._units.get(endpoint.service)?.chooser.measured(startOf(endpoint.record), step, now)
   }
 
   /**
-   * An agent told the load of the engine beside it.
+   * Records the load that an agent reports.
    *
-   * @returns Whether what it tells of the fleet can be true; the load counts all the same.
+   * @returns Whether the reported number of entries is plausible; the load is used either way.
    */
   heard (agent: string, load: LoadReport, now: number): boolean {
     const endpoint = this._byAgent.get(agent)
     if (endpoint === undefined) return true
     this._hearLoad(endpoint, load, now)
-    // An agent that has just started counts none yet, which is no mistake.
+    // An agent that has just started counts no entries yet.
     return load.entries === undefined || load.entries === 0 || this._fleet.heard(endpoint.record.availabilityZone, agent, load.entries, now)
   }
 
   /**
-   * Which start a report shows to have lived, and until when: a report is as old as its engine's last look at itself and its way here.
-   * Nothing where it tells of another start than the listed one.
+   * Returns the start that a report proves to have been alive, and at what time: the report may be older than its arrival by the
+   * polling interval and the network latency. Returns `undefined` if the report is of another start than the listed one.
    */
   aliveBy (agent: string, { born }: LoadReport, now: number): { readonly start: string, readonly at: number } | undefined {
     const { record, service } = this._byAgent.get(agent) ?? {}
@@ -137,7 +138,7 @@
     return { start: startOf(record), at: now - LOOK_AGE - way }
   }
 
-  /** A late report of an earlier start says nothing of the one that is listed; one of a later start says that this one is gone. */
+  /** Ignores a late report of an earlier start than the listed one. A report of a later start shows that the listed one has ended. */
   private _hearLoad ({ service, record }: AgentPlace, load: LoadReport, now: number): void {
     const chooser = this._units.get(service)?.chooser
     if (isEarlierStart(load.born, record.born)) return
--- a/packages/node/src/lib/routing/stream-progress.ts
+++ b/packages/node/src/lib/routing/stream-progress.ts
@@ -3,10 +3,10 @@
  * Copyright 2026 the drumdrift contributors
  * SPDX-License-Identifier: BSD-3-Clause
  */
-/** What has come of an event stream, over all the attempts of one request: whole events only, and the pauses between them. */
+/** Tracks the event stream of one request over all its attempts: splits it into whole events and measures the gaps between them. */
 import { EventSplitter } from '@drumdrift/core'
 
-/** The events of one request. */
+/** The progress of one request's event stream. */
 export class StreamProgress {
   private _splitter = new EventSplitter()
   private _firstEventAt: number | undefined
@@ -14,26 +14,26 @@
   private _longestGap = 0
 
   /**
-   * @param _lastEventId The last event that the caller has of an earlier answer.
+   * @param _lastEventId The last event that the caller received from an earlier answer.
    */
   constructor (private _lastEventId: string | undefined) {}
 
-  /** The last event that the caller has; nothing for none. */
+  /** The ID of the last event that the caller has; `undefined` if it has none. */
   get lastEventId (): string | undefined { return this._lastEventId }
-  /** When the first event came; nothing until then. */
+  /** When the first event arrived; `undefined` until then. */
   get firstEventAt (): number | undefined { return this._firstEventAt }
-  /** The longest pause between events, in milliseconds. */
+  /** The longest gap between events, in milliseconds. */
   get longestGap (): number { return this._longestGap }
-  /** Whether a part of an event has come, and not its end. */
+  /** Whether the last event is incomplete so far. */
   get withinEvent (): boolean { return this._splitter.pending > 0 }
 
-  /** Another attempt goes on; what came of an event that was cut off is dropped. */
+  /** Prepares for the stream of another attempt. Drops the incomplete event of the last one. */
   restart (): void { this._splitter = new EventSplitter() }
 
   /**
-   * Takes bytes of the stream.
+   * Adds bytes of the stream.
    *
-   * @returns The whole events that they complete, for the caller; nothing for none.
+   * @returns The events that are complete now, for the caller; `undefined` if there are none.
    * @example
    * const events = progress.take(bytes, now)
    */
--- a/packages/node/src/lib/routing/suspect-exchange.ts
+++ b/packages/node/src/lib/routing/suspect-exchange.ts
@@ -4,24 +4,24 @@
  * SPDX-License-Identifier: BSD-3-Clause
  */
 /**
- * What one entry knows of requests that may end endpoints, shared with the other entries by way of the agents that it follows: each
- * passes on what it did not know to all entries that follow it.
+ * Tracks requests that may crash endpoints, and shares what one entry knows of them with the other entries. Agents relay messages
+ * that are new to them to all entries that follow them.
  */
 import { readSuspectNews, SuspectRequests, type Standing, type SuspectNews } from '@drumdrift/core'
 import type { Log } from '../observe/log.js'
 import type { Counters } from '../observe/metrics.js'
 
-/** What the exchange works with. */
+/** Dependencies of {@link SuspectExchange}. */
 export interface SuspectExchangeParts {
   readonly log: Log
   readonly counters: Counters
-  /** Tells some agents. */
+  /** Sends a message to some agents. */
   readonly tell: (news: SuspectNews) => void
-  /** A request is held back from now on. */
+  /** Called when a request is held back from now on. */
   readonly onHeldBack: (fingerprint: string) => void
 }
 
-/** How often it looks what is to be told, in milliseconds: a small part of the time in which an endpoint may show that it lives. */
+/** How often confirmed losses are sent, in milliseconds: a small part of the time that an endpoint has to show that it is alive. */
 const TELL_PAUSE = 100
 
 /** The suspect requests of one entry. */
@@ -37,38 +37,44 @@
 
   standing (fingerprint: string, now: number): Standing { return this._suspects.standing(fingerprint, now) }
 
-  /** The endpoints that were lost under a request, and how long it is held back, in milliseconds. */
+  /** Returns the endpoints that were lost while running a request, and how long it is held back, in milliseconds. */
   evidence (fingerprint: string, now: number): { readonly lost: string[], readonly heldBackFor: number } {
     return { lost: this._suspects.lossesOf(fingerprint, now), heldBackFor: this._suspects.heldBackFor(fingerprint, now) }
   }
 
-  /** A connection to an endpoint was lost while a request was there. */
+  /** Records that the connection to an endpoint was lost while a request was in flight. */
   lost (fingerprint: string, start: string, now: number): void {
     const before = this.standing(fingerprint, now)
     this._suspects.lost(fingerprint, start, now)
     this._noteStanding(fingerprint, before, 'own', now)
   }
 
-  /** An endpoint showed at some time that it lived. */
+  /** Records that an endpoint was alive at a time. */
   lived (start: string, at: number): void { this._suspects.lived(start, at) }
 
-  /** An endpoint ran a request and answered it. Others are told only where that clears it: without this, an entry that has just started would hold back what all others serve. */
+  /**
+   * Records that an endpoint ran a request and answered it. Shared only if that clears the request: otherwise an entry that has
+   * just started would hold back a request that all others serve.
+   */
   answered (fingerprint: string, now: number): void {
     if (this._suspects.answered(fingerprint, now)) this._tell({ losses: [], answers: [{ fingerprint, age: 0 }] })
   }
 
-  /** An agent passes on what another entry saw; what makes a request suspect, or clears it, is told further, so that it reaches entries that follow other agents. */
+  /**
+   * Receives what another entry observed, relayed by an agent. Losses and answers that change the standing of a request are sent on,
+   * so that they reach entries that follow other agents.
+   */
   heard (input: unknown, agent: string): void {
     const now = performance.now()
     const told = readSuspectNews(input)
-    if (told === undefined) return this._parts.log.warn('peer-malformed', { type: 'suspects', agent, detail: 'it is no news of suspect requests' })
+    if (told === undefined) return this._parts.log.warn('peer-malformed', { type: 'suspects', agent, detail: 'the payload is not a valid message about suspect requests' })
     const before = new Map(told.losses.map(({ fingerprint }) => [fingerprint, this.standing(fingerprint, now)]))
     const { losses, answers } = this._suspects.heard(told, now)
     for (const [fingerprint, standing] of before) this._noteStanding(fingerprint, standing, 'told', now)
     this._tell({ losses: losses.filter(({ fingerprint }) => this.standing(fingerprint, now) !== 'clear'), answers })
   }
 
-  /** What an agent should know that this entry has just reached. */
+  /** Returns the losses to send to an agent to which this entry has just connected. */
   known (): SuspectNews { return { losses: this._suspects.known(performance.now()), answers: [] } }
 
   private _tell (news: SuspectNews): void {
--- a/packages/node/src/test/lib/routing/load-publisher_test.ts
+++ b/packages/node/src/test/lib/routing/load-publisher_test.ts
@@ -11,7 +11,7 @@
 
 const load: LoadReport = { running: 4, waiting: 0, unreadTokens: 0, version: 1, accepting: true, pace: 1 }
 
-/** An entry that follows, as the publisher sees it. */
+/** A fake follower that records the load reports that it is sent. */
 class Follower implements Responder {
   readonly told: LoadReport[] = []
   readonly call = 1
@@ -26,12 +26,12 @@
 
 describe('LoadPublisher', () => {
   const cases: [name: string, reports: readonly (readonly [at: number, part: Partial<LoadReport>])[], told: number][] = [
-    ['tells the first report', [[0, {}]], 1],
-    ['tells nothing that is no news', [[0, {}], [100, {}], [200, { running: 5 }]], 1],
-    ['tells news at once', [[0, {}], [100, { accepting: false }]], 2],
-    ['tells a sign of life before the last report is too old, though nothing changes', [[0, {}], [REPORT_LIFETIME - 100, {}]], 2],
-    ['tells at each look that the engine is busier', [[0, {}], [50, { running: 8 }], [100, { running: 12 }]], 3],
-    ['tells a planned switch at once', [[0, {}], [50, { closesIn: 700 }]], 2]
+    ['sends the first report', [[0, {}]], 1],
+    ['sends no report without a significant change', [[0, {}], [100, {}], [200, { running: 5 }]], 1],
+    ['sends a significant change at once', [[0, {}], [100, { accepting: false }]], 2],
+    ['sends a heartbeat before the last report expires even if nothing changes', [[0, {}], [REPORT_LIFETIME - 100, {}]], 2],
+    ['sends every report of an engine that is getting busier', [[0, {}], [50, { running: 8 }], [100, { running: 12 }]], 3],
+    ['sends a planned switch at once', [[0, {}], [50, { closesIn: 700 }]], 2]
   ]
   for (const [name, reports, told] of cases) {
     it(name, () => {
@@ -44,13 +44,13 @@
   }
 
   /*
-   * An idle engine's agent told each of 27 followers twice a second that nothing had changed, 55 messages a second besides 35 answers to
-   * measurements of the way: most of what idle agents and entries did.
+   * Guards against separate heartbeat messages to followers that ping: the agent of an idle engine sent 55 of them per second to 27
+   * followers, besides 35 answers to pings, which was most of the work of idle agents and entries.
    */
   const answers: [name: string, follows: boolean, age: number, type: PeerReply['type']][] = [
-    ['tells the load with the answer to a measurement', true, 80, 'load'],
-    ['tells no load that is old: the engine does not answer any more', true, 300, 'done'],
-    ['tells no load to one that does not follow', false, 80, 'done']
+    ['sends the load with the answer to a ping', true, 80, 'load'],
+    ['sends no stale load when the engine has stopped answering', true, 300, 'done'],
+    ['sends no load to a connection that does not follow', false, 80, 'done']
   ]
   for (const [name, follows, age, type] of answers) {
     it(name, () => {
@@ -64,7 +64,7 @@
     })
   }
 
-  it('does not tell again what a measurement has just told', () => {
+  it('does not send a report again after the answer to a ping', () => {
     const made = publisher()
     const follower = new Follower()
     made.follow(follower, 0)
@@ -75,7 +75,7 @@
     assert.equal(follower.told.length, 1)
   })
 
-  it('tells a new follower the last report, and what all followers send', () => {
+  it('sends the last report and the total request rate to a new follower', () => {
     const made = publisher()
     const [first, second] = [new Follower(), new Follower()]
     made.follow(first, 0)
@@ -90,8 +90,8 @@
   })
 
   const rates: [name: string, firstHeardAt: number, expected: number][] = [
-    ['counts what followers send that were heard lately', 1_000, 0.05],
-    ['does not count what followers sent that are not heard any more', 0, 0.03]
+    ['counts the rates of followers that pinged recently', 1_000, 0.05],
+    ['does not count the rates of followers that have stopped pinging', 0, 0.03]
   ]
   for (const [name, firstHeardAt, expected] of rates) {
     it(name, () => {
@@ -105,7 +105,7 @@
     })
   }
 
-  it('counts a follower by the share of its engines, and what it sends as well', () => {
+  it('divides the rate and the count of a follower by the number of engines that it follows', () => {
     const made = publisher()
     const followers = [new Follower(), new Follower()]
     for (const follower of followers) {
@@ -116,7 +116,7 @@
     assert.deepEqual([followers[1]?.told.at(-1)?.sentRate, followers[1]?.told.at(-1)?.entries], [0.01, 0.1])
   })
 
-  it('takes no rate of one that does not follow', () => {
+  it('ignores the rate of a connection that does not follow', () => {
     const made = publisher()
     made.noteRate(new Follower().connection, 9, 1, 0)
     const follower = new Follower()
--- a/packages/node/src/test/lib/routing/notice-exchange_test.ts
+++ b/packages/node/src/test/lib/routing/notice-exchange_test.ts
@@ -31,7 +31,7 @@
 describe('NoticeExchange', () => {
   afterEach(() => { for (const notices of made.splice(0)) notices.close() })
 
-  it('logs and tells once that an endpoint names a limit, and that it ends', () => {
+  it('logs and shares once that an endpoint names a limit, and once that the limit ends', () => {
     const { notices, told, events } = exchange()
     const now = performance.now()
     for (let count = 0; count < 3; count += 1) notices.heard(start, { ...nothing, limit: 1.1 }, now, now + 10 + count)
@@ -39,9 +39,9 @@
     assert.deepEqual([told.flat().map(({ limit }) => limit), events], [[1.1, null], ['endpoint-limited', 'endpoint-limit-ended']])
   })
 
-  const absurd: [name: string, notice: EndpointNotice][] = [['a word', { ...nothing, limit: 'unreadable' }], ['more than any fleet sends', { ...nothing, limit: 1e9 }]]
+  const absurd: [name: string, notice: EndpointNotice][] = [['not a number', { ...nothing, limit: 'unreadable' }], ['an implausibly high number', { ...nothing, limit: 1e9 }]]
   for (const [name, notice] of absurd) {
-    it(`heeds no limit that cannot be meant, logs it once, and keeps what it knew: ${name}`, () => {
+    it(`ignores an invalid limit, logs it once, and keeps the previous limit: ${name}`, () => {
       const { notices, events, counters } = exchange()
       const now = performance.now()
       notices.heard(start, { ...nothing, limit: 1.1 }, now, now + 10)
@@ -50,14 +50,14 @@
     })
   }
 
-  it('logs once that an endpoint leaves, and sends this start of it nothing, whatever it says later', () => {
+  it('logs once that an endpoint leaves, and excludes this start of it even if later notices differ', () => {
     const { notices, events } = exchange()
     const now = performance.now()
     for (const leaving of [true, true, false]) notices.heard(start, { ...nothing, leaving }, now, now + 10)
     assert.deepEqual([events, notices.gate.sparedFor(start, now + 60_000), notices.gate.sparedFor('engine-7@1800', now + 20)], [['endpoint-leaving'], 'leaving', undefined])
   })
 
-  it('sends nothing to one that rests until the longest rest that it asked for is over, and logs that it began', () => {
+  it('excludes a resting endpoint until the end of the longest rest that it asked for, and logs the beginning once', () => {
     const { notices, events } = exchange()
     const now = 1_000
     for (const rest of [3_000, 1_000, 3_500]) notices.heard(start, { ...nothing, rest }, now, now)
@@ -66,14 +66,14 @@
   })
 
   for (const rest of ['unreadable', 1e12] as const) {
-    it(`heeds no rest that cannot be meant: ${rest}`, () => {
+    it(`ignores an invalid rest: ${rest}`, () => {
       const { notices, events } = exchange()
       notices.heard(start, { ...nothing, rest }, 0, 10)
       assert.deepEqual([events, notices.gate.sparedFor(start, 20)], [['endpoint-notice-refused'], undefined])
     })
   }
 
-  it('passes on what it is told if that is news to it, and refuses what it cannot read', () => {
+  it('relays received limits that are new to it, and rejects malformed messages', () => {
     const { notices, told, events } = exchange()
     for (let count = 0; count < 2; count += 1) notices.told([{ start, limit: 2, askedAge: 20, heardAge: 10 }], 'agent-1')
     notices.told('gibberish', 'agent-1')
--- a/packages/node/src/test/lib/routing/service-units_test.ts
+++ b/packages/node/src/test/lib/routing/service-units_test.ts
@@ -34,10 +34,10 @@
   const agent = `10.0.0.1:${AGENT_PORT}`
 
   const reports: [name: string, born: number | undefined, known: boolean, chosen: boolean][] = [
-    ['takes a report of the start that is listed', 200, true, true],
-    ['takes a report that tells no start', undefined, true, true],
+    ['accepts a report of the listed start', 200, true, true],
+    ['accepts a report that names no start', undefined, true, true],
     ['drops a late report of an earlier start', 100, false, true],
-    ['passes the listed start over once a later one reports', 300, false, false]
+    ['avoids the listed start once a later one reports', 300, false, false]
   ]
   for (const [name, born, known, chosen] of reports) {
     it(name, () => {
@@ -49,16 +49,16 @@
     })
   }
 
-  it('says which counts of entries cannot be true, and takes the load all the same', () => {
+  it('detects implausible entry counts, and uses the load anyway', () => {
     const units = unitsWith([engine(1, 200)])
     assert.equal(units.heard(agent, { ...load, entries: -3 }, 10), false)
     assert.equal(units.heard(agent, { ...load, entries: 1e9 }, 10), false)
     assert.equal(units.heard(agent, { ...load, entries: 7 }, 10), true)
-    assert.equal(units.heard(agent, { ...load, entries: 0 }, 10), true, 'an agent that has just started counts none yet')
+    assert.equal(units.heard(agent, { ...load, entries: 0 }, 10), true, 'an agent that has just started counts no entries yet')
     assert.notEqual(units.get('pool')?.chooser.load(startOf(engine(1, 200))).report(20), undefined)
   })
 
-  it('follows some of many engines, and sends to those', () => {
+  it('follows a subset of many engines, and sends only to those', () => {
     const units = unitsWith(Array.from({ length: 60 }, (_, index) => engine(index + 1, 200)))
     assert.deepEqual([units.agents.size, units.followed.size], [60, 12])
     const { chooser, description } = units.get('pool') ?? assert.fail('no pool')
--- a/packages/node/src/test/lib/routing/suspect-exchange_test.ts
+++ b/packages/node/src/test/lib/routing/suspect-exchange_test.ts
@@ -48,10 +48,10 @@
     mock.timers.tick(milliseconds)
   }
 
-  /** The starts that agents were told of. */
+  /** The lost starts in all messages that were sent to agents. */
   function lost (): string[] { return told.flatMap(({ losses }) => losses.map(({ start }) => start)) }
 
-  it('tells agents of an endpoint that was lost, once it gave no sign of life', () => {
+  it('shares the loss of an endpoint once it has not shown in time that it is alive', () => {
     exchange.lost(fatal, 'a', now)
     advance(600)
     assert.deepEqual(told, [])
@@ -61,14 +61,14 @@
     assert.equal(told.length, 1)
   })
 
-  it('tells nobody of an endpoint that lives', () => {
+  it('does not share the loss of an endpoint that proves to be alive', () => {
     exchange.lost(fatal, 'a', now)
     exchange.lived('a', now + 100)
     advance(1_000)
     assert.deepEqual(told, [])
   })
 
-  it('says once that a request is held back, whoever saw the losses', () => {
+  it('reports once that a request is held back, whichever entries saw the losses', () => {
     exchange.lost(fatal, 'a', now)
     exchange.heard(lossOf('b'), 'agent-1')
     assert.deepEqual(heldBack, [])
@@ -78,7 +78,7 @@
     assert.equal(lines.join('').match(/event=request-held-back .*fingerprint=00000000000000fa source=told lost=a,b,c/g)?.length, 1)
   })
 
-  it('tells further what makes a request suspect, and nothing that says nothing', () => {
+  it('relays losses that make a request suspect, and no others', () => {
     exchange.heard(lossOf('a'), 'agent-1')
     assert.deepEqual(told, [])
     exchange.heard(lossOf('b'), 'agent-1')
@@ -87,7 +87,7 @@
     assert.equal(told.length, 1)
   })
 
-  it('tells of an answer that clears a request, and of no other', () => {
+  it('shares an answer that clears a request, and no others', () => {
     exchange.answered(fatal, now)
     exchange.lost(fatal, 'a', now + 10)
     exchange.answered(fatal, now + 20)
@@ -97,7 +97,7 @@
     assert.deepEqual(told, [{ losses: [], answers: [{ fingerprint: fatal, age: 0 }] }])
   })
 
-  it('holds nothing back any more that another entry saw answered, and tells it further', () => {
+  it('clears a held-back request that another entry saw answered, and relays the answer', () => {
     for (const start of ['a', 'b', 'c']) exchange.heard(lossOf(start), 'agent-1')
     told.length = 0
     now += 50
@@ -106,7 +106,7 @@
     assert.deepEqual([exchange.standing(fatal, now), told.length], ['clear', 1])
   })
 
-  it('takes nothing that it cannot read', () => {
+  it('rejects malformed messages', () => {
     exchange.heard({ losses: [{ ...lossOf('a').losses[0], age: 'x' }], answers: [] }, 'agent-1')
     assert.match(lines.join(''), /event=peer-malformed/)
     assert.deepEqual(exchange.known().losses, [])
