--- a/packages/node/src/lib/routing/caller-answer.ts
+++ b/packages/node/src/lib/routing/caller-answer.ts
@@ -13,17 +13,17 @@
 export class CallerAnswer {
   private _begun = false
   private _ended = false
-  private _gone = false
-  private _onGone: () => void = () => {}
+  private _disconnected = false
+  private _onDisconnect: () => void = () => {}
 
   /**
-   * @param _leaving Whether the answer asks the caller to close the connection after it.
+   * @param _closeConnection Whether the answer asks the caller to close the connection after it.
    */
-  constructor (private readonly _response: ServerResponse, private readonly _leaving: () => boolean) {
+  constructor (private readonly _response: ServerResponse, private readonly _closeConnection: () => boolean) {
     _response.on('close', () => {
       if (this._ended) return
-      this._gone = true
-      this._onGone()
+      this._disconnected = true
+      this._onDisconnect()
     })
     _response.on('error', () => { _response.destroy() })
   }
@@ -31,45 +31,45 @@
   /** Whether any part of an answer has been passed on. */
   get begun (): boolean { return this._begun }
   /** Whether the caller closed its connection before the answer ended. */
-  get gone (): boolean { return this._gone }
+  get gone (): boolean { return this._disconnected }
   /** Whether the answer has ended, complete or not. */
   get ended (): boolean { return this._ended }
 
   /** Sets the listener for the caller closing its connection before the answer ends. */
-  onGone (listener: () => void): void { this._onGone = listener }
+  onDisconnect (listener: () => void): void { this._onDisconnect = listener }
 
   /** Writes the head of an endpoint's answer. A stream that is resumed at another endpoint keeps its first head. */
   head ({ status, headers }: AnswerHead): void {
-    if (this._begun || this._over()) return
+    if (this._begun || this._isOver()) return
     this._begun = true
     this._writeHead(status, headers)
     this._response.flushHeaders()
   }
 
   data (bytes: Uint8Array): void {
-    if (!this._over()) this._response.write(bytes)
+    if (!this._isOver()) this._response.write(bytes)
   }
 
   /** Ends an answer that is complete. */
   end (): void {
-    if (this._over()) return
+    if (this._isOver()) return
     this._ended = true
     this._response.end()
   }
 
   /** Writes a complete answer. */
   whole ({ status, headers }: AnswerHead, body: Buffer): void {
-    if (this._begun || this._over()) return
+    if (this._begun || this._isOver()) return
     this._begun = true
     this._ended = true
-    const named = headers.some((name, index) => index % 2 === 0 && name.toLowerCase() === 'content-length')
-    this._writeHead(status, named ? headers : [...headers, 'Content-Length', String(body.length)])
+    const hasLength = headers.some((name, index) => index % 2 === 0 && name.toLowerCase() === 'content-length')
+    this._writeHead(status, hasLength ? headers : [...headers, 'Content-Length', String(body.length)])
     this._response.end(body)
   }
 
   /** Writes a failure that the system itself reports. If an answer has begun, closes its connection instead. */
   fail ({ status, headers, body }: OwnAnswer): void {
-    if (this._over()) return
+    if (this._isOver()) return
     this._ended = true
     if (this._begun) {
       this._response.destroy()
@@ -79,10 +79,10 @@
     this._response.end(body)
   }
 
-  private _over (): boolean { return this._ended || this._gone }
+  private _isOver (): boolean { return this._ended || this._disconnected }
 
   private _writeHead (status: number, headers: readonly string[]): void {
-    const all = this._leaving() ? [...headers, 'Connection', 'close'] : [...headers]
+    const all = this._closeConnection() ? [...headers, 'Connection', 'close'] : [...headers]
     this._response.writeHead(status, all as unknown as string[])
   }
 }
--- a/packages/node/src/lib/routing/connection-reserve.ts
+++ b/packages/node/src/lib/routing/connection-reserve.ts
@@ -14,14 +14,14 @@
  * An unused connection is closed after this time, in milliseconds. Endpoints also close idle connections, after seconds; if that
  * happens while a request is in flight, the request is lost.
  */
-const LONGEST_REST = 1_500
+const MAX_IDLE_TIME = 1_500
 /** Bounds the number of file descriptors. */
-const MOST_HELD = 256
+const MAX_CONNECTIONS = 256
 
 /** Events that make an unused connection unusable. Bytes that arrive before any request belong to none. */
-const watched = ['error', 'end', 'close', 'readable'] as const
+const invalidatingEvents = ['error', 'end', 'close', 'readable'] as const
 
-interface Held {
+interface ReservedConnection {
   /** The start of the endpoint to which the connection was opened. */
   readonly start: string
   readonly socket: Socket
@@ -30,7 +30,7 @@
 
 /** The open, unused connections of one entry. */
 export class ConnectionReserve {
-  private readonly _held = new Map<string, Held>()
+  private readonly _connections = new Map<string, ReservedConnection>()
 
   /**
    * Returns an open connection, or `undefined` if there is none, and opens the next one.
@@ -40,44 +40,44 @@
    * const socket = reserve.take('10.0.0.7:8080', startOf(record)) ?? connect('10.0.0.7:8080')
    */
   take (address: string, start: string): Socket | undefined {
-    const held = this._held.get(address)
+    const held = this._connections.get(address)
     if (held !== undefined && held.start !== start) this._drop(address, held)
-    return this._take(address, start, this._held.get(address))
+    return this._take(address, start, this._connections.get(address))
   }
 
-  private _take (address: string, start: string, held: Held | undefined): Socket | undefined {
+  private _take (address: string, start: string, held: ReservedConnection | undefined): Socket | undefined {
     const ready = held !== undefined && !held.socket.connecting && !held.socket.destroyed
     if (ready) this._release(address, held)
-    if (!this._held.has(address)) this._open(address, start)
+    if (!this._connections.has(address)) this._open(address, start)
     return ready ? held.socket : undefined
   }
 
   close (): void {
-    for (const [address, held] of this._held) {
+    for (const [address, held] of this._connections) {
       this._release(address, held)
       held.socket.destroy()
     }
   }
 
   private _open (address: string, start: string): void {
-    if (this._held.size >= MOST_HELD) return
+    if (this._connections.size >= MAX_CONNECTIONS) return
     const { host, port } = parseAddress(address)
     const socket = createConnection({ host, port, noDelay: true })
-    const held: Held = { start, socket, timer: setTimeout(() => this._drop(address, held), LONGEST_REST) }
-    this._held.set(address, held)
-    for (const event of watched) socket.on(event, () => this._drop(address, held))
+    const held: ReservedConnection = { start, socket, timer: setTimeout(() => this._drop(address, held), MAX_IDLE_TIME) }
+    this._connections.set(address, held)
+    for (const event of invalidatingEvents) socket.on(event, () => this._drop(address, held))
   }
 
-  private _drop (address: string, held: Held): void {
-    if (this._held.get(address) !== held) return
+  private _drop (address: string, held: ReservedConnection): void {
+    if (this._connections.get(address) !== held) return
     this._release(address, held)
     held.socket.on('error', () => {})
     held.socket.destroy()
   }
 
-  private _release (address: string, { socket, timer }: Held): void {
+  private _release (address: string, { socket, timer }: ReservedConnection): void {
     clearTimeout(timer)
-    this._held.delete(address)
-    for (const event of watched) socket.removeAllListeners(event)
+    this._connections.delete(address)
+    for (const event of invalidatingEvents) socket.removeAllListeners(event)
   }
 }
--- a/packages/node/src/lib/routing/endpoint-attempt.ts
+++ b/packages/node/src/lib/routing/endpoint-attempt.ts
@@ -18,11 +18,11 @@
  * milliseconds, is retried elsewhere.
  */
 const STALL_FACTOR = 4
-const LEAST_STALL = 900
+const MIN_STALL_TIMEOUT = 900
 /** A stream that pauses for longer is resumed elsewhere, in milliseconds: several times the longest pause of a healthy engine. */
-const GAP_STALL = 800
+const EVENT_GAP_TIMEOUT = 800
 
-const SILENT = 'timed out waiting for an event'
+const EVENT_TIMEOUT_DETAIL = 'timed out waiting for an event'
 
 /** The parameters of an attempt. */
 export interface AttemptPlan {
@@ -31,7 +31,7 @@
   /** The events of the answer that have arrived, over all attempts of the request. */
   readonly progress: StreamProgress
   /** Whether a missing event ends the attempt: only if the request may be retried elsewhere. */
-  readonly endsOnSilence: boolean
+  readonly abortsOnStall: boolean
   /** When the endpoint must have begun to answer, by this process's clock; `undefined` if there is no bound. */
   readonly beginBy: number | undefined
 }
@@ -48,9 +48,9 @@
   readonly choice: Choice
   readonly sentAt = performance.now()
   private readonly _call: EndpointCall
-  private readonly _pieces: Buffer[] = []
+  private readonly _bodyParts: Buffer[] = []
   private _head: AnswerHead | undefined
-  private _takenBackFor: string | undefined
+  private _abortReason: string | undefined
   private _stallTimer: NodeJS.Timeout | undefined
   /** The same timer, once events arrive. */
   private _gapTimer: NodeJS.Timeout | undefined
@@ -72,21 +72,21 @@
       data: bytes => this._onData(bytes)
     })
     this.ended = this._call.ended.then(end => this._finish(end))
-    this._watchForSilence(Math.max(LEAST_STALL, STALL_FACTOR * _plan.choice.expected))
-    if (_plan.beginBy !== undefined) this._beginTimer = setTimeout(() => this.takeBack(SILENT), _plan.beginBy - performance.now())
+    this._startStallTimer(Math.max(MIN_STALL_TIMEOUT, STALL_FACTOR * _plan.choice.expected))
+    if (_plan.beginBy !== undefined) this._beginTimer = setTimeout(() => this.abort(EVENT_TIMEOUT_DETAIL), _plan.beginBy - performance.now())
   }
 
   /** The head of the answer; `undefined` until it arrives. */
   get head (): AnswerHead | undefined { return this._head }
   /** The body of an answer that is not a stream. */
-  get body (): Buffer { return Buffer.concat(this._pieces) }
+  get body (): Buffer { return Buffer.concat(this._bodyParts) }
 
   /** Closes the connection at once. */
   stop (): void { this._call.stop() }
 
   /** Closes the connection at once and ends the attempt as stalled. */
-  takeBack (why: string): void {
-    this._takenBackFor = why
+  abort (why: string): void {
+    this._abortReason = why
     this._call.stop()
   }
 
@@ -94,28 +94,28 @@
     const head = this._head
     if (head === undefined) return
     if (!isStream(head)) {
-      this._pieces.push(bytes)
+      this._bodyParts.push(bytes)
       return
     }
     const events = this._plan.progress.take(bytes, performance.now())
     if (events === undefined) return
     clearTimeout(this._beginTimer)
-    this._watchForGap()
+    this._restartGapTimer()
     this._listener.events(head, events)
   }
 
-  private _watchForSilence (milliseconds: number): void {
+  private _startStallTimer (milliseconds: number): void {
     clearTimeout(this._stallTimer)
-    if (this._plan.endsOnSilence) this._stallTimer = setTimeout(() => this.takeBack(SILENT), milliseconds)
+    if (this._plan.abortsOnStall) this._stallTimer = setTimeout(() => this.abort(EVENT_TIMEOUT_DETAIL), milliseconds)
   }
 
   /** Every event restarts the same timeout, so the timer is refreshed instead of replaced. */
-  private _watchForGap (): void {
+  private _restartGapTimer (): void {
     if (this._gapTimer !== undefined) {
       this._gapTimer.refresh()
       return
     }
-    this._watchForSilence(GAP_STALL)
+    this._startStallTimer(EVENT_GAP_TIMEOUT)
     this._gapTimer = this._stallTimer
   }
 
@@ -125,12 +125,12 @@
     // Refreshing a cleared timer would start it again.
     this._gapTimer = undefined
     if (end.type === 'not-run') return end
-    if (this._takenBackFor !== undefined) return { type: 'stalled', detail: this._takenBackFor }
-    if (end.type === 'whole' && this._head !== undefined) return this._answered(this._head, end.framed)
+    if (this._abortReason !== undefined) return { type: 'stalled', detail: this._abortReason }
+    if (end.type === 'whole' && this._head !== undefined) return this._answerEnd(this._head, end.framed)
     return end.type === 'broken' ? { type: 'broken', connection: end.connection, detail: end.detail } : { type: 'broken', connection: 'open', detail: end.type }
   }
 
-  private _answered (head: AnswerHead, framed: boolean): AttemptEnd {
+  private _answerEnd (head: AnswerHead, framed: boolean): AttemptEnd {
     const { status } = head
     // A success without a length or chunked encoding looks complete even if its endpoint crashed midway, so it is never trusted:
     // for the caller, a truncated answer that looks complete is worse than none.
--- a/packages/node/src/lib/routing/endpoint-call.ts
+++ b/packages/node/src/lib/routing/endpoint-call.ts
@@ -34,7 +34,7 @@
   /** An open, unused connection; if `undefined`, one is opened. */
   readonly socket?: Socket | undefined
   /** How long the connection may take to open, in milliseconds. */
-  readonly connectPatience: number
+  readonly connectTimeout: number
 }
 
 /** Callbacks of a call. */
@@ -51,18 +51,18 @@
  * Nothing has been sent before the connection opens, so the request can't have run and can still meet its objective elsewhere.
  */
 const CONNECT_SHARE = 0.25
-const LEAST_CONNECT_PATIENCE = 45
-const MOST_CONNECT_PATIENCE = 250
+const MIN_CONNECT_TIMEOUT = 45
+const MAX_CONNECT_TIMEOUT = 250
 
 /**
  * Returns how long a connection may take to open, in milliseconds.
  *
  * @param objective The objective of the route, in milliseconds.
  * @example
- * connectPatience(400) // 100
+ * connectTimeout(400) // 100
  */
-export function connectPatience (objective: number): number {
-  return Math.min(MOST_CONNECT_PATIENCE, Math.max(LEAST_CONNECT_PATIENCE, CONNECT_SHARE * objective))
+export function connectTimeout (objective: number): number {
+  return Math.min(MAX_CONNECT_TIMEOUT, Math.max(MIN_CONNECT_TIMEOUT, CONNECT_SHARE * objective))
 }
 
 /** A call in progress. */
@@ -82,16 +82,16 @@
    * @example
    * const end = await new EndpointCall(request, listener).ended
    */
-  constructor ({ address, method, path, headers, body, socket: ready, connectPatience: patience }: EndpointRequest, private readonly _listener: EndpointCallListener) {
+  constructor ({ address, method, path, headers, body, socket: reserved, connectTimeout: timeout }: EndpointRequest, private readonly _listener: EndpointCallListener) {
     const { host, port } = parseAddress(address)
-    this._request = openRequest({ host, port, method, path, headers: headers as unknown as string[], setHost: false, createConnection: () => ready ?? createConnection({ host, port, noDelay: true }) })
+    this._request = openRequest({ host, port, method, path, headers: headers as unknown as string[], setHost: false, createConnection: () => reserved ?? createConnection({ host, port, noDelay: true }) })
     // After the event loop was blocked, timers run before the events of connections that have opened in the meantime.
-    this._connectTimer = setTimeout(() => setImmediate(() => this._connectTimedOut()), patience)
+    this._connectTimer = setTimeout(() => setImmediate(() => this._connectTimedOut()), timeout)
     this._request.on('socket', socket => {
       if (socket.connecting) socket.once('connect', () => this._onConnect())
       else this._onConnect()
     })
-    this._request.on('error', error => this._lost(error.message))
+    this._request.on('error', error => this._onConnectionLost(error.message))
     this._request.on('response', response => this._onResponse(response))
     this._request.end(body)
   }
@@ -110,8 +110,8 @@
 
   private _onResponse (response: IncomingMessage): void {
     const head = this._listener.readHead(response)
-    response.on('error', error => this._lost(error.message))
-    response.on('aborted', () => this._lost('the answer was cut off'))
+    response.on('error', error => this._onConnectionLost(error.message))
+    response.on('aborted', () => this._onConnectionLost('the answer was cut off'))
     if (head.type === 'not-run') return this._end({ type: 'not-run', reason: head.reason })
     if (head.type === 'foreign') return this._end({ type: 'broken', begun: false, connection: 'open', detail: head.detail })
     this._begun = true
@@ -119,11 +119,11 @@
     response.on('data', (bytes: Buffer) => { if (!this._finished) this._listener.data(bytes) })
     response.on('end', () => {
       if (response.complete) this._end({ type: 'whole', framed: isFramed(response) })
-      else this._lost('the answer is incomplete')
+      else this._onConnectionLost('the answer is incomplete')
     })
   }
 
-  private _lost (detail: string): void {
+  private _onConnectionLost (detail: string): void {
     if (this._connected) this._end({ type: 'broken', begun: this._begun, connection: 'lost', detail })
     else this._end({ type: 'not-run', reason: 'not-connected' })
   }
--- a/packages/node/src/lib/routing/load-follower.ts
+++ b/packages/node/src/lib/routing/load-follower.ts
@@ -12,7 +12,7 @@
 import type { PeerPool } from '../peer/pool.js'
 
 /** What an entry sends with each ping to an agent that it follows. */
-export interface AgentNews {
+export interface PingContent {
   /** The rate at which this process sends requests to the pool of the agent, in requests per millisecond. */
   readonly sentRate: number
   /** The number of engines of the pool that this process follows and has reports of. */
@@ -22,69 +22,69 @@
 }
 
 /** Messages of other entries that agents relay. */
-export type EntryNews = Extract<PeerReply, { type: 'suspects' | 'limits' }>
+export type RelayedMessage = Extract<PeerReply, { type: 'suspects' | 'limits' }>
 
 /** Dependencies of {@link LoadFollower}. */
-export interface LoadFollowerParts {
+export interface LoadFollowerDependencies {
   readonly pool: PeerPool
   readonly log: Log
   /** Receives a report of the agent at an address. */
   readonly onLoad: (agent: string, load: LoadReport) => void
   /** Returns what is sent to an agent with each ping. */
-  readonly news: (agent: string) => AgentNews
+  readonly news: (agent: string) => PingContent
   /** Receives a message of another entry that an agent relays. */
-  readonly onNews: (news: EntryNews, agent: string) => void
+  readonly onRelayedMessage: (news: RelayedMessage, agent: string) => void
   /** Returns the messages for other entries that an agent is sent once it is connected. */
-  readonly known: () => readonly PeerRequest[]
+  readonly initialMessages: () => readonly PeerRequest[]
   /** Called when a measurement of the round-trip time to an agent begins or ends. */
-  readonly onMeasured: (agent: string, step: 'begun' | 'ended') => void
+  readonly onPing: (agent: string, step: 'begun' | 'ended') => void
 }
 
 /** How often the follower checks for due pings and connections, in milliseconds. */
-const TICK = 100
+const TICK_INTERVAL = 100
 /**
  * The timeout for connecting to an agent, and the delay before the next try, in milliseconds. A SYN to an instance that is just
  * starting is lost, and TCP retransmits it only after a second; until the agent reports, the load of its engine is unknown.
  */
-const CONNECT_PATIENCE = 300
-const RETRY_PAUSE = 200
+const CONNECT_TIMEOUT = 300
+const RETRY_DELAY = 200
 /**
  * The pause between pings of an agent, in milliseconds. Queues of a link grow and drain within half a second, so the first applies
  * while the last round trip was long, as it is during a transfer or on a link with reduced bandwidth. The second applies while it
  * was short, up to the third value. Each answer carries the load, so the pause is shorter than the lifetime of a report.
  */
-const MEASURE_PAUSE = 400
-const CALM_MEASURE_PAUSE = 700
-const SHORT_WAY = 10
+const PING_PAUSE = 400
+const RELAXED_PING_PAUSE = 700
+const SHORT_ROUND_TRIP = 10
 /** The timeout of a ping, in milliseconds. The connection is then considered lost. */
-const MEASURE_PATIENCE = 3_000
+const PING_TIMEOUT = 3_000
 /**
  * The number of agents to which a message for other entries is sent; each relays it to all entries that follow it. Where each agent
  * is followed by 16 of 98 entries, six agents reach 60% of the entries directly, and these relay what is new to them.
  */
-const TOLD_AGENTS = 6
+const RELAY_FANOUT = 6
 /** A connection without a report for this time is replaced, in milliseconds: time for two pings at the longer pause. */
-const SILENCE = 1_600
+const REPORT_TIMEOUT = 1_600
 
-interface Followed {
+interface FollowedAgent {
   connection: PeerConnection | undefined
   connecting: boolean
   retryAt: number
-  heardAt: number
-  measuring: boolean
-  measuredAt: number
+  lastReportAt: number
+  pinging: boolean
+  lastPingAt: number
   /** The last round-trip time, in milliseconds. */
-  way: number
+  roundTrip: number
   lost: boolean
 }
 
 /** The agents that one entry follows. */
 export class LoadFollower {
-  private readonly _followed = new Map<string, Followed>()
+  private readonly _followed = new Map<string, FollowedAgent>()
   private readonly _timer: NodeJS.Timeout
 
-  constructor (private readonly _parts: LoadFollowerParts) {
-    this._timer = setInterval(() => { this._tick() }, TICK)
+  constructor (private readonly _parts: LoadFollowerDependencies) {
+    this._timer = setInterval(() => { this._tick() }, TICK_INTERVAL)
   }
 
   /** Sets the agents to follow. Closes the connections to all others. */
@@ -96,21 +96,21 @@
     }
     for (const agent of agents) {
       if (this._followed.has(agent)) continue
-      this._followed.set(agent, { connection: undefined, connecting: false, retryAt: 0, heardAt: performance.now(), measuring: false, measuredAt: 0, way: Infinity, lost: false })
+      this._followed.set(agent, { connection: undefined, connecting: false, retryAt: 0, lastReportAt: performance.now(), pinging: false, lastPingAt: 0, roundTrip: Infinity, lost: false })
     }
     this._tick()
   }
 
   /** Pings all agents now, to send them what has changed. */
-  tellNews (): void {
-    for (const followed of this._followed.values()) followed.measuredAt = -Infinity
+  pingAll (): void {
+    for (const followed of this._followed.values()) followed.lastPingAt = -Infinity
     this._tick()
   }
 
   /** Sends a message for other entries to some agents, chosen at random. */
-  tellSome (news: PeerRequest, agents = TOLD_AGENTS): void {
-    const open = [...this._followed.values()].flatMap(({ connection }) => connection?.open === true ? [{ connection, place: Math.random() }] : [])
-    open.sort((left, right) => left.place - right.place)
+  sendToSome (news: PeerRequest, agents = RELAY_FANOUT): void {
+    const open = [...this._followed.values()].flatMap(({ connection }) => connection?.open === true ? [{ connection, order: Math.random() }] : [])
+    open.sort((left, right) => left.order - right.order)
     for (const { connection } of open.slice(0, agents)) connection.tell(news)
   }
 
@@ -119,64 +119,64 @@
   private _tick (): void {
     const now = performance.now()
     for (const [agent, followed] of this._followed) {
-      if (followed.connection?.open === true && now - followed.heardAt > SILENCE) followed.connection.close()
-      if (followed.connection?.open === true) this._measure(agent, followed, followed.connection, now)
+      if (followed.connection?.open === true && now - followed.lastReportAt > REPORT_TIMEOUT) followed.connection.close()
+      if (followed.connection?.open === true) this._ping(agent, followed, followed.connection, now)
       if (followed.connection?.open === true || followed.connecting || now < followed.retryAt) continue
       this._connect(agent, followed)
     }
   }
 
-  private async _measure (agent: string, followed: Followed, connection: PeerConnection, now: number): Promise<void> {
-    if (followed.measuring || now - followed.measuredAt < (followed.way <= SHORT_WAY ? CALM_MEASURE_PAUSE : MEASURE_PAUSE)) return
-    followed.measuring = true
-    followed.measuredAt = now
-    this._parts.onMeasured(agent, 'begun')
+  private async _ping (agent: string, followed: FollowedAgent, connection: PeerConnection, now: number): Promise<void> {
+    if (followed.pinging || now - followed.lastPingAt < (followed.roundTrip <= SHORT_ROUND_TRIP ? RELAXED_PING_PAUSE : PING_PAUSE)) return
+    followed.pinging = true
+    followed.lastPingAt = now
+    this._parts.onPing(agent, 'begun')
     try {
-      const { reply } = await connection.call({ type: 'ping', ...this._parts.news(agent) }, undefined, MEASURE_PATIENCE)
-      if (reply.type === 'load') this._hear(agent, followed, reply.load)
+      const { reply } = await connection.call({ type: 'ping', ...this._parts.news(agent) }, undefined, PING_TIMEOUT)
+      if (reply.type === 'load') this._onReport(agent, followed, reply.load)
     } catch (error) {
       this._parts.log.debug('agent-silent', { agent, reason: failureOf(error).type })
       connection.close()
     } finally {
-      followed.measuring = false
-      followed.way = performance.now() - now
-      this._parts.onMeasured(agent, 'ended')
+      followed.pinging = false
+      followed.roundTrip = performance.now() - now
+      this._parts.onPing(agent, 'ended')
     }
   }
 
-  private async _connect (agent: string, followed: Followed): Promise<void> {
+  private async _connect (agent: string, followed: FollowedAgent): Promise<void> {
     followed.connecting = true
     try {
-      const connection = await this._parts.pool.connection(agent, { patience: CONNECT_PATIENCE })
+      const connection = await this._parts.pool.connection(agent, { patience: CONNECT_TIMEOUT })
       if (this._followed.get(agent) !== followed) return
       followed.connection = connection
-      followed.heardAt = performance.now()
+      followed.lastReportAt = performance.now()
       connection.ask({ type: 'follow-load' }, undefined, {
         reply: reply => {
-          if (reply.type === 'suspects' || reply.type === 'limits') this._parts.onNews(reply, agent)
-          if (reply.type === 'load') this._hear(agent, followed, reply.load)
+          if (reply.type === 'suspects' || reply.type === 'limits') this._parts.onRelayedMessage(reply, agent)
+          if (reply.type === 'load') this._onReport(agent, followed, reply.load)
         },
-        lost: () => this._lost(agent, followed, 'connection-lost')
+        lost: () => this._onConnectionLost(agent, followed, 'connection-lost')
       })
-      for (const news of this._parts.known()) connection.tell(news)
+      for (const news of this._parts.initialMessages()) connection.tell(news)
     } catch (error) {
       const failure = failureOf(error)
-      this._lost(agent, followed, 'reason' in failure ? failure.reason : failure.type)
+      this._onConnectionLost(agent, followed, 'reason' in failure ? failure.reason : failure.type)
     } finally {
       followed.connecting = false
     }
   }
 
-  private _hear (agent: string, followed: Followed, load: LoadReport): void {
-    followed.heardAt = performance.now()
+  private _onReport (agent: string, followed: FollowedAgent, load: LoadReport): void {
+    followed.lastReportAt = performance.now()
     if (followed.lost) this._parts.log.info('agent-regained', { agent })
     followed.lost = false
     this._parts.onLoad(agent, load)
   }
 
-  private _lost (agent: string, followed: Followed, reason: string): void {
+  private _onConnectionLost (agent: string, followed: FollowedAgent, reason: string): void {
     followed.connection = undefined
-    followed.retryAt = performance.now() + RETRY_PAUSE
+    followed.retryAt = performance.now() + RETRY_DELAY
     if (this._followed.get(agent) !== followed || followed.lost) return
     followed.lost = true
     this._parts.log.warn('agent-lost', { agent, reason })
--- a/packages/node/src/lib/routing/notice-exchange.ts
+++ b/packages/node/src/lib/routing/notice-exchange.ts
@@ -13,20 +13,20 @@
 import { NoticeLog } from '../observe/notice-log.js'
 
 /** Dependencies of {@link NoticeExchange}. */
-export interface NoticeExchangeParts {
+export interface NoticeExchangeDependencies {
   readonly log: Log
   readonly counters: Counters
   /** Returns the number of entries, or `undefined` if it is not known. */
   readonly entries: (now: number) => number | undefined
   /** Sends limits to some agents, or to one. */
-  readonly tell: (news: LimitNews, to: 'some' | 'one') => void
+  readonly send: (news: LimitNews, to: 'some' | 'one') => void
 }
 
 /**
  * How often one agent is sent all current limits so that differences are corrected, in milliseconds. Without this, a limit whose end
  * is announced at the moment at which it is named again would hold for one turn of this entry: two minutes with a hundred entries.
  */
-const COMPARE_PAUSE = 5_000
+const SYNC_INTERVAL = 5_000
 
 /** The endpoints' notices, as one entry knows them. */
 export class NoticeExchange {
@@ -34,10 +34,10 @@
   private readonly _noticeLog: NoticeLog
   private readonly _timer: NodeJS.Timeout
 
-  constructor (private readonly _parts: NoticeExchangeParts) {
+  constructor (private readonly _parts: NoticeExchangeDependencies) {
     this._notices = new EndpointNotices(new EndpointLimits(_parts.entries, Math.random))
     this._noticeLog = new NoticeLog(_parts.log, _parts.counters)
-    this._timer = setInterval(() => this._tell(this.known(), 'one'), COMPARE_PAUSE)
+    this._timer = setInterval(() => this._send(this.snapshot(), 'one'), SYNC_INTERVAL)
   }
 
   close (): void { clearInterval(this._timer) }
@@ -46,10 +46,10 @@
   get gate (): EndpointGate { return this._notices }
 
   /** Records the notice that came with an answer of an endpoint. */
-  heard (start: string, notice: EndpointNotice, askedAt: number, now: number): void {
+  recordNotice (start: string, notice: EndpointNotice, askedAt: number, now: number): void {
     for (const change of this._notices.heard(start, notice, askedAt, now)) {
       this._noticeLog.note(change)
-      if (change.type === 'limit') this._tell(this._notices.limits.report(start, now), 'some')
+      if (change.type === 'limit') this._send(this._notices.limits.report(start, now), 'some')
     }
   }
 
@@ -57,20 +57,20 @@
    * Receives the limits that another entry knows, relayed by an agent. Those that change a limit here are sent on, so that they reach
    * entries that follow other agents.
    */
-  told (input: unknown, agent: string): void {
+  receive (input: unknown, agent: string): void {
     const now = performance.now()
     const news = readLimitNews(input)
     if (news === undefined) return this._parts.log.warn('peer-malformed', { type: 'limits', agent, detail: 'the payload is not a valid message about limits' })
     const { limits } = this._notices
     const changes = limits.told(news, now)
     for (const change of changes) this._noticeLog.limit(change, 'told')
-    this._tell(changes.flatMap(({ start }) => limits.report(start, now)), 'some')
+    this._send(changes.flatMap(({ start }) => limits.report(start, now)), 'some')
   }
 
   /** Returns the limits to send to an agent to which this entry has just connected. */
-  known (): LimitNews { return this._notices.limits.known(performance.now()) }
+  snapshot (): LimitNews { return this._notices.limits.known(performance.now()) }
 
-  private _tell (news: LimitNews, to: 'some' | 'one'): void {
-    if (news.length > 0) this._parts.tell(news, to)
+  private _send (news: LimitNews, to: 'some' | 'one'): void {
+    if (news.length > 0) this._parts.send(news, to)
   }
 }
--- a/packages/node/src/lib/routing/request-record.ts
+++ b/packages/node/src/lib/routing/request-record.ts
@@ -13,7 +13,7 @@
 import type { StreamProgress } from './stream-progress.js'
 
 /** The sinks for the records of all requests. */
-export interface RecordParts {
+export interface RecordDependencies {
   readonly log: Log
   readonly counters: Counters
   readonly histograms: Histograms
@@ -49,24 +49,24 @@
 
 /** The record of one request. */
 export class RequestRecord {
-  constructor (private readonly _parts: RecordParts, private readonly _request: RecordedRequest) {}
+  constructor (private readonly _parts: RecordDependencies, private readonly _request: RecordedRequest) {}
 
   /**
    * Records that an attempt was sent.
    *
    * @param spared Other endpoints that receive no requests because they asked for it, by reason.
    */
-  sent (number: number, choice: Choice, remaining: number, resumeAfter: string | undefined, spared: string | undefined): void {
+  attemptSent (number: number, choice: Choice, remaining: number, resumeAfter: string | undefined, spared: string | undefined): void {
     const { head, route } = this._request
     const { record, expected, version, reportAge, roundTrip, candidates } = choice
     this._parts.counters.add('attempts')
     this._parts.log.request('request-sent', {
-      id: head.id, route: route.name, attempt: number, endpoint: record.id, zone: record.availabilityZone, expected: Math.round(expected), version, load_age: finite(reportAge), round_trip: Math.round(roundTrip), candidates, prompt: head.promptTokens, remaining, resume_after: resumeAfter, spared
+      id: head.id, route: route.name, attempt: number, endpoint: record.id, zone: record.availabilityZone, expected: Math.round(expected), version, load_age: roundedIfFinite(reportAge), round_trip: Math.round(roundTrip), candidates, prompt: head.promptTokens, remaining, resume_after: resumeAfter, spared
     })
   }
 
   /** Records that the first event of a stream was passed on to the caller. */
-  firstEvent (now: number): void { this._time('first-token', now - this._request.receivedAt) }
+  firstEvent (now: number): void { this._recordLatency('first-token', now - this._request.receivedAt) }
 
   /** Records that an attempt ended, and the next step. */
   attemptEnded ({ number, choice, end, took, next, fingerprint }: EndedAttempt): void {
@@ -80,25 +80,25 @@
     const { head, route, receivedAt, organisation, configurationVersion } = this._request
     const took = now - receivedAt
     this._parts.counters.add(`requests_${result.type}`)
-    this._time(result.type === 'refused' ? 'refusal' : 'whole-answer', took)
+    this._recordLatency(result.type === 'refused' ? 'refusal' : 'whole-answer', took)
     this._parts.log.request('request-ended', {
-      id: head.id, route: route.name, organisation: organisation?.name, configuration: configurationVersion, result: result.type, ...fieldsOf(result), took: Math.round(took), first: firstEventAt === undefined ? undefined : Math.round(firstEventAt - receivedAt), objective: route.objective, gap: Math.round(longestGap), attempts
+      id: head.id, route: route.name, organisation: organisation?.name, configuration: configurationVersion, result: result.type, ...resultFields(result), took: Math.round(took), first: firstEventAt === undefined ? undefined : Math.round(firstEventAt - receivedAt), objective: route.objective, gap: Math.round(longestGap), attempts
     })
   }
 
-  private _time (measure: 'first-token' | 'whole-answer' | 'refusal', milliseconds: number): void {
+  private _recordLatency (measure: 'first-token' | 'whole-answer' | 'refusal', milliseconds: number): void {
     const { route, organisation } = this._request
     this._parts.histograms.record({ measure, organisation: organisation?.name ?? 'none', requestClass: route.name }, milliseconds)
   }
 }
 
-function fieldsOf (result: RequestResult): Record<string, string | number> {
+function resultFields (result: RequestResult): Record<string, string | number> {
   if (result.type === 'answered') return { status: result.status }
   if (result.type === 'abandoned') return {}
   const { code, detail, retryAfter } = result.failure
   return { code, detail, retry_after: retryAfter }
 }
 
-function finite (milliseconds: number): number | undefined {
+function roundedIfFinite (milliseconds: number): number | undefined {
   return Number.isFinite(milliseconds) ? Math.round(milliseconds) : undefined
 }
--- a/packages/node/src/lib/routing/route-entry.ts
+++ b/packages/node/src/lib/routing/route-entry.ts
@@ -20,7 +20,7 @@
 import type { Daemon } from '../run-daemon.js'
 import type { Settings } from '../settings/settings.js'
 import { ConnectionReserve } from './connection-reserve.js'
-import { LoadFollower, type AgentNews, type EntryNews } from './load-follower.js'
+import { LoadFollower, type PingContent, type RelayedMessage } from './load-follower.js'
 import type { RoutingPlatform } from './ports.js'
 import { NewsRelay } from './news-relay.js'
 import { NoticeExchange } from './notice-exchange.js'
@@ -28,7 +28,7 @@
 import { ReadinessServer } from './readiness-server.js'
 import { placeOf } from './regions.js'
 import { RouteFront } from './route-front.js'
-import { RoutedRequest, type RoutedRequestParts } from './routed-request.js'
+import { RoutedRequest, type RoutedRequestDependencies } from './routed-request.js'
 import { ServiceUnits } from './service-units.js'
 import { SuspectExchange } from './suspect-exchange.js'
 
@@ -41,7 +41,7 @@
  * The pause between two watches, as a share of the time within which a configuration or a draining endpoint must take effect.
  * Published state changes in bursts, and each answer to a watch costs every entry one call to the store, so changes are batched.
  */
-const CHANGES_PAUSE_SHARE = 0.25
+const WATCH_PAUSE_SHARE = 0.25
 /**
  * A relay pauses less between watches, and lets the store hold them for less time, so that the entries that depend on it soon
  * detect that it has lost the store. In milliseconds. There are at most three relays.
@@ -49,17 +49,17 @@
 const RELAY_PAUSE = 250
 const RELAY_WAIT = 1_000
 /** The part of the stop timeout that is reserved for closing after the wait for requests, in milliseconds. */
-const CLOSING_TIME = 500
+const CLOSING_RESERVE = 500
 /**
  * How long before the bound of a new version requests are sent only to endpoints that have it, in milliseconds. A request may
  * queue at its endpoint before it begins, so this is several times the queueing delay of a healthy engine.
  */
-const VERSION_MARGIN = 400
+const VERSION_CHOICE_MARGIN = 400
 /**
  * How long before the bound a request that has not begun on an old version is cancelled and sent elsewhere, in milliseconds. Both
  * the first event and the close of the connection need time to cross a busy link.
  */
-const BEGIN_MARGIN = 200
+const CANCEL_MARGIN = 200
 
 /** The daemon of a route entry. */
 export class RouteEntry implements Daemon {
@@ -80,9 +80,9 @@
   private readonly _metrics: MetricsServer | undefined
   private _table: RouteTable | undefined
   /** Agents that reported an implausible number of entries; each is logged once. */
-  private readonly _miscounting = new Set<string>()
+  private readonly _implausibleAgents = new Set<string>()
   private _ready = false
-  private _leaving = false
+  private _stopping = false
 
   constructor (private readonly _settings: Settings, private readonly _log: Log, platform: RoutingPlatform) {
     const text = (section: string, key: string): string => _settings.text(section, key)
@@ -92,7 +92,7 @@
       log: _log,
       counters: this._counters,
       entries: now => this._units.entries(now),
-      tell: (news, to) => this._follower.tellSome({ type: 'limits', news }, to === 'one' ? 1 : undefined)
+      send: (news, to) => this._follower.sendToSome({ type: 'limits', news }, to === 'one' ? 1 : undefined)
     })
     this._units = new ServiceUnits(self.instance, placeOf(_settings), retryTermsOf(_settings), _settings.number('peers', 'agent-port'), this._notices.gate)
     this._feed = new PublishedFeed({
@@ -107,22 +107,22 @@
         topics: () => publishedTopics
       },
       peers: () => this._peers(),
-      onChanges: changes => this._apply(changes)
+      onChanges: changes => this._applyChanges(changes)
     })
     this._relay = new NewsRelay(this._feed, text('process', 'availability-zone'))
     this._follower = new LoadFollower({
       pool: this._pool,
       log: _log,
-      news: agent => this._newsFor(agent, performance.now()),
-      onLoad: (agent, load) => this._hear(agent, load),
-      onNews: (reply, agent) => this._hearNews(reply, agent),
-      known: () => this._known(),
-      onMeasured: (agent, step) => this._units.measured(agent, step, performance.now())
+      news: agent => this._pingContent(agent, performance.now()),
+      onLoad: (agent, load) => this._onLoad(agent, load),
+      onRelayedMessage: (reply, agent) => this._onRelayedMessage(reply, agent),
+      initialMessages: () => this._sharedState(),
+      onPing: (agent, step) => this._units.recordPing(agent, step, performance.now())
     })
     this._suspects = new SuspectExchange({
       log: _log,
       counters: this._counters,
-      tell: news => this._follower.tellSome({ type: 'suspects', news }),
+      send: news => this._follower.sendToSome({ type: 'suspects', news }),
       onHeldBack: fingerprint => this._front.holdBack(fingerprint)
     })
     const requestParts = this._requestParts(platform)
@@ -131,11 +131,11 @@
       dialect: platform.dialect,
       table: () => this._table,
       begin: (request, answer) => new RoutedRequest(requestParts, request, answer),
-      draw: Math.random,
+      random: Math.random,
       log: _log,
       counters: this._counters
     })
-    this._readiness = new ReadinessServer(text('process', 'readiness-address'), platform.dialect.readinessPath, () => this._ready && !this._leaving)
+    this._readiness = new ReadinessServer(text('process', 'readiness-address'), platform.dialect.readinessPath, () => this._ready && !this._stopping)
     this._server = new PeerServer({
       ...self, address: text('process', 'address'), log: _log, traffic: this._traffic, onRequest: (request, _payload, responder) => this._answer(request, responder)
     })
@@ -156,9 +156,9 @@
    * @returns The number of requests that were cut off.
    */
   async stop (): Promise<number> {
-    const patience = this._settings.number('process', 'stop-patience-seconds') * 1000 - CLOSING_TIME
+    const patience = this._settings.number('process', 'stop-patience-seconds') * 1000 - CLOSING_RESERVE
     const until = performance.now() + patience
-    this._leaving = true
+    this._stopping = true
     this._front.leave()
     this._log.info('entry-stopping', { requests: this._front.inProgress, patience })
     await pause(Math.min(LISTEN_AFTER_STOP, patience))
@@ -184,14 +184,14 @@
     this._metrics?.close()
   }
 
-  private _requestParts (platform: RoutingPlatform): RoutedRequestParts {
+  private _requestParts (platform: RoutingPlatform): RoutedRequestDependencies {
     return {
       dialect: platform.dialect,
       unit: service => this._units.get(service),
-      leastVersion: model => this._leastVersion(model),
+      minimumVersion: model => this._minimumVersion(model),
       mustBeginBy: (model, version) => this._mustBeginBy(model, version),
       reserve: this._reserve,
-      draw: Math.random,
+      random: Math.random,
       suspects: this._suspects,
       notices: this._notices,
       fingerprint: request => fingerprintOf(this._settings.text('peers', 'key'), { ...request, organisation: request.organisation?.name ?? '' }),
@@ -201,48 +201,48 @@
     }
   }
 
-  private _hearNews (reply: EntryNews, agent: string): void {
-    if (reply.type === 'suspects') this._suspects.heard(reply.news, agent)
-    else this._notices.told(reply.news, agent)
+  private _onRelayedMessage (reply: RelayedMessage, agent: string): void {
+    if (reply.type === 'suspects') this._suspects.receive(reply.news, agent)
+    else this._notices.receive(reply.news, agent)
   }
 
   /** The state that a newly connected agent receives and passes on to entries that have restarted. */
-  private _known (): PeerRequest[] {
-    const suspects = this._suspects.known()
-    const limits = this._notices.known()
+  private _sharedState (): PeerRequest[] {
+    const suspects = this._suspects.snapshot()
+    const limits = this._notices.snapshot()
     return [
       ...(suspects.losses.length > 0 ? [{ type: 'suspects', news: suspects } as const] : []),
       ...(limits.length > 0 ? [{ type: 'limits', news: limits } as const] : [])
     ]
   }
 
-  private _hear (agent: string, load: LoadReport): void {
+  private _onLoad (agent: string, load: LoadReport): void {
     const now = performance.now() - ageOf(load)
-    const alive = this._units.aliveBy(agent, load, now)
-    if (alive !== undefined) this._suspects.lived(alive.start, alive.at)
-    if (this._units.heard(agent, load, now)) return
+    const alive = this._units.lastProvenAlive(agent, load, now)
+    if (alive !== undefined) this._suspects.recordAlive(alive.start, alive.at)
+    if (this._units.recordLoad(agent, load, now)) return
     this._counters.add('entries_miscounted')
-    if (!this._miscounting.has(agent)) this._log.warn('entries-miscounted', { agent, entries: Number(load.entries) })
-    this._miscounting.add(agent)
+    if (!this._implausibleAgents.has(agent)) this._log.warn('entries-miscounted', { agent, entries: Number(load.entries) })
+    this._implausibleAgents.add(agent)
   }
 
   private get _versionBound (): number { return this._settings.number('platform', 'version-bound-milliseconds') }
 
   /** The lowest version that may begin a request: any version until shortly before the bound, then only the wanted one. */
-  private _leastVersion (model: string): number {
-    return this._feed.state.dueVersion(model, this._versionBound - VERSION_MARGIN, performance.now())
+  private _minimumVersion (model: string): number {
+    return this._feed.state.dueVersion(model, this._versionBound - VERSION_CHOICE_MARGIN, performance.now())
   }
 
   /** When an endpoint of a version must have begun a request that it was sent. Returns `undefined` for the newest version. */
   private _mustBeginBy (model: string, version: number): number | undefined {
     const namedAt = this._feed.state.firstNewerAt(model, version)
-    return namedAt === undefined ? undefined : namedAt + this._versionBound - BEGIN_MARGIN
+    return namedAt === undefined ? undefined : namedAt + this._versionBound - CANCEL_MARGIN
   }
 
-  private _newsFor (agent: string, now: number): AgentNews {
+  private _pingContent (agent: string, now: number): PingContent {
     const wanted = this._feed.state.wanted(this._units.modelOf(agent) ?? '')
     const named = wanted?.heardAt === undefined ? undefined : { model: wanted.model, version: wanted.version, age: now - wanted.heardAt }
-    return { ...this._units.sentTo(agent, now), named }
+    return { ...this._units.poolTraffic(agent, now), named }
   }
 
   /** Seeds read the operators' documents from the store and relay them to the other entries. */
@@ -260,26 +260,26 @@
    * store. Draining endpoints are noticed as quickly, because a relay uses at most half the pause.
    */
   private _watches (): Watch[] {
-    const pause = CHANGES_PAUSE_SHARE * this._settings.number('platform', 'apply-bound-milliseconds')
+    const pause = WATCH_PAUSE_SHARE * this._settings.number('platform', 'apply-bound-milliseconds')
     const wait = this._settings.number('platform', 'watch-seconds') * 1000
     if (this._isRelay) return [{ scope: 'everything', pause: Math.min(pause, RELAY_PAUSE), wait: Math.min(wait, RELAY_WAIT), relayed: false }]
     return [{ scope: 'everything', pause, wait, relayed: this._seeds.length > 0 }]
   }
 
-  private _apply (changes: readonly PublishedChange[]): void {
+  private _applyChanges (changes: readonly PublishedChange[]): void {
     const { state } = this._feed
-    if (changes.some(({ type }) => type === 'configuration') && state.configuration !== undefined) this._adopt(state.configuration)
+    if (changes.some(({ type }) => type === 'configuration') && state.configuration !== undefined) this._applyConfiguration(state.configuration)
     for (const change of changes) this._logChange(change)
     this._units.apply(state)
     this._follower.follow(this._units.followed)
-    if (changes.some(({ type }) => type === 'wanted-version')) this._follower.tellNews()
+    if (changes.some(({ type }) => type === 'wanted-version')) this._follower.pingAll()
     if (!this._ready && state.complete) {
       this._ready = true
       this._log.info('entry-ready', { configuration: state.configuration?.version, endpoints: state.endpoints().length })
     }
   }
 
-  private _adopt (configuration: RouteTable['configuration']): void {
+  private _applyConfiguration (configuration: RouteTable['configuration']): void {
     this._table = new RouteTable(configuration)
     this._front.applyLimits(this._table)
     this._log.info('configuration-adopted', {
--- a/packages/node/src/lib/routing/route-front.ts
+++ b/packages/node/src/lib/routing/route-front.ts
@@ -16,47 +16,47 @@
 import type { ReadRequest, RoutedRequest } from './routed-request.js'
 
 /** Dependencies and settings of a {@link RouteFront}. */
-export interface RouteFrontParts {
+export interface RouteFrontOptions {
   readonly address: string
   readonly dialect: Dialect
   readonly table: () => RouteTable | undefined
   readonly begin: (request: ReadRequest, answer: CallerAnswer) => RoutedRequest
   /** Random numbers in [0, 1). */
-  readonly draw: () => number
+  readonly random: () => number
   readonly log: Log
   readonly counters: Counters
 }
 
 /** The largest request head that the server accepts, in bytes; configurations set lower limits. */
-const LARGEST_HEAD = 64 * 1024
+const MAX_HEAD_BYTES = 64 * 1024
 /** Bounds memory. File descriptors are bounded by the limit of the machine, which is lower on small machines. */
-const MOST_CONNECTIONS = 3_500
+const MAX_CONNECTIONS = 3_500
 /** Timeouts that apply until a configuration sets its own, in milliseconds. */
-const FIRST_IDLE_TIMEOUT = 15_000
-const FIRST_HEAD_TIMEOUT = 3_000
+const DEFAULT_IDLE_TIMEOUT = 15_000
+const DEFAULT_HEADER_TIMEOUT = 3_000
 /** The time within which a whole request must be read, in milliseconds. Node checks it periodically, so a timeout can come later. */
 const READ_TIMEOUT = 30_000
 /** How often idle connections are closed once the server has stopped listening, in milliseconds. */
-const IDLE_CLOSE_PAUSE = 20
+const IDLE_CLOSE_INTERVAL = 20
 /**
  * Bounds of the random retry delay for a caller that is refused because the process has no configuration yet, in milliseconds.
  * A process reads its configuration within some tens of milliseconds after its start. The jitter spreads the retries: after all
  * processes were killed, 68 callers were refused in this window and would otherwise have retried at the same moment.
  */
-const EARLIEST_RETRY_WITHOUT_CONFIGURATION = 100
-const LATEST_RETRY_WITHOUT_CONFIGURATION = 500
+const MIN_RETRY_WITHOUT_CONFIGURATION = 100
+const MAX_RETRY_WITHOUT_CONFIGURATION = 500
 
 /** The HTTP server for callers. */
 export class RouteFront {
   private readonly _server: Server
   private readonly _requests = new Set<RoutedRequest>()
-  private readonly _idle = new Set<() => void>()
+  private readonly _idleListeners = new Set<() => void>()
   private _leaving = false
   private _idleTimer: NodeJS.Timeout | undefined
 
-  constructor (private readonly _parts: RouteFrontParts) {
-    this._server = createServer({ maxHeaderSize: LARGEST_HEAD, requestTimeout: READ_TIMEOUT, headersTimeout: FIRST_HEAD_TIMEOUT, keepAliveTimeout: FIRST_IDLE_TIMEOUT }, (request, response) => { this._take(request, response) })
-    this._server.maxConnections = MOST_CONNECTIONS
+  constructor (private readonly _parts: RouteFrontOptions) {
+    this._server = createServer({ maxHeaderSize: MAX_HEAD_BYTES, requestTimeout: READ_TIMEOUT, headersTimeout: DEFAULT_HEADER_TIMEOUT, keepAliveTimeout: DEFAULT_IDLE_TIMEOUT }, (request, response) => { this._handle(request, response) })
+    this._server.maxConnections = MAX_CONNECTIONS
   }
 
   listen (): Promise<void> { return listenAt(this._server, this._parts.address) }
@@ -84,7 +84,7 @@
   stopListening (): void {
     this._server.close()
     this._server.closeIdleConnections()
-    this._idleTimer = setInterval(() => this._server.closeIdleConnections(), IDLE_CLOSE_PAUSE)
+    this._idleTimer = setInterval(() => this._server.closeIdleConnections(), IDLE_CLOSE_INTERVAL)
   }
 
   close (): void {
@@ -96,21 +96,21 @@
   /** Waits until no request is in progress. */
   async idle (): Promise<void> {
     if (this._requests.size === 0) return
-    await new Promise<void>(resolve => this._idle.add(resolve))
+    await new Promise<void>(resolve => this._idleListeners.add(resolve))
   }
 
-  private async _take (request: IncomingMessage, response: ServerResponse): Promise<void> {
+  private async _handle (request: IncomingMessage, response: ServerResponse): Promise<void> {
     const receivedAt = performance.now()
     const answer = new CallerAnswer(response, () => this._leaving)
     const head = this._parts.dialect.readCaller(request.headers, request.rawHeaders)
     const table = this._parts.table()
-    if (table === undefined) return this._refuse(answer, head, requestFailure('no-configuration', 'not-run', 'no configuration has been received yet', retryWithoutConfiguration(this._parts.draw())))
+    if (table === undefined) return this._refuse(answer, head, requestFailure('no-configuration', 'not-run', 'no configuration has been received yet', retryDelayWithoutConfiguration(this._parts.random())))
     const path = request.url ?? '/'
     const host = (request.headers.host ?? '').toLowerCase()
     const match = table.match(host, path.split('?')[0] ?? path, head.key)
     if (match.type === 'unknown-route') return this._refuse(answer, head, requestFailure('unknown-route', 'not-run', `no route matches ${host}${path.slice(0, 100)}`))
     if (match.type === 'unknown-key') return this._refuse(answer, head, requestFailure('unknown-organisation', 'not-run', 'the key does not belong to any organisation'))
-    const body = await this._body(request, table.configuration.limits.bodyBytes)
+    const body = await this._readBody(request, table.configuration.limits.bodyBytes)
     if (body === 'too-large') return this._refuse(answer, head, requestFailure('body-too-large', 'not-run', `the body exceeds the limit of ${table.configuration.limits.bodyBytes} bytes`))
     if (body === 'lost') return
     const { route, organisation } = match
@@ -123,13 +123,13 @@
     routed.done.then(() => {
       this._requests.delete(routed)
       if (this._requests.size > 0) return
-      for (const listener of this._idle) listener()
-      this._idle.clear()
+      for (const listener of this._idleListeners) listener()
+      this._idleListeners.clear()
     })
     routed.start()
   }
 
-  private async _body (request: IncomingMessage, largest: number): Promise<Buffer | 'too-large' | 'lost'> {
+  private async _readBody (request: IncomingMessage, largest: number): Promise<Buffer | 'too-large' | 'lost'> {
     const pieces: Buffer[] = []
     let length = 0
     try {
@@ -153,6 +153,6 @@
   }
 }
 
-function retryWithoutConfiguration (draw: number): number {
-  return Math.round(EARLIEST_RETRY_WITHOUT_CONFIGURATION + draw * (LATEST_RETRY_WITHOUT_CONFIGURATION - EARLIEST_RETRY_WITHOUT_CONFIGURATION))
+function retryDelayWithoutConfiguration (draw: number): number {
+  return Math.round(MIN_RETRY_WITHOUT_CONFIGURATION + draw * (MAX_RETRY_WITHOUT_CONFIGURATION - MIN_RETRY_WITHOUT_CONFIGURATION))
 }
--- a/packages/node/src/lib/routing/routed-request.ts
+++ b/packages/node/src/lib/routing/routed-request.ts
@@ -15,28 +15,28 @@
 import type { CallerAnswer } from './caller-answer.js'
 import type { ConnectionReserve } from './connection-reserve.js'
 import { EndpointAttempt } from './endpoint-attempt.js'
-import { connectPatience, type EndpointRequest } from './endpoint-call.js'
+import { connectTimeout, type EndpointRequest } from './endpoint-call.js'
 import type { NoticeExchange } from './notice-exchange.js'
 import type { AnswerHead, Dialect, EndpointHead } from './ports.js'
-import { RequestRecord, type RecordedRequest, type RecordParts, type RequestResult } from './request-record.js'
+import { RequestRecord, type RecordedRequest, type RecordDependencies, type RequestResult } from './request-record.js'
 import type { ServiceUnit } from './service-units.js'
 import type { SuspectExchange } from './suspect-exchange.js'
 import { StreamProgress } from './stream-progress.js'
 
 /** Dependencies of {@link RoutedRequest}, shared by all requests. */
-export interface RoutedRequestParts extends RecordParts {
+export interface RoutedRequestDependencies extends RecordDependencies {
   readonly dialect: Dialect
   readonly unit: (service: string) => ServiceUnit | undefined
   /** The lowest version of a model that may begin a request now; 0 for any. */
-  readonly leastVersion: (model: string) => number
+  readonly minimumVersion: (model: string) => number
   /** When an endpoint of a version must have begun a request, by this process's clock. Returns `undefined` if there is no bound. */
   readonly mustBeginBy: (model: string, version: number) => number | undefined
   readonly reserve: ConnectionReserve
-  readonly draw: () => number
+  readonly random: () => number
   /** Identifies identical requests: see `fingerprintOf`. */
   readonly fingerprint: (request: ReadRequest) => string
-  readonly notices: Pick<NoticeExchange, 'heard'>
-  readonly suspects: Pick<SuspectExchange, 'standing' | 'evidence' | 'lost' | 'lived' | 'answered'>
+  readonly notices: Pick<NoticeExchange, 'recordNotice'>
+  readonly suspects: Pick<SuspectExchange, 'standing' | 'evidence' | 'lost' | 'recordAlive' | 'answered'>
 }
 
 /** A request that has been read completely and matched to a route. */
@@ -54,7 +54,7 @@
  */
 const DEADLINE_GRACE = 80
 /** An endpoint counts as reachable if its agent reported within this time, in milliseconds: three reports of a busy engine. */
-const FRESH_REPORT = 350
+const FRESH_REPORT_AGE = 350
 
 /** The routing of one request, from its acceptance to its final answer. */
 export class RoutedRequest {
@@ -70,30 +70,30 @@
   private _usualObjective = 0
   private readonly _fingerprint = once(() => this._parts.fingerprint(this._request))
   /** When the objective ends, counted from the first try of the caller, by this process's clock. */
-  private _inTimeUntil = 0
-  private _over = false
-  private _onOver: () => void = () => {}
+  private _objectiveDeadline = 0
+  private _finished = false
+  private _resolveDone: () => void = () => {}
   /** Resolves once the final answer has been given. */
-  readonly done = new Promise<void>(resolve => { this._onOver = resolve })
+  readonly done = new Promise<void>(resolve => { this._resolveDone = resolve })
 
-  constructor (private readonly _parts: RoutedRequestParts, private readonly _request: ReadRequest, private readonly _answer: CallerAnswer) {
+  constructor (private readonly _parts: RoutedRequestDependencies, private readonly _request: ReadRequest, private readonly _answer: CallerAnswer) {
     const { head, route, receivedAt } = _request
     this._course = new AttemptCourse(route)
     this._record = new RequestRecord(_parts, _request)
     this._progress = new StreamProgress(head.lastEventId)
     this._deadline = receivedAt + Math.min(route.timeout, head.patience ?? route.timeout)
-    this._finalTimer = setTimeout(() => this._timeUp(), this._deadline + DEADLINE_GRACE - performance.now())
-    _answer.onGone(() => this._callerGone())
+    this._finalTimer = setTimeout(() => this._onDeadline(), this._deadline + DEADLINE_GRACE - performance.now())
+    _answer.onDisconnect(() => this._onCallerDisconnect())
   }
 
   /** Makes the first attempt, or refuses the request. */
   start (): void {
     const { route } = this._request
-    this._unit = this._parts.unit(targetOf(route, this._parts.draw()))
+    this._unit = this._parts.unit(targetOf(route, this._parts.random()))
     const now = performance.now()
     this._unit?.retries.requested(now)
     this._usualObjective = this._unit?.objective.observe(route.objective) ?? route.objective
-    this._inTimeUntil = this._request.receivedAt + route.objective - this._sinceFirstTry()
+    this._objectiveDeadline = this._request.receivedAt + route.objective - this._elapsedSinceFirstTry()
     if (this._parts.suspects.standing(this._fingerprint(), now) === 'held-back') return this._refuseSuspect(now)
     const choice = this._choose(now)
     if (choice === undefined) return this._refuse('no-endpoint', `no endpoint of ${route.name} can take it`)
@@ -104,10 +104,10 @@
 
   /** Aborts the attempt if this request is held back from now on and its engine may not have begun it yet. */
   holdBack (fingerprint: string): void {
-    if (!this._answer.begun && fingerprint === this._fingerprint()) this._attempt?.takeBack('the request is held back because endpoints were lost while running it')
+    if (!this._answer.begun && fingerprint === this._fingerprint()) this._attempt?.abort('the request is held back because endpoints were lost while running it')
   }
 
-  private _sinceFirstTry (): number {
+  private _elapsedSinceFirstTry (): number {
     const { head, route } = this._request
     return head.patience === undefined ? 0 : this._unit?.firstTries.elapsed(route.name, head.patience) ?? 0
   }
@@ -120,7 +120,7 @@
   private _need (): Need {
     const { promptTokens, answerTokens, model } = this._request.head
     return {
-      promptTokens, answerTokens, model, leastVersion: this._parts.leastVersion(model), mustBeginBy: version => this._parts.mustBeginBy(model, version), usualObjective: this._usualObjective, tried: this._tried
+      promptTokens, answerTokens, model, leastVersion: this._parts.minimumVersion(model), mustBeginBy: version => this._parts.mustBeginBy(model, version), usualObjective: this._usualObjective, tried: this._tried
     }
   }
 
@@ -134,16 +134,16 @@
       choice,
       request: this._endpointRequest(choice, remaining),
       progress: this._progress,
-      endsOnSilence: route.kind === 'streaming' && this._course.repeatable && this._attempts < route.maxAttempts,
+      abortsOnStall: route.kind === 'streaming' && this._course.repeatable && this._attempts < route.maxAttempts,
       beginBy: this._parts.mustBeginBy(head.model, choice.version)
     }, {
       readHead: response => this._readHead(response, choice, now),
-      events: (answerHead, bytes) => { if (this._attempt === attempt) this._passEvents(attempt, answerHead, bytes) }
+      events: (answerHead, bytes) => { if (this._attempt === attempt) this._forwardEvents(attempt, answerHead, bytes) }
     })
     this._attempt = attempt
     this._unit?.chooser.sent(choice, head.id, head.promptTokens, now)
-    this._record.sent(this._attempts, choice, remaining, this._progress.lastEventId, sparedText(this._unit, now))
-    attempt.ended.then(end => this._ended(attempt, end))
+    this._record.attemptSent(this._attempts, choice, remaining, this._progress.lastEventId, formatExcludedCounts(this._unit, now))
+    attempt.ended.then(end => this._onAttemptEnded(attempt, end))
   }
 
   /**
@@ -153,11 +153,11 @@
   private _readHead ({ statusCode = 0, headers, rawHeaders }: IncomingMessage, { record }: Choice, sentAt: number): EndpointHead {
     const { dialect, notices } = this._parts
     const endpointHead = dialect.readEndpoint(this._request.head.id, statusCode, headers, rawHeaders)
-    const another = endpointHead.type === 'not-run' && endpointHead.reason === 'wrong-instance'
-    if (another) return endpointHead
+    const wrongInstance = endpointHead.type === 'not-run' && endpointHead.reason === 'wrong-instance'
+    if (wrongInstance) return endpointHead
     const notice = dialect.readNotice(statusCode, headers)
     const limit = endpointHead.type === 'foreign' ? notice.limit ?? 'unsaid' : notice.limit
-    notices.heard(startOf(record), { ...notice, limit }, sentAt, performance.now())
+    notices.recordNotice(startOf(record), { ...notice, limit }, sentAt, performance.now())
     return endpointHead
   }
 
@@ -166,21 +166,21 @@
     const { record, version } = choice
     const terms = { endpoint: record, remaining, organisation: organisation?.name, version, resumeAfter: this._progress.lastEventId }
     const headers = this._parts.dialect.writeRequest(head, terms, body.length)
-    return { address: record.address, method, path, headers, body, socket: this._ready(choice), connectPatience: connectPatience(route.objective) }
+    return { address: record.address, method, path, headers, body, socket: this._takeReservedSocket(choice), connectTimeout: connectTimeout(route.objective) }
   }
 
   /**
    * A connection that was opened in advance may have failed unnoticed. One is used only if the agent of the endpoint has reported
    * recently, and only for requests that may be retried elsewhere.
    */
-  private _ready ({ record, reportAge }: Choice): Socket | undefined {
-    const usable = this._course.repeatable && reportAge <= FRESH_REPORT
+  private _takeReservedSocket ({ record, reportAge }: Choice): Socket | undefined {
+    const usable = this._course.repeatable && reportAge <= FRESH_REPORT_AGE
     return usable ? this._parts.reserve.take(record.address, startOf(record)) : undefined
   }
 
-  private _passEvents ({ choice }: EndpointAttempt, head: AnswerHead, events: Uint8Array): void {
+  private _forwardEvents ({ choice }: EndpointAttempt, head: AnswerHead, events: Uint8Array): void {
     const now = performance.now()
-    this._parts.suspects.lived(startOf(choice.record), now)
+    this._parts.suspects.recordAlive(startOf(choice.record), now)
     this._unit?.chooser.load(startOf(choice.record)).begun(this._request.head.id, choice.expected, now)
     if (!this._answer.begun) this._record.firstEvent(now)
     this._answer.head(head)
@@ -188,27 +188,27 @@
     this._course.begun()
   }
 
-  private _ended (attempt: EndpointAttempt, end: AttemptEnd): void {
+  private _onAttemptEnded (attempt: EndpointAttempt, end: AttemptEnd): void {
     if (this._attempt !== attempt) return
     this._attempt = undefined
     const now = performance.now()
-    this._tellChooser(attempt, end, now)
-    this._tellSuspects(attempt, end, now)
-    if (this._over) return
+    this._updateChooser(attempt, end, now)
+    this._updateSuspects(attempt, end, now)
+    if (this._finished) return
     const suspect = this._parts.suspects.standing(this._fingerprint(), now) !== 'clear'
-    const another = once(() => this._choose(now))
+    const nextChoice = once(() => this._choose(now))
     const step = this._course.ended(end, {
-      timeLeft: this._deadline > now, suspect, elsewhere: () => another() !== undefined, spendRetry: purpose => this._unit?.retries.trySpend(purpose, now) ?? false
+      timeLeft: this._deadline > now, suspect, elsewhere: () => nextChoice() !== undefined, spendRetry: purpose => this._unit?.retries.trySpend(purpose, now) ?? false
     })
     const fingerprint = end.type === 'broken' ? this._fingerprint() : undefined
     this._record.attemptEnded({ number: this._attempts, choice: attempt.choice, end, took: now - attempt.sentAt, next: step, fingerprint })
-    if (step.type === 'pass-on') return this._passOn(attempt)
+    if (step.type === 'pass-on') return this._forwardAnswer(attempt)
     if (step.type === 'give-up') return this._giveUp(end, step.outcome)
-    const choice = another()
+    const choice = nextChoice()
     if (choice !== undefined) this._send(choice, now)
   }
 
-  private _tellChooser ({ choice, head, sentAt }: EndpointAttempt, end: AttemptEnd, now: number): void {
+  private _updateChooser ({ choice, head, sentAt }: EndpointAttempt, end: AttemptEnd, now: number): void {
     const { chooser } = this._unit ?? {}
     if (chooser === undefined) return
     const start = startOf(choice.record)
@@ -216,20 +216,20 @@
     // did count, 40 of 684 plain requests in a day were refused because their endpoints were taken for slow.
     if (end.type === 'answered' && end.status < LEAST_FAILURE_STATUS && head?.eventStream !== true) chooser.plainTook(start, now - sentAt, now)
     if (end.type === 'not-run') chooser.avoid(start, avoidanceOf(end.reason), now)
-    chooser.ended(start, this._request.head.id, this._over && end.type !== 'answered' ? 'unclear' : healthOf(end), now)
+    chooser.ended(start, this._request.head.id, this._finished && end.type !== 'answered' ? 'unclear' : healthOf(end), now)
   }
 
   /** A rejection shows that the endpoint is alive too, unless it names another instance. */
-  private _tellSuspects ({ choice }: EndpointAttempt, end: AttemptEnd, now: number): void {
+  private _updateSuspects ({ choice }: EndpointAttempt, end: AttemptEnd, now: number): void {
     const { suspects } = this._parts
     const start = startOf(choice.record)
     if (end.type === 'broken' && end.connection === 'lost') suspects.lost(this._fingerprint(), start, now)
     // An engine rejects at the deadline requests that it may not have begun, so only a success shows that it survived the request.
     if (end.type === 'answered' && end.status < LEAST_UNSUCCESSFUL_STATUS) suspects.answered(this._fingerprint(), now)
-    if (end.type === 'answered' || (end.type === 'not-run' && end.reason === 'full')) suspects.lived(start, now)
+    if (end.type === 'answered' || (end.type === 'not-run' && end.reason === 'full')) suspects.recordAlive(start, now)
   }
 
-  private _passOn ({ head, body }: EndpointAttempt): void {
+  private _forwardAnswer ({ head, body }: EndpointAttempt): void {
     if (head === undefined) return this._giveUp({ type: 'broken', connection: 'open', detail: 'the answer has no head' }, 'unknown')
     if (this._answer.begun) this._answer.end()
     else this._answer.whole(head, body)
@@ -245,8 +245,8 @@
   }
 
   /** The timeout of the caller or of the route has expired. */
-  private _timeUp (): void {
-    if (this._over) return
+  private _onDeadline (): void {
+    if (this._finished) return
     const ran = this._attempt !== undefined || this._course.mayHaveRun
     this._fail(requestFailure(ran ? 'timed-out' : 'deadline-passed', ran ? 'unknown' : 'not-run', 'the deadline has passed'))
   }
@@ -255,12 +255,12 @@
     const now = performance.now()
     const unit = this._unit
     const opening: Opening = unit === undefined ? { type: 'unknown' } : unit.chooser.opening(unit.description, this._need(), now)
-    const spared = sparedText(unit, now)
-    const told = opening.type === 'expected' ? `, which opens in ${Math.round(opening.in)} ms` : ''
-    const wait = retryAfter({ patience: Math.max(0, this._deadline - now), objective: this._inTimeUntil - now }, this._parts.draw(), opening)
-    const why = spared === undefined ? '' : `, spared ${spared}`
-    const known = code === 'no-endpoint' && spared !== undefined ? 'endpoints-spared' : code
-    this._fail(requestFailure(known, 'not-run', `${detail} (pool ${opening.type}${told}${why})`, wait))
+    const excluded = formatExcludedCounts(unit, now)
+    const opensIn = opening.type === 'expected' ? `, which opens in ${Math.round(opening.in)} ms` : ''
+    const wait = retryAfter({ patience: Math.max(0, this._deadline - now), objective: this._objectiveDeadline - now }, this._parts.random(), opening)
+    const exclusions = excluded === undefined ? '' : `, spared ${excluded}`
+    const refusalCode = code === 'no-endpoint' && excluded !== undefined ? 'endpoints-spared' : code
+    this._fail(requestFailure(refusalCode, 'not-run', `${detail} (pool ${opening.type}${opensIn}${exclusions})`, wait))
   }
 
   /** Refuses a request that is held back because endpoints were repeatedly lost while running it, and names a retry time. */
@@ -270,37 +270,37 @@
   }
 
   private _fail (failure: RequestFailure): void {
-    if (this._over) return
+    if (this._finished) return
     this._answer.fail(this._parts.dialect.writeFailure(this._request.head.id, failure))
     this._finish({ type: failure.outcome === 'not-run' ? 'refused' : 'failed', failure })
   }
 
-  private _callerGone (): void {
-    if (!this._over) this._finish({ type: 'abandoned' })
+  private _onCallerDisconnect (): void {
+    if (!this._finished) this._finish({ type: 'abandoned' })
   }
 
   private _finish (result: RequestResult): void {
-    this._over = true
+    this._finished = true
     clearTimeout(this._finalTimer)
     this._record.ended(result, this._attempts, this._progress, performance.now())
     this._attempt?.stop()
-    this._onOver()
+    this._resolveDone()
   }
 }
 
 /**
  * The numbers of endpoints that receive no requests now because they asked for it, by reason. Returns `undefined` if there are none.
  */
-function sparedText (unit: ServiceUnit | undefined, now: number): string | undefined {
-  const spared = [...unit?.chooser.spared(now) ?? []].map(([reason, count]) => `${reason}:${count}`)
-  return spared.length === 0 ? undefined : spared.join(',')
+function formatExcludedCounts (unit: ServiceUnit | undefined, now: number): string | undefined {
+  const counts = [...unit?.chooser.spared(now) ?? []].map(([reason, count]) => `${reason}:${count}`)
+  return counts.length === 0 ? undefined : counts.join(',')
 }
 
 /** Returns a function that computes a value on its first call and caches it. */
-function once<Value> (workOut: () => Value): () => Value {
-  let found: { readonly value: Value } | undefined
+function once<Value> (compute: () => Value): () => Value {
+  let cached: { readonly value: Value } | undefined
   return () => {
-    found ??= { value: workOut() }
-    return found.value
+    cached ??= { value: compute() }
+    return cached.value
   }
 }
--- a/packages/node/src/lib/routing/service-units.ts
+++ b/packages/node/src/lib/routing/service-units.ts
@@ -20,10 +20,10 @@
 }
 
 /** The longest interval at which an agent polls its engine, in milliseconds: see the pauses of the engine switcher. */
-const LOOK_AGE = 100
+const MAX_POLL_INTERVAL = 100
 
 /** The endpoint on the instance of an agent, and its service. */
-interface AgentPlace {
+interface AgentEndpoint {
   readonly service: string
   readonly record: EndpointRecord
 }
@@ -32,7 +32,7 @@
 export class ServiceUnits {
   private readonly _units = new Map<string, ServiceUnit>()
   /** Endpoints by the address of their agent. */
-  private readonly _byAgent = new Map<string, AgentPlace>()
+  private readonly _byAgent = new Map<string, AgentEndpoint>()
   private _followed: ReadonlySet<string> = new Set()
   private readonly _fleet = new FleetSize(() => this._zones())
 
@@ -71,14 +71,14 @@
   }
 
   private _applyPool ({ description, chooser }: ServiceUnit, records: readonly EndpointRecord[], followed: Set<string>): void {
-    for (const record of records) this._byAgent.set(this._agentOf(record), { service: description.name, record })
-    const engines = records.map(record => ({ agent: this._agentOf(record), availabilityZone: record.availabilityZone }))
+    for (const record of records) this._byAgent.set(this._agentAddress(record), { service: description.name, record })
+    const engines = records.map(record => ({ agent: this._agentAddress(record), availabilityZone: record.availabilityZone }))
     const chosen = enginesToFollow(this._self, this._place.availabilityZone, engines)
     for (const agent of chosen) followed.add(agent)
-    chooser.setRecords(records, record => chosen.has(this._agentOf(record)))
+    chooser.setRecords(records, record => chosen.has(this._agentAddress(record)))
   }
 
-  private _agentOf ({ address }: EndpointRecord): string { return `${parseAddress(address).host}:${this._agentPort}` }
+  private _agentAddress ({ address }: EndpointRecord): string { return `${parseAddress(address).host}:${this._agentPort}` }
 
   private _zones (): ZoneOfAgents[] {
     const zones = new Map<string, { availabilityZone: string, listed: number, followed: number }>()
@@ -97,7 +97,7 @@
   }
 
   /** Returns the rate of requests to the pool of an agent, per millisecond, and the number of engines that share them. */
-  sentTo (agent: string, now: number): { readonly sentRate: number, readonly followed: number } {
+  poolTraffic (agent: string, now: number): { readonly sentRate: number, readonly followed: number } {
     const chooser = this._units.get(this._byAgent.get(agent)?.service ?? '')?.chooser
     return chooser === undefined ? { sentRate: 0, followed: 0 } : { sentRate: chooser.sentRate(now), followed: Math.max(1, chooser.heardCount(now)) }
   }
@@ -109,7 +109,7 @@
   }
 
   /** Records that a round-trip measurement to an agent, and so to the engine on its instance, began or ended. */
-  measured (agent: string, step: 'begun' | 'ended', now: number): void {
+  recordPing (agent: string, step: 'begun' | 'ended', now: number): void {
     const endpoint = this._byAgent.get(agent)
     if (endpoint !== undefined) this._units.get(endpoint.service)?.chooser.measured(startOf(endpoint.record), step, now)
   }
@@ -119,10 +119,10 @@
    *
    * @returns Whether the reported number of entries is plausible; the load is used either way.
    */
-  heard (agent: string, load: LoadReport, now: number): boolean {
+  recordLoad (agent: string, load: LoadReport, now: number): boolean {
     const endpoint = this._byAgent.get(agent)
     if (endpoint === undefined) return true
-    this._hearLoad(endpoint, load, now)
+    this._updateChooser(endpoint, load, now)
     // An agent that has just started counts no entries yet.
     return load.entries === undefined || load.entries === 0 || this._fleet.heard(endpoint.record.availabilityZone, agent, load.entries, now)
   }
@@ -131,15 +131,15 @@
    * Returns the start that a report proves to have been alive, and at what time: the report may be older than its arrival by the
    * polling interval and the network latency. Returns `undefined` if the report is of another start than the listed one.
    */
-  aliveBy (agent: string, { born }: LoadReport, now: number): { readonly start: string, readonly at: number } | undefined {
+  lastProvenAlive (agent: string, { born }: LoadReport, now: number): { readonly start: string, readonly at: number } | undefined {
     const { record, service } = this._byAgent.get(agent) ?? {}
     if (record === undefined || record.born !== born) return undefined
-    const way = this._units.get(service ?? '')?.chooser.load(startOf(record)).longestRoundTrip(now) ?? 0
-    return { start: startOf(record), at: now - LOOK_AGE - way }
+    const roundTrip = this._units.get(service ?? '')?.chooser.load(startOf(record)).longestRoundTrip(now) ?? 0
+    return { start: startOf(record), at: now - MAX_POLL_INTERVAL - roundTrip }
   }
 
   /** Ignores a late report of an earlier start than the listed one. A report of a later start shows that the listed one has ended. */
-  private _hearLoad ({ service, record }: AgentPlace, load: LoadReport, now: number): void {
+  private _updateChooser ({ service, record }: AgentEndpoint, load: LoadReport, now: number): void {
     const chooser = this._units.get(service)?.chooser
     if (isEarlierStart(load.born, record.born)) return
     if (isEarlierStart(record.born, load.born)) chooser?.avoid(startOf(record), 'wrong-instance', now)
--- a/packages/node/src/lib/routing/suspect-exchange.ts
+++ b/packages/node/src/lib/routing/suspect-exchange.ts
@@ -12,25 +12,25 @@
 import type { Counters } from '../observe/metrics.js'
 
 /** Dependencies of {@link SuspectExchange}. */
-export interface SuspectExchangeParts {
+export interface SuspectExchangeDependencies {
   readonly log: Log
   readonly counters: Counters
   /** Sends a message to some agents. */
-  readonly tell: (news: SuspectNews) => void
+  readonly send: (news: SuspectNews) => void
   /** Called when a request is held back from now on. */
   readonly onHeldBack: (fingerprint: string) => void
 }
 
 /** How often confirmed losses are sent, in milliseconds: a small part of the time that an endpoint has to show that it is alive. */
-const TELL_PAUSE = 100
+const SEND_INTERVAL = 100
 
 /** The suspect requests of one entry. */
 export class SuspectExchange {
   private readonly _suspects = new SuspectRequests()
   private readonly _timer: NodeJS.Timeout
 
-  constructor (private readonly _parts: SuspectExchangeParts) {
-    this._timer = setInterval(() => this._tell({ losses: this._suspects.takeConfirmed(performance.now()), answers: [] }), TELL_PAUSE)
+  constructor (private readonly _parts: SuspectExchangeDependencies) {
+    this._timer = setInterval(() => this._send({ losses: this._suspects.takeConfirmed(performance.now()), answers: [] }), SEND_INTERVAL)
   }
 
   close (): void { clearInterval(this._timer) }
@@ -46,42 +46,42 @@
   lost (fingerprint: string, start: string, now: number): void {
     const before = this.standing(fingerprint, now)
     this._suspects.lost(fingerprint, start, now)
-    this._noteStanding(fingerprint, before, 'own', now)
+    this._reportIfHeldBack(fingerprint, before, 'own', now)
   }
 
   /** Records that an endpoint was alive at a time. */
-  lived (start: string, at: number): void { this._suspects.lived(start, at) }
+  recordAlive (start: string, at: number): void { this._suspects.lived(start, at) }
 
   /**
    * Records that an endpoint ran a request and answered it. Shared only if that clears the request: otherwise an entry that has
    * just started would hold back a request that all others serve.
    */
   answered (fingerprint: string, now: number): void {
-    if (this._suspects.answered(fingerprint, now)) this._tell({ losses: [], answers: [{ fingerprint, age: 0 }] })
+    if (this._suspects.answered(fingerprint, now)) this._send({ losses: [], answers: [{ fingerprint, age: 0 }] })
   }
 
   /**
    * Receives what another entry observed, relayed by an agent. Losses and answers that change the standing of a request are sent on,
    * so that they reach entries that follow other agents.
    */
-  heard (input: unknown, agent: string): void {
+  receive (input: unknown, agent: string): void {
     const now = performance.now()
-    const told = readSuspectNews(input)
-    if (told === undefined) return this._parts.log.warn('peer-malformed', { type: 'suspects', agent, detail: 'the payload is not a valid message about suspect requests' })
-    const before = new Map(told.losses.map(({ fingerprint }) => [fingerprint, this.standing(fingerprint, now)]))
-    const { losses, answers } = this._suspects.heard(told, now)
-    for (const [fingerprint, standing] of before) this._noteStanding(fingerprint, standing, 'told', now)
-    this._tell({ losses: losses.filter(({ fingerprint }) => this.standing(fingerprint, now) !== 'clear'), answers })
+    const news = readSuspectNews(input)
+    if (news === undefined) return this._parts.log.warn('peer-malformed', { type: 'suspects', agent, detail: 'the payload is not a valid message about suspect requests' })
+    const before = new Map(news.losses.map(({ fingerprint }) => [fingerprint, this.standing(fingerprint, now)]))
+    const { losses, answers } = this._suspects.heard(news, now)
+    for (const [fingerprint, standing] of before) this._reportIfHeldBack(fingerprint, standing, 'told', now)
+    this._send({ losses: losses.filter(({ fingerprint }) => this.standing(fingerprint, now) !== 'clear'), answers })
   }
 
   /** Returns the losses to send to an agent to which this entry has just connected. */
-  known (): SuspectNews { return { losses: this._suspects.known(performance.now()), answers: [] } }
+  snapshot (): SuspectNews { return { losses: this._suspects.known(performance.now()), answers: [] } }
 
-  private _tell (news: SuspectNews): void {
-    if (news.losses.length + news.answers.length > 0) this._parts.tell(news)
+  private _send (news: SuspectNews): void {
+    if (news.losses.length + news.answers.length > 0) this._parts.send(news)
   }
 
-  private _noteStanding (fingerprint: string, before: Standing, source: 'own' | 'told', now: number): void {
+  private _reportIfHeldBack (fingerprint: string, before: Standing, source: 'own' | 'told', now: number): void {
     if (before === 'held-back' || this.standing(fingerprint, now) !== 'held-back') return
     const { lost, heldBackFor } = this.evidence(fingerprint, now)
     this._parts.counters.add('requests_found_fatal')
--- a/packages/node/src/test/lib/routing/load-publisher_test.ts
+++ b/packages/node/src/test/lib/routing/load-publisher_test.ts
@@ -13,19 +13,19 @@
 
 /** A fake follower that records the load reports that it is sent. */
 class Follower implements Responder {
-  readonly told: LoadReport[] = []
+  readonly reports: LoadReport[] = []
   readonly call = 1
   private _onEnd: () => void = () => {}
   readonly connection = { onEnd: (listener: () => void) => { this._onEnd = listener } } as unknown as PeerConnection
 
-  send (reply: PeerReply): void { if (reply.type === 'load') this.told.push(reply.load) }
-  leave (): void { this._onEnd() }
+  send (reply: PeerReply): void { if (reply.type === 'load') this.reports.push(reply.load) }
+  disconnect (): void { this._onEnd() }
 }
 
-function publisher (): LoadPublisher { return new LoadPublisher(() => ({ readRate: 20, slots: 16 })) }
+function createPublisher (): LoadPublisher { return new LoadPublisher(() => ({ readRate: 20, slots: 16 })) }
 
 describe('LoadPublisher', () => {
-  const cases: [name: string, reports: readonly (readonly [at: number, part: Partial<LoadReport>])[], told: number][] = [
+  const cases: [name: string, reports: readonly (readonly [at: number, part: Partial<LoadReport>])[], sent: number][] = [
     ['sends the first report', [[0, {}]], 1],
     ['sends no report without a significant change', [[0, {}], [100, {}], [200, { running: 5 }]], 1],
     ['sends a significant change at once', [[0, {}], [100, { accepting: false }]], 2],
@@ -33,13 +33,13 @@
     ['sends every report of an engine that is getting busier', [[0, {}], [50, { running: 8 }], [100, { running: 12 }]], 3],
     ['sends a planned switch at once', [[0, {}], [50, { closesIn: 700 }]], 2]
   ]
-  for (const [name, reports, told] of cases) {
+  for (const [name, reports, sent] of cases) {
     it(name, () => {
-      const made = publisher()
+      const publisher = createPublisher()
       const follower = new Follower()
-      made.follow(follower, 0)
-      for (const [at, part] of reports) made.publish({ ...load, ...part }, at)
-      assert.equal(follower.told.length, told)
+      publisher.follow(follower, 0)
+      for (const [at, part] of reports) publisher.publish({ ...load, ...part }, at)
+      assert.equal(follower.reports.length, sent)
     })
   }
 
@@ -54,74 +54,74 @@
   ]
   for (const [name, follows, age, type] of answers) {
     it(name, () => {
-      const made = publisher()
+      const publisher = createPublisher()
       const follower = new Follower()
-      if (follows) made.follow(follower, 0)
-      made.publish(load, 1_000)
+      if (follows) publisher.follow(follower, 0)
+      publisher.publish(load, 1_000)
       const replies: PeerReply[] = []
-      made.answerPing({ connection: follower.connection, call: 2, send: reply => replies.push(reply) }, 1_000 + age)
+      publisher.answerPing({ connection: follower.connection, call: 2, send: reply => replies.push(reply) }, 1_000 + age)
       assert.deepEqual(replies, [type === 'load' ? { type, load: { ...load, sentRate: 0, entries: 0, age } } : { type }])
     })
   }
 
   it('does not send a report again after the answer to a ping', () => {
-    const made = publisher()
+    const publisher = createPublisher()
     const follower = new Follower()
-    made.follow(follower, 0)
-    made.publish(load, 0)
-    made.publish(load, 700)
-    made.answerPing({ connection: follower.connection, call: 2, send: () => {} }, 700)
-    made.publish(load, 1_000)
-    assert.equal(follower.told.length, 1)
+    publisher.follow(follower, 0)
+    publisher.publish(load, 0)
+    publisher.publish(load, 700)
+    publisher.answerPing({ connection: follower.connection, call: 2, send: () => {} }, 700)
+    publisher.publish(load, 1_000)
+    assert.equal(follower.reports.length, 1)
   })
 
   it('sends the last report and the total request rate to a new follower', () => {
-    const made = publisher()
+    const publisher = createPublisher()
     const [first, second] = [new Follower(), new Follower()]
-    made.follow(first, 0)
-    made.noteRate(first.connection, 0.02, 1, 0)
-    made.publish(load, 0)
-    made.follow(second, 10)
-    assert.deepEqual(second.told, [{ ...load, sentRate: 0.02, entries: 1 }])
-    made.noteRate(second.connection, 0.03, 1, 20)
-    first.leave()
-    made.publish({ ...load, waiting: 1 }, 100)
-    assert.deepEqual([first.told.length, second.told.at(-1)?.sentRate], [1, 0.03])
+    publisher.follow(first, 0)
+    publisher.noteRate(first.connection, 0.02, 1, 0)
+    publisher.publish(load, 0)
+    publisher.follow(second, 10)
+    assert.deepEqual(second.reports, [{ ...load, sentRate: 0.02, entries: 1 }])
+    publisher.noteRate(second.connection, 0.03, 1, 20)
+    first.disconnect()
+    publisher.publish({ ...load, waiting: 1 }, 100)
+    assert.deepEqual([first.reports.length, second.reports.at(-1)?.sentRate], [1, 0.03])
   })
 
-  const rates: [name: string, firstHeardAt: number, expected: number][] = [
+  const rates: [name: string, firstPingAt: number, expected: number][] = [
     ['counts the rates of followers that pinged recently', 1_000, 0.05],
     ['does not count the rates of followers that have stopped pinging', 0, 0.03]
   ]
-  for (const [name, firstHeardAt, expected] of rates) {
+  for (const [name, firstPingAt, expected] of rates) {
     it(name, () => {
-      const made = publisher()
+      const publisher = createPublisher()
       const [first, second] = [new Follower(), new Follower()]
-      for (const follower of [first, second]) made.follow(follower, 0)
-      made.noteRate(first.connection, 0.02, 1, firstHeardAt)
-      made.noteRate(second.connection, 0.03, 1, 2_000)
-      made.publish(load, 2_500)
-      assert.equal(second.told.at(-1)?.sentRate, expected)
+      for (const follower of [first, second]) publisher.follow(follower, 0)
+      publisher.noteRate(first.connection, 0.02, 1, firstPingAt)
+      publisher.noteRate(second.connection, 0.03, 1, 2_000)
+      publisher.publish(load, 2_500)
+      assert.equal(second.reports.at(-1)?.sentRate, expected)
     })
   }
 
   it('divides the rate and the count of a follower by the number of engines that it follows', () => {
-    const made = publisher()
+    const publisher = createPublisher()
     const followers = [new Follower(), new Follower()]
     for (const follower of followers) {
-      made.follow(follower, 0)
-      made.noteRate(follower.connection, 0.1, 20, 0)
+      publisher.follow(follower, 0)
+      publisher.noteRate(follower.connection, 0.1, 20, 0)
     }
-    made.publish(load, 0)
-    assert.deepEqual([followers[1]?.told.at(-1)?.sentRate, followers[1]?.told.at(-1)?.entries], [0.01, 0.1])
+    publisher.publish(load, 0)
+    assert.deepEqual([followers[1]?.reports.at(-1)?.sentRate, followers[1]?.reports.at(-1)?.entries], [0.01, 0.1])
   })
 
   it('ignores the rate of a connection that does not follow', () => {
-    const made = publisher()
-    made.noteRate(new Follower().connection, 9, 1, 0)
+    const publisher = createPublisher()
+    publisher.noteRate(new Follower().connection, 9, 1, 0)
     const follower = new Follower()
-    made.follow(follower, 0)
-    made.publish(load, 0)
-    assert.equal(follower.told.at(-1)?.sentRate, 0)
+    publisher.follow(follower, 0)
+    publisher.publish(load, 0)
+    assert.equal(follower.reports.at(-1)?.sentRate, 0)
   })
 })
--- a/packages/node/src/test/lib/routing/notice-exchange_test.ts
+++ b/packages/node/src/test/lib/routing/notice-exchange_test.ts
@@ -12,71 +12,71 @@
 import { NoticeExchange } from '../../../lib/routing/notice-exchange.js'
 
 const start = 'engine-7@1700'
-const nothing: EndpointNotice = { limit: undefined, leaving: false, rest: undefined }
+const noNotice: EndpointNotice = { limit: undefined, leaving: false, rest: undefined }
 
-const made: NoticeExchange[] = []
+const exchanges: NoticeExchange[] = []
 
-function exchange (): { readonly notices: NoticeExchange, readonly told: LimitNews[], readonly events: string[], readonly counters: Counters } {
-  const told: LimitNews[] = []
+function createExchange (): { readonly notices: NoticeExchange, readonly sent: LimitNews[], readonly events: string[], readonly counters: Counters } {
+  const sent: LimitNews[] = []
   const events: string[] = []
   const counters = new Counters()
   const log = new Log('debug', { role: 'test' }, new BoundedOutput(1, 1_000_000, (_descriptor, bytes, callback) => { callback(null, bytes.length) }))
   log.warn = event => { events.push(event) }
   log.info = event => { events.push(event) }
-  const notices = new NoticeExchange({ log, counters, entries: () => 6, tell: news => told.push(news) })
-  made.push(notices)
-  return { notices, told, events, counters }
+  const notices = new NoticeExchange({ log, counters, entries: () => 6, send: news => sent.push(news) })
+  exchanges.push(notices)
+  return { notices, sent, events, counters }
 }
 
 describe('NoticeExchange', () => {
-  afterEach(() => { for (const notices of made.splice(0)) notices.close() })
+  afterEach(() => { for (const notices of exchanges.splice(0)) notices.close() })
 
   it('logs and shares once that an endpoint names a limit, and once that the limit ends', () => {
-    const { notices, told, events } = exchange()
+    const { notices, sent, events } = createExchange()
     const now = performance.now()
-    for (let count = 0; count < 3; count += 1) notices.heard(start, { ...nothing, limit: 1.1 }, now, now + 10 + count)
-    notices.heard(start, nothing, now + 20, now + 30)
-    assert.deepEqual([told.flat().map(({ limit }) => limit), events], [[1.1, null], ['endpoint-limited', 'endpoint-limit-ended']])
+    for (let count = 0; count < 3; count += 1) notices.recordNotice(start, { ...noNotice, limit: 1.1 }, now, now + 10 + count)
+    notices.recordNotice(start, noNotice, now + 20, now + 30)
+    assert.deepEqual([sent.flat().map(({ limit }) => limit), events], [[1.1, null], ['endpoint-limited', 'endpoint-limit-ended']])
   })
 
-  const absurd: [name: string, notice: EndpointNotice][] = [['not a number', { ...nothing, limit: 'unreadable' }], ['an implausibly high number', { ...nothing, limit: 1e9 }]]
-  for (const [name, notice] of absurd) {
+  const invalidLimits: [name: string, notice: EndpointNotice][] = [['not a number', { ...noNotice, limit: 'unreadable' }], ['an implausibly high number', { ...noNotice, limit: 1e9 }]]
+  for (const [name, notice] of invalidLimits) {
     it(`ignores an invalid limit, logs it once, and keeps the previous limit: ${name}`, () => {
-      const { notices, events, counters } = exchange()
+      const { notices, events, counters } = createExchange()
       const now = performance.now()
-      notices.heard(start, { ...nothing, limit: 1.1 }, now, now + 10)
-      for (let count = 0; count < 3; count += 1) notices.heard(start, notice, now + 20, now + 30)
-      assert.deepEqual([events, counters.get('endpoint_notices_refused'), notices.known().length], [['endpoint-limited', 'endpoint-notice-refused'], 3, 1])
+      notices.recordNotice(start, { ...noNotice, limit: 1.1 }, now, now + 10)
+      for (let count = 0; count < 3; count += 1) notices.recordNotice(start, notice, now + 20, now + 30)
+      assert.deepEqual([events, counters.get('endpoint_notices_refused'), notices.snapshot().length], [['endpoint-limited', 'endpoint-notice-refused'], 3, 1])
     })
   }
 
   it('logs once that an endpoint leaves, and excludes this start of it even if later notices differ', () => {
-    const { notices, events } = exchange()
+    const { notices, events } = createExchange()
     const now = performance.now()
-    for (const leaving of [true, true, false]) notices.heard(start, { ...nothing, leaving }, now, now + 10)
+    for (const leaving of [true, true, false]) notices.recordNotice(start, { ...noNotice, leaving }, now, now + 10)
     assert.deepEqual([events, notices.gate.sparedFor(start, now + 60_000), notices.gate.sparedFor('engine-7@1800', now + 20)], [['endpoint-leaving'], 'leaving', undefined])
   })
 
   it('excludes a resting endpoint until the end of the longest rest that it asked for, and logs the beginning once', () => {
-    const { notices, events } = exchange()
+    const { notices, events } = createExchange()
     const now = 1_000
-    for (const rest of [3_000, 1_000, 3_500]) notices.heard(start, { ...nothing, rest }, now, now)
+    for (const rest of [3_000, 1_000, 3_500]) notices.recordNotice(start, { ...noNotice, rest }, now, now)
     const spared = [0, 1_500, 3_400, 3_600].map(later => notices.gate.sparedFor(start, now + later))
     assert.deepEqual([spared, notices.gate.opensIn(start, now + 500), events], [['resting', 'resting', 'resting', undefined], 3_000, ['endpoint-resting']])
   })
 
   for (const rest of ['unreadable', 1e12] as const) {
     it(`ignores an invalid rest: ${rest}`, () => {
-      const { notices, events } = exchange()
-      notices.heard(start, { ...nothing, rest }, 0, 10)
+      const { notices, events } = createExchange()
+      notices.recordNotice(start, { ...noNotice, rest }, 0, 10)
       assert.deepEqual([events, notices.gate.sparedFor(start, 20)], [['endpoint-notice-refused'], undefined])
     })
   }
 
   it('relays received limits that are new to it, and rejects malformed messages', () => {
-    const { notices, told, events } = exchange()
-    for (let count = 0; count < 2; count += 1) notices.told([{ start, limit: 2, askedAge: 20, heardAge: 10 }], 'agent-1')
-    notices.told('gibberish', 'agent-1')
-    assert.deepEqual([told.length, events], [1, ['endpoint-limited', 'peer-malformed']])
+    const { notices, sent, events } = createExchange()
+    for (let count = 0; count < 2; count += 1) notices.receive([{ start, limit: 2, askedAge: 20, heardAge: 10 }], 'agent-1')
+    notices.receive('gibberish', 'agent-1')
+    assert.deepEqual([sent.length, events], [1, ['endpoint-limited', 'peer-malformed']])
   })
 })
--- a/packages/node/src/test/lib/routing/service-units_test.ts
+++ b/packages/node/src/test/lib/routing/service-units_test.ts
@@ -33,28 +33,28 @@
 describe('ServiceUnits', () => {
   const agent = `10.0.0.1:${AGENT_PORT}`
 
-  const reports: [name: string, born: number | undefined, known: boolean, chosen: boolean][] = [
+  const reports: [name: string, born: number | undefined, recorded: boolean, chosen: boolean][] = [
     ['accepts a report of the listed start', 200, true, true],
     ['accepts a report that names no start', undefined, true, true],
     ['drops a late report of an earlier start', 100, false, true],
     ['avoids the listed start once a later one reports', 300, false, false]
   ]
-  for (const [name, born, known, chosen] of reports) {
+  for (const [name, born, recorded, chosen] of reports) {
     it(name, () => {
       const units = unitsWith([engine(1, 200)])
-      units.heard(agent, { ...load, born }, 10)
+      units.recordLoad(agent, { ...load, born }, 10)
       const { chooser, description } = units.get('pool') ?? assert.fail('no pool')
-      assert.equal(chooser.load(startOf(engine(1, 200))).report(20) !== undefined, known)
+      assert.equal(chooser.load(startOf(engine(1, 200))).report(20) !== undefined, recorded)
       assert.equal(chooser.choose(description, need, 20) !== undefined, chosen)
     })
   }
 
   it('detects implausible entry counts, and uses the load anyway', () => {
     const units = unitsWith([engine(1, 200)])
-    assert.equal(units.heard(agent, { ...load, entries: -3 }, 10), false)
-    assert.equal(units.heard(agent, { ...load, entries: 1e9 }, 10), false)
-    assert.equal(units.heard(agent, { ...load, entries: 7 }, 10), true)
-    assert.equal(units.heard(agent, { ...load, entries: 0 }, 10), true, 'an agent that has just started counts no entries yet')
+    assert.equal(units.recordLoad(agent, { ...load, entries: -3 }, 10), false)
+    assert.equal(units.recordLoad(agent, { ...load, entries: 1e9 }, 10), false)
+    assert.equal(units.recordLoad(agent, { ...load, entries: 7 }, 10), true)
+    assert.equal(units.recordLoad(agent, { ...load, entries: 0 }, 10), true, 'an agent that has just started counts no entries yet')
     assert.notEqual(units.get('pool')?.chooser.load(startOf(engine(1, 200))).report(20), undefined)
   })
 
--- a/packages/node/src/test/lib/routing/suspect-exchange_test.ts
+++ b/packages/node/src/test/lib/routing/suspect-exchange_test.ts
@@ -11,30 +11,30 @@
 import { Counters } from '../../../lib/observe/metrics.js'
 import { SuspectExchange } from '../../../lib/routing/suspect-exchange.js'
 
-const fatal = '00000000000000fa'
+const fingerprint = '00000000000000fa'
 
-function lossOf (start: string): SuspectNews { return { losses: [{ fingerprint: fatal, start, age: 0 }], answers: [] } }
+function lossOf (start: string): SuspectNews { return { losses: [{ fingerprint, start, age: 0 }], answers: [] } }
 
 describe('SuspectExchange', () => {
   let now = 0
-  let told: SuspectNews[]
+  let sent: SuspectNews[]
   let heldBack: string[]
-  let lines: string[]
+  let logLines: string[]
   let exchange: SuspectExchange
 
   beforeEach(() => {
     mock.timers.enable({ apis: ['setInterval'] })
     mock.method(performance, 'now', () => now)
     now = 1_000
-    told = []
+    sent = []
     heldBack = []
-    lines = []
+    logLines = []
     const output = new BoundedOutput(1, 1_000_000, (_descriptor, bytes, callback) => {
-      lines.push(bytes.toString('utf8'))
+      logLines.push(bytes.toString('utf8'))
       callback(null, bytes.length)
     })
     exchange = new SuspectExchange({
-      log: new Log('debug', {}, output), counters: new Counters(), tell: news => told.push(news), onHeldBack: fingerprint => heldBack.push(fingerprint)
+      log: new Log('debug', {}, output), counters: new Counters(), send: news => sent.push(news), onHeldBack: held => heldBack.push(held)
     })
   })
   afterEach(() => {
@@ -49,66 +49,66 @@
   }
 
   /** The lost starts in all messages that were sent to agents. */
-  function lost (): string[] { return told.flatMap(({ losses }) => losses.map(({ start }) => start)) }
+  function sentLosses (): string[] { return sent.flatMap(({ losses }) => losses.map(({ start }) => start)) }
 
   it('shares the loss of an endpoint once it has not shown in time that it is alive', () => {
-    exchange.lost(fatal, 'a', now)
+    exchange.lost(fingerprint, 'a', now)
     advance(600)
-    assert.deepEqual(told, [])
+    assert.deepEqual(sent, [])
     advance(100)
-    assert.deepEqual(lost(), ['a'])
+    assert.deepEqual(sentLosses(), ['a'])
     advance(1_000)
-    assert.equal(told.length, 1)
+    assert.equal(sent.length, 1)
   })
 
   it('does not share the loss of an endpoint that proves to be alive', () => {
-    exchange.lost(fatal, 'a', now)
-    exchange.lived('a', now + 100)
+    exchange.lost(fingerprint, 'a', now)
+    exchange.recordAlive('a', now + 100)
     advance(1_000)
-    assert.deepEqual(told, [])
+    assert.deepEqual(sent, [])
   })
 
   it('reports once that a request is held back, whichever entries saw the losses', () => {
-    exchange.lost(fatal, 'a', now)
-    exchange.heard(lossOf('b'), 'agent-1')
+    exchange.lost(fingerprint, 'a', now)
+    exchange.receive(lossOf('b'), 'agent-1')
     assert.deepEqual(heldBack, [])
-    exchange.heard(lossOf('c'), 'agent-2')
-    exchange.heard(lossOf('d'), 'agent-2')
-    assert.deepEqual([heldBack, exchange.standing(fatal, now)], [[fatal], 'held-back'])
-    assert.equal(lines.join('').match(/event=request-held-back .*fingerprint=00000000000000fa source=told lost=a,b,c/g)?.length, 1)
+    exchange.receive(lossOf('c'), 'agent-2')
+    exchange.receive(lossOf('d'), 'agent-2')
+    assert.deepEqual([heldBack, exchange.standing(fingerprint, now)], [[fingerprint], 'held-back'])
+    assert.equal(logLines.join('').match(/event=request-held-back .*fingerprint=00000000000000fa source=told lost=a,b,c/g)?.length, 1)
   })
 
   it('relays losses that make a request suspect, and no others', () => {
-    exchange.heard(lossOf('a'), 'agent-1')
-    assert.deepEqual(told, [])
-    exchange.heard(lossOf('b'), 'agent-1')
-    assert.deepEqual(lost(), ['b'])
-    exchange.heard(lossOf('b'), 'agent-2')
-    assert.equal(told.length, 1)
+    exchange.receive(lossOf('a'), 'agent-1')
+    assert.deepEqual(sent, [])
+    exchange.receive(lossOf('b'), 'agent-1')
+    assert.deepEqual(sentLosses(), ['b'])
+    exchange.receive(lossOf('b'), 'agent-2')
+    assert.equal(sent.length, 1)
   })
 
   it('shares an answer that clears a request, and no others', () => {
-    exchange.answered(fatal, now)
-    exchange.lost(fatal, 'a', now + 10)
-    exchange.answered(fatal, now + 20)
-    assert.deepEqual(told, [])
-    for (const start of ['b', 'c', 'd']) exchange.lost(fatal, start, now + 30)
-    exchange.answered(fatal, now + 40)
-    assert.deepEqual(told, [{ losses: [], answers: [{ fingerprint: fatal, age: 0 }] }])
+    exchange.answered(fingerprint, now)
+    exchange.lost(fingerprint, 'a', now + 10)
+    exchange.answered(fingerprint, now + 20)
+    assert.deepEqual(sent, [])
+    for (const start of ['b', 'c', 'd']) exchange.lost(fingerprint, start, now + 30)
+    exchange.answered(fingerprint, now + 40)
+    assert.deepEqual(sent, [{ losses: [], answers: [{ fingerprint, age: 0 }] }])
   })
 
   it('clears a held-back request that another entry saw answered, and relays the answer', () => {
-    for (const start of ['a', 'b', 'c']) exchange.heard(lossOf(start), 'agent-1')
-    told.length = 0
+    for (const start of ['a', 'b', 'c']) exchange.receive(lossOf(start), 'agent-1')
+    sent.length = 0
     now += 50
-    exchange.heard({ losses: [], answers: [{ fingerprint: fatal, age: 10 }] }, 'agent-1')
+    exchange.receive({ losses: [], answers: [{ fingerprint, age: 10 }] }, 'agent-1')
     now += 60_000
-    assert.deepEqual([exchange.standing(fatal, now), told.length], ['clear', 1])
+    assert.deepEqual([exchange.standing(fingerprint, now), sent.length], ['clear', 1])
   })
 
   it('rejects malformed messages', () => {
-    exchange.heard({ losses: [{ ...lossOf('a').losses[0], age: 'x' }], answers: [] }, 'agent-1')
-    assert.match(lines.join(''), /event=peer-malformed/)
-    assert.deepEqual(exchange.known().losses, [])
+    exchange.receive({ losses: [{ ...lossOf('a').losses[0], age: 'x' }], answers: [] }, 'agent-1')
+    assert.match(logLines.join(''), /event=peer-malformed/)
+    assert.deepEqual(exchange.snapshot().losses, [])
   })
 })
