--- a/packages/node/src/lib/routing/load-follower.ts
+++ b/packages/node/src/lib/routing/load-follower.ts
@@ -83,7 +83,7 @@
   private readonly _followed = new Map<string, FollowedAgent>()
   private readonly _timer: NodeJS.Timeout
 
-  constructor (private readonly _parts: LoadFollowerDependencies) {
+  constructor (private readonly _dependencies: LoadFollowerDependencies) {
     this._timer = setInterval(() => { this._tick() }, TICK_INTERVAL)
   }
 
@@ -130,35 +130,35 @@
     if (followed.pinging || now - followed.lastPingAt < (followed.roundTrip <= SHORT_ROUND_TRIP ? RELAXED_PING_PAUSE : PING_PAUSE)) return
     followed.pinging = true
     followed.lastPingAt = now
-    this._parts.onPing(agent, 'begun')
+    this._dependencies.onPing(agent, 'begun')
     try {
-      const { reply } = await connection.call({ type: 'ping', ...this._parts.news(agent) }, undefined, PING_TIMEOUT)
+      const { reply } = await connection.call({ type: 'ping', ...this._dependencies.news(agent) }, undefined, PING_TIMEOUT)
       if (reply.type === 'load') this._onReport(agent, followed, reply.load)
     } catch (error) {
-      this._parts.log.debug('agent-silent', { agent, reason: failureOf(error).type })
+      this._dependencies.log.debug('agent-silent', { agent, reason: failureOf(error).type })
       connection.close()
     } finally {
       followed.pinging = false
       followed.roundTrip = performance.now() - now
-      this._parts.onPing(agent, 'ended')
+      this._dependencies.onPing(agent, 'ended')
     }
   }
 
   private async _connect (agent: string, followed: FollowedAgent): Promise<void> {
     followed.connecting = true
     try {
-      const connection = await this._parts.pool.connection(agent, { patience: CONNECT_TIMEOUT })
+      const connection = await this._dependencies.pool.connection(agent, { patience: CONNECT_TIMEOUT })
       if (this._followed.get(agent) !== followed) return
       followed.connection = connection
       followed.lastReportAt = performance.now()
       connection.ask({ type: 'follow-load' }, undefined, {
         reply: reply => {
-          if (reply.type === 'suspects' || reply.type === 'limits') this._parts.onRelayedMessage(reply, agent)
+          if (reply.type === 'suspects' || reply.type === 'limits') this._dependencies.onRelayedMessage(reply, agent)
           if (reply.type === 'load') this._onReport(agent, followed, reply.load)
         },
         lost: () => this._onConnectionLost(agent, followed, 'connection-lost')
       })
-      for (const news of this._parts.initialMessages()) connection.tell(news)
+      for (const news of this._dependencies.initialMessages()) connection.tell(news)
     } catch (error) {
       const failure = failureOf(error)
       this._onConnectionLost(agent, followed, 'reason' in failure ? failure.reason : failure.type)
@@ -169,9 +169,9 @@
 
   private _onReport (agent: string, followed: FollowedAgent, load: LoadReport): void {
     followed.lastReportAt = performance.now()
-    if (followed.lost) this._parts.log.info('agent-regained', { agent })
+    if (followed.lost) this._dependencies.log.info('agent-regained', { agent })
     followed.lost = false
-    this._parts.onLoad(agent, load)
+    this._dependencies.onLoad(agent, load)
   }
 
   private _onConnectionLost (agent: string, followed: FollowedAgent, reason: string): void {
@@ -179,6 +179,6 @@
     followed.retryAt = performance.now() + RETRY_DELAY
     if (this._followed.get(agent) !== followed || followed.lost) return
     followed.lost = true
-    this._parts.log.warn('agent-lost', { agent, reason })
+    this._dependencies.log.warn('agent-lost', { agent, reason })
   }
 }
--- a/packages/node/src/lib/routing/notice-exchange.ts
+++ b/packages/node/src/lib/routing/notice-exchange.ts
@@ -34,9 +34,9 @@
   private readonly _noticeLog: NoticeLog
   private readonly _timer: NodeJS.Timeout
 
-  constructor (private readonly _parts: NoticeExchangeDependencies) {
-    this._notices = new EndpointNotices(new EndpointLimits(_parts.entries, Math.random))
-    this._noticeLog = new NoticeLog(_parts.log, _parts.counters)
+  constructor (private readonly _dependencies: NoticeExchangeDependencies) {
+    this._notices = new EndpointNotices(new EndpointLimits(_dependencies.entries, Math.random))
+    this._noticeLog = new NoticeLog(_dependencies.log, _dependencies.counters)
     this._timer = setInterval(() => this._send(this.snapshot(), 'one'), SYNC_INTERVAL)
   }
 
@@ -60,7 +60,7 @@
   receive (input: unknown, agent: string): void {
     const now = performance.now()
     const news = readLimitNews(input)
-    if (news === undefined) return this._parts.log.warn('peer-malformed', { type: 'limits', agent, detail: 'the payload is not a valid message about limits' })
+    if (news === undefined) return this._dependencies.log.warn('peer-malformed', { type: 'limits', agent, detail: 'the payload is not a valid message about limits' })
     const { limits } = this._notices
     const changes = limits.told(news, now)
     for (const change of changes) this._noticeLog.limit(change, 'told')
@@ -71,6 +71,6 @@
   snapshot (): LimitNews { return this._notices.limits.known(performance.now()) }
 
   private _send (news: LimitNews, to: 'some' | 'one'): void {
-    if (news.length > 0) this._parts.send(news, to)
+    if (news.length > 0) this._dependencies.send(news, to)
   }
 }
--- a/packages/node/src/lib/routing/request-record.ts
+++ b/packages/node/src/lib/routing/request-record.ts
@@ -49,7 +49,7 @@
 
 /** The record of one request. */
 export class RequestRecord {
-  constructor (private readonly _parts: RecordDependencies, private readonly _request: RecordedRequest) {}
+  constructor (private readonly _dependencies: RecordDependencies, private readonly _request: RecordedRequest) {}
 
   /**
    * Records that an attempt was sent.
@@ -59,8 +59,8 @@
   attemptSent (number: number, choice: Choice, remaining: number, resumeAfter: string | undefined, spared: string | undefined): void {
     const { head, route } = this._request
     const { record, expected, version, reportAge, roundTrip, candidates } = choice
-    this._parts.counters.add('attempts')
-    this._parts.log.request('request-sent', {
+    this._dependencies.counters.add('attempts')
+    this._dependencies.log.request('request-sent', {
       id: head.id, route: route.name, attempt: number, endpoint: record.id, zone: record.availabilityZone, expected: Math.round(expected), version, load_age: roundedIfFinite(reportAge), round_trip: Math.round(roundTrip), candidates, prompt: head.promptTokens, remaining, resume_after: resumeAfter, spared
     })
   }
@@ -70,7 +70,7 @@
 
   /** Records that an attempt ended, and the next step. */
   attemptEnded ({ number, choice, end, took, next, fingerprint }: EndedAttempt): void {
-    this._parts.log.request('attempt-ended', {
+    this._dependencies.log.request('attempt-ended', {
       id: this._request.head.id, attempt: number, endpoint: choice.record.id, outcome: end.type, reason: reasonOf(end), took: Math.round(took), next: next.type, fingerprint
     })
   }
@@ -79,16 +79,16 @@
   ended (result: RequestResult, attempts: number, { firstEventAt, longestGap }: StreamProgress, now: number): void {
     const { head, route, receivedAt, organisation, configurationVersion } = this._request
     const took = now - receivedAt
-    this._parts.counters.add(`requests_${result.type}`)
+    this._dependencies.counters.add(`requests_${result.type}`)
     this._recordLatency(result.type === 'refused' ? 'refusal' : 'whole-answer', took)
-    this._parts.log.request('request-ended', {
+    this._dependencies.log.request('request-ended', {
       id: head.id, route: route.name, organisation: organisation?.name, configuration: configurationVersion, result: result.type, ...resultFields(result), took: Math.round(took), first: firstEventAt === undefined ? undefined : Math.round(firstEventAt - receivedAt), objective: route.objective, gap: Math.round(longestGap), attempts
     })
   }
 
   private _recordLatency (measure: 'first-token' | 'whole-answer' | 'refusal', milliseconds: number): void {
     const { route, organisation } = this._request
-    this._parts.histograms.record({ measure, organisation: organisation?.name ?? 'none', requestClass: route.name }, milliseconds)
+    this._dependencies.histograms.record({ measure, organisation: organisation?.name ?? 'none', requestClass: route.name }, milliseconds)
   }
 }
 
--- a/packages/node/src/lib/routing/route-entry.ts
+++ b/packages/node/src/lib/routing/route-entry.ts
@@ -125,12 +125,12 @@
       send: news => this._follower.sendToSome({ type: 'suspects', news }),
       onHeldBack: fingerprint => this._front.holdBack(fingerprint)
     })
-    const requestParts = this._requestParts(platform)
+    const requestDependencies = this._requestDependencies(platform)
     this._front = new RouteFront({
       address: text('process', 'http-address'),
       dialect: platform.dialect,
       table: () => this._table,
-      begin: (request, answer) => new RoutedRequest(requestParts, request, answer),
+      begin: (request, answer) => new RoutedRequest(requestDependencies, request, answer),
       random: Math.random,
       log: _log,
       counters: this._counters
@@ -163,7 +163,7 @@
     this._log.info('entry-stopping', { requests: this._front.inProgress, patience })
     await pause(Math.min(LISTEN_AFTER_STOP, patience))
     this._front.stopListening()
-    await Promise.race([this._front.idle(), pause(Math.max(0, until - performance.now()))])
+    await Promise.race([this._front.waitUntilIdle(), pause(Math.max(0, until - performance.now()))])
     const cut = this._front.inProgress
     this._close()
     this._log.info('entry-stopped', { cut })
@@ -184,7 +184,7 @@
     this._metrics?.close()
   }
 
-  private _requestParts (platform: RoutingPlatform): RoutedRequestDependencies {
+  private _requestDependencies (platform: RoutingPlatform): RoutedRequestDependencies {
     return {
       dialect: platform.dialect,
       unit: service => this._units.get(service),
--- a/packages/node/src/lib/routing/route-front.ts
+++ b/packages/node/src/lib/routing/route-front.ts
@@ -54,12 +54,12 @@
   private _leaving = false
   private _idleTimer: NodeJS.Timeout | undefined
 
-  constructor (private readonly _parts: RouteFrontOptions) {
+  constructor (private readonly _options: RouteFrontOptions) {
     this._server = createServer({ maxHeaderSize: MAX_HEAD_BYTES, requestTimeout: READ_TIMEOUT, headersTimeout: DEFAULT_HEADER_TIMEOUT, keepAliveTimeout: DEFAULT_IDLE_TIMEOUT }, (request, response) => { this._handle(request, response) })
     this._server.maxConnections = MAX_CONNECTIONS
   }
 
-  listen (): Promise<void> { return listenAt(this._server, this._parts.address) }
+  listen (): Promise<void> { return listenAt(this._server, this._options.address) }
 
   /** The number of requests that have no final answer yet. */
   get inProgress (): number { return this._requests.size }
@@ -94,7 +94,7 @@
   }
 
   /** Waits until no request is in progress. */
-  async idle (): Promise<void> {
+  async waitUntilIdle (): Promise<void> {
     if (this._requests.size === 0) return
     await new Promise<void>(resolve => this._idleListeners.add(resolve))
   }
@@ -102,9 +102,9 @@
   private async _handle (request: IncomingMessage, response: ServerResponse): Promise<void> {
     const receivedAt = performance.now()
     const answer = new CallerAnswer(response, () => this._leaving)
-    const head = this._parts.dialect.readCaller(request.headers, request.rawHeaders)
-    const table = this._parts.table()
-    if (table === undefined) return this._refuse(answer, head, requestFailure('no-configuration', 'not-run', 'no configuration has been received yet', retryDelayWithoutConfiguration(this._parts.random())))
+    const head = this._options.dialect.readCaller(request.headers, request.rawHeaders)
+    const table = this._options.table()
+    if (table === undefined) return this._refuse(answer, head, requestFailure('no-configuration', 'not-run', 'no configuration has been received yet', retryDelayWithoutConfiguration(this._options.random())))
     const path = request.url ?? '/'
     const host = (request.headers.host ?? '').toLowerCase()
     const match = table.match(host, path.split('?')[0] ?? path, head.key)
@@ -118,7 +118,7 @@
   }
 
   private _begin (read: ReadRequest, answer: CallerAnswer): void {
-    const routed = this._parts.begin(read, answer)
+    const routed = this._options.begin(read, answer)
     this._requests.add(routed)
     routed.done.then(() => {
       this._requests.delete(routed)
@@ -139,17 +139,17 @@
         pieces.push(piece as Buffer)
       }
     } catch (error) {
-      this._parts.counters.add('requests_unread')
-      this._parts.log.debug('request-unread', { detail: error instanceof Error ? error.message : 'unknown error' })
+      this._options.counters.add('requests_unread')
+      this._options.log.debug('request-unread', { detail: error instanceof Error ? error.message : 'unknown error' })
       return 'lost'
     }
     return Buffer.concat(pieces, length)
   }
 
   private _refuse (answer: CallerAnswer, head: CallerHead, failure: RequestFailure): void {
-    this._parts.counters.add(`refused_${failure.code.replaceAll('-', '_')}`)
-    this._parts.log.request('request-ended', { id: head.id, result: 'refused', code: failure.code, detail: failure.detail, retry_after: failure.retryAfter })
-    answer.fail(this._parts.dialect.writeFailure(head.id, failure))
+    this._options.counters.add(`refused_${failure.code.replaceAll('-', '_')}`)
+    this._options.log.request('request-ended', { id: head.id, result: 'refused', code: failure.code, detail: failure.detail, retry_after: failure.retryAfter })
+    answer.fail(this._options.dialect.writeFailure(head.id, failure))
   }
 }
 
--- a/packages/node/src/lib/routing/routed-request.ts
+++ b/packages/node/src/lib/routing/routed-request.ts
@@ -68,7 +68,7 @@
   private _attempts = 0
   private _unit: ServiceUnit | undefined
   private _usualObjective = 0
-  private readonly _fingerprint = once(() => this._parts.fingerprint(this._request))
+  private readonly _fingerprint = once(() => this._dependencies.fingerprint(this._request))
   /** When the objective ends, counted from the first try of the caller, by this process's clock. */
   private _objectiveDeadline = 0
   private _finished = false
@@ -76,10 +76,10 @@
   /** Resolves once the final answer has been given. */
   readonly done = new Promise<void>(resolve => { this._resolveDone = resolve })
 
-  constructor (private readonly _parts: RoutedRequestDependencies, private readonly _request: ReadRequest, private readonly _answer: CallerAnswer) {
+  constructor (private readonly _dependencies: RoutedRequestDependencies, private readonly _request: ReadRequest, private readonly _answer: CallerAnswer) {
     const { head, route, receivedAt } = _request
     this._course = new AttemptCourse(route)
-    this._record = new RequestRecord(_parts, _request)
+    this._record = new RequestRecord(_dependencies, _request)
     this._progress = new StreamProgress(head.lastEventId)
     this._deadline = receivedAt + Math.min(route.timeout, head.patience ?? route.timeout)
     this._finalTimer = setTimeout(() => this._onDeadline(), this._deadline + DEADLINE_GRACE - performance.now())
@@ -89,12 +89,12 @@
   /** Makes the first attempt, or refuses the request. */
   start (): void {
     const { route } = this._request
-    this._unit = this._parts.unit(targetOf(route, this._parts.random()))
+    this._unit = this._dependencies.unit(targetOf(route, this._dependencies.random()))
     const now = performance.now()
     this._unit?.retries.requested(now)
     this._usualObjective = this._unit?.objective.observe(route.objective) ?? route.objective
     this._objectiveDeadline = this._request.receivedAt + route.objective - this._elapsedSinceFirstTry()
-    if (this._parts.suspects.standing(this._fingerprint(), now) === 'held-back') return this._refuseSuspect(now)
+    if (this._dependencies.suspects.standing(this._fingerprint(), now) === 'held-back') return this._refuseSuspect(now)
     const choice = this._choose(now)
     if (choice === undefined) return this._refuse('no-endpoint', `no endpoint of ${route.name} can take it`)
     const decision = decideStart({ expected: choice.expectedOfUsual, objective: route.objective, usualObjective: this._usualObjective })
@@ -120,7 +120,7 @@
   private _need (): Need {
     const { promptTokens, answerTokens, model } = this._request.head
     return {
-      promptTokens, answerTokens, model, leastVersion: this._parts.minimumVersion(model), mustBeginBy: version => this._parts.mustBeginBy(model, version), usualObjective: this._usualObjective, tried: this._tried
+      promptTokens, answerTokens, model, leastVersion: this._dependencies.minimumVersion(model), mustBeginBy: version => this._dependencies.mustBeginBy(model, version), usualObjective: this._usualObjective, tried: this._tried
     }
   }
 
@@ -135,7 +135,7 @@
       request: this._endpointRequest(choice, remaining),
       progress: this._progress,
       abortsOnStall: route.kind === 'streaming' && this._course.repeatable && this._attempts < route.maxAttempts,
-      beginBy: this._parts.mustBeginBy(head.model, choice.version)
+      beginBy: this._dependencies.mustBeginBy(head.model, choice.version)
     }, {
       readHead: response => this._readHead(response, choice, now),
       events: (answerHead, bytes) => { if (this._attempt === attempt) this._forwardEvents(attempt, answerHead, bytes) }
@@ -151,7 +151,7 @@
    * that names no limit does not lift the current one, because an endpoint that sends corrupt answers may still be overloaded.
    */
   private _readHead ({ statusCode = 0, headers, rawHeaders }: IncomingMessage, { record }: Choice, sentAt: number): EndpointHead {
-    const { dialect, notices } = this._parts
+    const { dialect, notices } = this._dependencies
     const endpointHead = dialect.readEndpoint(this._request.head.id, statusCode, headers, rawHeaders)
     const wrongInstance = endpointHead.type === 'not-run' && endpointHead.reason === 'wrong-instance'
     if (wrongInstance) return endpointHead
@@ -165,7 +165,7 @@
     const { head, method, path, body, organisation, route } = this._request
     const { record, version } = choice
     const terms = { endpoint: record, remaining, organisation: organisation?.name, version, resumeAfter: this._progress.lastEventId }
-    const headers = this._parts.dialect.writeRequest(head, terms, body.length)
+    const headers = this._dependencies.dialect.writeRequest(head, terms, body.length)
     return { address: record.address, method, path, headers, body, socket: this._takeReservedSocket(choice), connectTimeout: connectTimeout(route.objective) }
   }
 
@@ -175,12 +175,12 @@
    */
   private _takeReservedSocket ({ record, reportAge }: Choice): Socket | undefined {
     const usable = this._course.repeatable && reportAge <= FRESH_REPORT_AGE
-    return usable ? this._parts.reserve.take(record.address, startOf(record)) : undefined
+    return usable ? this._dependencies.reserve.take(record.address, startOf(record)) : undefined
   }
 
   private _forwardEvents ({ choice }: EndpointAttempt, head: AnswerHead, events: Uint8Array): void {
     const now = performance.now()
-    this._parts.suspects.recordAlive(startOf(choice.record), now)
+    this._dependencies.suspects.recordAlive(startOf(choice.record), now)
     this._unit?.chooser.load(startOf(choice.record)).begun(this._request.head.id, choice.expected, now)
     if (!this._answer.begun) this._record.firstEvent(now)
     this._answer.head(head)
@@ -195,7 +195,7 @@
     this._updateChooser(attempt, end, now)
     this._updateSuspects(attempt, end, now)
     if (this._finished) return
-    const suspect = this._parts.suspects.standing(this._fingerprint(), now) !== 'clear'
+    const suspect = this._dependencies.suspects.standing(this._fingerprint(), now) !== 'clear'
     const nextChoice = once(() => this._choose(now))
     const step = this._course.ended(end, {
       timeLeft: this._deadline > now, suspect, elsewhere: () => nextChoice() !== undefined, spendRetry: purpose => this._unit?.retries.trySpend(purpose, now) ?? false
@@ -221,7 +221,7 @@
 
   /** A rejection shows that the endpoint is alive too, unless it names another instance. */
   private _updateSuspects ({ choice }: EndpointAttempt, end: AttemptEnd, now: number): void {
-    const { suspects } = this._parts
+    const { suspects } = this._dependencies
     const start = startOf(choice.record)
     if (end.type === 'broken' && end.connection === 'lost') suspects.lost(this._fingerprint(), start, now)
     // An engine rejects at the deadline requests that it may not have begun, so only a success shows that it survived the request.
@@ -239,7 +239,7 @@
   private _giveUp (end: AttemptEnd, outcome: RequestFailure['outcome']): void {
     const detail = 'detail' in end ? end.detail : end.type
     const now = performance.now()
-    if (outcome === 'not-run' && this._parts.suspects.standing(this._fingerprint(), now) === 'held-back') return this._refuseSuspect(now)
+    if (outcome === 'not-run' && this._dependencies.suspects.standing(this._fingerprint(), now) === 'held-back') return this._refuseSuspect(now)
     if (outcome === 'not-run') return this._refuse('overloaded', `the endpoints refused the request: ${reasonOf(end) ?? detail}`)
     this._fail(requestFailure(outcome === 'cut' ? 'answer-cut' : 'outcome-unknown', outcome, detail))
   }
@@ -257,7 +257,7 @@
     const opening: Opening = unit === undefined ? { type: 'unknown' } : unit.chooser.opening(unit.description, this._need(), now)
     const excluded = formatExcludedCounts(unit, now)
     const opensIn = opening.type === 'expected' ? `, which opens in ${Math.round(opening.in)} ms` : ''
-    const wait = retryAfter({ patience: Math.max(0, this._deadline - now), objective: this._objectiveDeadline - now }, this._parts.random(), opening)
+    const wait = retryAfter({ patience: Math.max(0, this._deadline - now), objective: this._objectiveDeadline - now }, this._dependencies.random(), opening)
     const exclusions = excluded === undefined ? '' : `, spared ${excluded}`
     const refusalCode = code === 'no-endpoint' && excluded !== undefined ? 'endpoints-spared' : code
     this._fail(requestFailure(refusalCode, 'not-run', `${detail} (pool ${opening.type}${opensIn}${exclusions})`, wait))
@@ -265,13 +265,13 @@
 
   /** Refuses a request that is held back because endpoints were repeatedly lost while running it, and names a retry time. */
   private _refuseSuspect (now: number): void {
-    const { lost, heldBackFor } = this._parts.suspects.evidence(this._fingerprint(), now)
+    const { lost, heldBackFor } = this._dependencies.suspects.evidence(this._fingerprint(), now)
     this._fail(requestFailure('ends-endpoints', 'not-run', `${lost.length} endpoints were lost while running the request: ${lost.join(', ')}`, Math.round(heldBackFor)))
   }
 
   private _fail (failure: RequestFailure): void {
     if (this._finished) return
-    this._answer.fail(this._parts.dialect.writeFailure(this._request.head.id, failure))
+    this._answer.fail(this._dependencies.dialect.writeFailure(this._request.head.id, failure))
     this._finish({ type: failure.outcome === 'not-run' ? 'refused' : 'failed', failure })
   }
 
--- a/packages/node/src/lib/routing/suspect-exchange.ts
+++ b/packages/node/src/lib/routing/suspect-exchange.ts
@@ -29,7 +29,7 @@
   private readonly _suspects = new SuspectRequests()
   private readonly _timer: NodeJS.Timeout
 
-  constructor (private readonly _parts: SuspectExchangeDependencies) {
+  constructor (private readonly _dependencies: SuspectExchangeDependencies) {
     this._timer = setInterval(() => this._send({ losses: this._suspects.takeConfirmed(performance.now()), answers: [] }), SEND_INTERVAL)
   }
 
@@ -67,7 +67,7 @@
   receive (input: unknown, agent: string): void {
     const now = performance.now()
     const news = readSuspectNews(input)
-    if (news === undefined) return this._parts.log.warn('peer-malformed', { type: 'suspects', agent, detail: 'the payload is not a valid message about suspect requests' })
+    if (news === undefined) return this._dependencies.log.warn('peer-malformed', { type: 'suspects', agent, detail: 'the payload is not a valid message about suspect requests' })
     const before = new Map(news.losses.map(({ fingerprint }) => [fingerprint, this.standing(fingerprint, now)]))
     const { losses, answers } = this._suspects.heard(news, now)
     for (const [fingerprint, standing] of before) this._reportIfHeldBack(fingerprint, standing, 'told', now)
@@ -78,14 +78,14 @@
   snapshot (): SuspectNews { return { losses: this._suspects.known(performance.now()), answers: [] } }
 
   private _send (news: SuspectNews): void {
-    if (news.losses.length + news.answers.length > 0) this._parts.send(news)
+    if (news.losses.length + news.answers.length > 0) this._dependencies.send(news)
   }
 
   private _reportIfHeldBack (fingerprint: string, before: Standing, source: 'own' | 'told', now: number): void {
     if (before === 'held-back' || this.standing(fingerprint, now) !== 'held-back') return
     const { lost, heldBackFor } = this.evidence(fingerprint, now)
-    this._parts.counters.add('requests_found_fatal')
-    this._parts.log.warn('request-held-back', { fingerprint, source, lost: lost.join(','), for: Math.round(heldBackFor) })
-    this._parts.onHeldBack(fingerprint)
+    this._dependencies.counters.add('requests_found_fatal')
+    this._dependencies.log.warn('request-held-back', { fingerprint, source, lost: lost.join(','), for: Math.round(heldBackFor) })
+    this._dependencies.onHeldBack(fingerprint)
   }
 }
