--- a/packages/node/src/lib/routing/endpoint-attempt.ts
+++ b/packages/node/src/lib/routing/endpoint-attempt.ts
@@ -4,8 +4,8 @@
  * SPDX-License-Identifier: BSD-3-Clause
  */
 /**
- * One attempt of a request at an endpoint: the call, what came of its answer, and the times after which it is given up. It tells
- * how it ended in the terms of the decision on what follows.
+ * One attempt of a request at an endpoint: the call, the part of the answer that has arrived, and the timeouts. Its outcome is an
+ * `AttemptEnd`, from which the next step is decided.
  */
 import type { IncomingMessage } from 'node:http'
 import { LEAST_UNSUCCESSFUL_STATUS, type AttemptEnd, type Choice } from '@drumdrift/core'
@@ -13,46 +13,49 @@
 import type { AnswerHead, EndpointHead } from './ports.js'
 import type { StreamProgress } from './stream-progress.js'
 
-/** A stream without a first event for this many times what was expected, and at least the time below, goes elsewhere. */
+/**
+ * A stream that has no first event after this multiple of the expected time, and at least after the minimum below in
+ * milliseconds, is retried elsewhere.
+ */
 const STALL_FACTOR = 4
-const LEAST_STALL = 900
-/** A stream that pauses longer goes on elsewhere: a few times the longest pause of a sound engine, in milliseconds. */
-const GAP_STALL = 800
+const MIN_STALL_TIMEOUT = 900
+/** A stream that pauses for longer is resumed elsewhere, in milliseconds: several times the longest pause of a healthy engine. */
+const EVENT_GAP_TIMEOUT = 800
 
-const SILENT = 'no event for too long'
+const EVENT_TIMEOUT_DETAIL = 'timed out waiting for an event'
 
-/** What an attempt is. */
+/** The parameters of an attempt. */
 export interface AttemptPlan {
   readonly choice: Choice
   readonly request: EndpointRequest
-  /** Where the events of the request's answer are collected, over all attempts. */
+  /** The events of the answer that have arrived, over all attempts of the request. */
   readonly progress: StreamProgress
-  /** Whether silence ends it: only where the request may go elsewhere then. */
-  readonly endsOnSilence: boolean
-  /** When the endpoint must have begun to answer, by this process's clock; nothing for no bound. */
+  /** Whether a missing event ends the attempt: only if the request may be retried elsewhere. */
+  readonly abortsOnStall: boolean
+  /** When the endpoint must have begun to answer, by this process's clock; `undefined` if there is no bound. */
   readonly beginBy: number | undefined
 }
 
-/** What the owner of an attempt is asked and told. */
+/** Callbacks of an attempt. */
 export interface AttemptListener {
   readHead (response: IncomingMessage): EndpointHead
-  /** Whole events of a stream came. */
+  /** Receives whole events of a stream. */
   events (head: AnswerHead, bytes: Uint8Array): void
 }
 
-/** An attempt under way. */
+/** An attempt in progress. */
 export class EndpointAttempt {
   readonly choice: Choice
   readonly sentAt = performance.now()
   private readonly _call: EndpointCall
-  private readonly _pieces: Buffer[] = []
+  private readonly _bodyParts: Buffer[] = []
   private _head: AnswerHead | undefined
-  private _takenBackFor: string | undefined
+  private _abortReason: string | undefined
   private _stallTimer: NodeJS.Timeout | undefined
-  /** The same timer, once events come. */
+  /** The same timer, once events arrive. */
   private _gapTimer: NodeJS.Timeout | undefined
   private _beginTimer: NodeJS.Timeout | undefined
-  /** Resolves when it has ended, however it ended. */
+  /** Resolves when the attempt has ended, whatever its outcome. */
   readonly ended: Promise<AttemptEnd>
 
   /**
@@ -69,21 +72,21 @@
       data: bytes => this._onData(bytes)
     })
     this.ended = this._call.ended.then(end => this._finish(end))
-    this._watchForSilence(Math.max(LEAST_STALL, STALL_FACTOR * _plan.choice.expected))
-    if (_plan.beginBy !== undefined) this._beginTimer = setTimeout(() => this.takeBack(SILENT), _plan.beginBy - performance.now())
+    this._startStallTimer(Math.max(MIN_STALL_TIMEOUT, STALL_FACTOR * _plan.choice.expected))
+    if (_plan.beginBy !== undefined) this._beginTimer = setTimeout(() => this.abort(EVENT_TIMEOUT_DETAIL), _plan.beginBy - performance.now())
   }
 
-  /** The head of the answer; nothing until it came. */
+  /** The head of the answer; `undefined` until it arrives. */
   get head (): AnswerHead | undefined { return this._head }
-  /** The body of an answer that is no stream. */
-  get body (): Buffer { return Buffer.concat(this._pieces) }
+  /** The body of an answer that is not a stream. */
+  get body (): Buffer { return Buffer.concat(this._bodyParts) }
 
-  /** Ends the attempt at once; the endpoint sees its connection close. */
+  /** Closes the connection at once. */
   stop (): void { this._call.stop() }
 
-  /** Ends the attempt at once, as one from which nothing more is to come. */
-  takeBack (why: string): void {
-    this._takenBackFor = why
+  /** Closes the connection at once and ends the attempt as stalled. */
+  abort (why: string): void {
+    this._abortReason = why
     this._call.stop()
   }
 
@@ -91,54 +94,54 @@
     const head = this._head
     if (head === undefined) return
     if (!isStream(head)) {
-      this._pieces.push(bytes)
+      this._bodyParts.push(bytes)
       return
     }
     const events = this._plan.progress.take(bytes, performance.now())
     if (events === undefined) return
     clearTimeout(this._beginTimer)
-    this._watchForGap()
+    this._restartGapTimer()
     this._listener.events(head, events)
   }
 
-  private _watchForSilence (milliseconds: number): void {
+  private _startStallTimer (milliseconds: number): void {
     clearTimeout(this._stallTimer)
-    if (this._plan.endsOnSilence) this._stallTimer = setTimeout(() => this.takeBack(SILENT), milliseconds)
+    if (this._plan.abortsOnStall) this._stallTimer = setTimeout(() => this.abort(EVENT_TIMEOUT_DETAIL), milliseconds)
   }
 
-  /** Each event of a stream begins the same wait anew, so its timer is kept. */
-  private _watchForGap (): void {
+  /** Every event restarts the same timeout, so the timer is refreshed instead of replaced. */
+  private _restartGapTimer (): void {
     if (this._gapTimer !== undefined) {
       this._gapTimer.refresh()
       return
     }
-    this._watchForSilence(GAP_STALL)
+    this._startStallTimer(EVENT_GAP_TIMEOUT)
     this._gapTimer = this._stallTimer
   }
 
   private _finish (end: EndpointCallEnd): AttemptEnd {
     clearTimeout(this._stallTimer)
     clearTimeout(this._beginTimer)
-    // A timer that was cleared would run again if it were refreshed.
+    // Refreshing a cleared timer would start it again.
     this._gapTimer = undefined
     if (end.type === 'not-run') return end
-    if (this._takenBackFor !== undefined) return { type: 'stalled', detail: this._takenBackFor }
-    if (end.type === 'whole' && this._head !== undefined) return this._answered(this._head, end.framed)
+    if (this._abortReason !== undefined) return { type: 'stalled', detail: this._abortReason }
+    if (end.type === 'whole' && this._head !== undefined) return this._answerEnd(this._head, end.framed)
     return end.type === 'broken' ? { type: 'broken', connection: end.connection, detail: end.detail } : { type: 'broken', connection: 'open', detail: end.type }
   }
 
-  private _answered (head: AnswerHead, framed: boolean): AttemptEnd {
+  private _answerEnd (head: AnswerHead, framed: boolean): AttemptEnd {
     const { status } = head
-    // A success without a length looks whole when its endpoint crashed in the middle of it, so it is never believed: half an
-    // answer that looks whole is worse for its caller than none.
-    if (!framed && status < LEAST_UNSUCCESSFUL_STATUS) return { type: 'broken', connection: 'lost', detail: 'the answer ended with its connection' }
+    // A success without a length or chunked encoding looks complete even if its endpoint crashed midway, so it is never trusted:
+    // for the caller, a truncated answer that looks complete is worse than none.
+    if (!framed && status < LEAST_UNSUCCESSFUL_STATUS) return { type: 'broken', connection: 'lost', detail: 'the answer has no declared length and ended when its connection closed' }
     const stream = isStream(head)
-    if (stream && this._plan.progress.withinEvent) return { type: 'broken', connection: 'open', detail: 'the stream ended within an event' }
+    if (stream && this._plan.progress.withinEvent) return { type: 'broken', connection: 'open', detail: 'the stream ended in the middle of an event' }
     return { type: 'answered', status, stream }
   }
 }
 
-/** Only successes are streamed to callers: what an endpoint rejects or fails is one answer. */
+/** Only successes are streamed to callers; rejections and failures are passed on as one answer. */
 function isStream ({ eventStream, status }: AnswerHead): boolean {
   return eventStream && status < LEAST_UNSUCCESSFUL_STATUS
 }
