--- a/packages/node/src/lib/entry/agent-call.ts
+++ b/packages/node/src/lib/entry/agent-call.ts
@@ -4,14 +4,14 @@
  * SPDX-License-Identifier: BSD-3-Clause
  */
 /**
- * One call that makes an agent run a request: `run`, or `go` with a ticket. Reports what happens as typed events, the
- * parts of the answer in their order.
+ * A single call that has an agent run a request: `run`, or `go` with a ticket. Reports progress as typed events and
+ * delivers the parts of the answer in sequence order.
  */
 import { AnswerStream, type AdmissionRefusal, type AnswerHead, type EndpointStatus, type PeerReply, type PeerRequest } from '@drumdrift/core'
 import { match } from 'ts-pattern'
 import type { ReplyListener } from '../peer/connection.js'
 
-/** A piece of an answer, with the number of whole events in it. */
+/** A piece of an answer, with the number of complete events that it contains. */
 export interface AnswerPiece {
   readonly bytes: Buffer
   readonly events: number
@@ -20,17 +20,17 @@
 /** How a call ended. */
 export type CallEnd =
   | { readonly type: 'whole' }
-  /** Proof that nothing ran. */
+  /** The agent refused admission, which proves that nothing ran. */
   | { readonly type: 'refused', readonly reason: AdmissionRefusal }
-  /** The agent's word that the endpoint was never reached. */
+  /** The agent reported that it never reached the endpoint. */
   | { readonly type: 'not-reached' }
   | { readonly type: 'broken', readonly detail: string }
   | { readonly type: 'lost' }
-  /** No sign came in time. `admitted` tells whether the agent had said that it started. */
+  /** A timeout passed without a reply. `admitted` is true if the agent had admitted the request. */
   | { readonly type: 'silent', readonly admitted: boolean }
   | { readonly type: 'stopped' }
 
-/** The part of a connection that a call needs. */
+/** The members of a connection that a call uses. */
 export interface CallConnection {
   readonly open: boolean
   ask (request: PeerRequest, payload: Buffer | undefined, listener: ReplyListener): number
@@ -38,23 +38,23 @@
   forget (call: number): void
 }
 
-/** What happens during a call. */
+/** Receives the events of a call. */
 export interface CallListener {
   status (status: EndpointStatus): void
   admitted (): void
   head (head: AnswerHead): void
-  /** Returns false to stop. */
+  /** Returns false to stop the call. */
   pieces (pieces: readonly AnswerPiece[]): boolean
 }
 
-/** Times of a call, in milliseconds. */
+/** Timeouts of a call, in milliseconds. */
 export interface CallPatience {
   readonly admission: number
   readonly firstAnswer: number
   readonly silence: number
 }
 
-/** A call under way. */
+/** A call in flight. */
 export class AgentCall {
   private readonly _stream = new AnswerStream<AnswerPiece>()
   private _call = 0
@@ -66,7 +66,7 @@
   constructor (private readonly _connection: CallConnection, private readonly _patience: CallPatience, private readonly _listener: CallListener) {}
 
   /**
-   * Sends the request and resolves when the call has ended, however it ended.
+   * Sends the request and resolves with the way in which the call ended; never rejects.
    *
    * @example
    * const end = await new AgentCall(connection, patience, listener).send({ type: 'run', endpoint, request }, body)
@@ -82,7 +82,7 @@
     })
   }
 
-  /** Stops the call; the agent is told, and stops the endpoint. */
+  /** Stops the call and sends a hang-up, upon which the agent aborts the request at its endpoint. */
   stop (): void {
     if (this._ended) return
     this._hangUp()
--- a/packages/node/src/lib/entry/answer-sink.ts
+++ b/packages/node/src/lib/entry/answer-sink.ts
@@ -4,24 +4,24 @@
  * SPDX-License-Identifier: BSD-3-Clause
  */
 /**
- * The caller's side of an answer. An answer that does not come to its end never looks whole: an event stream lacks its
- * last event and its connection is destroyed before the end of the chunked body.
+ * Writes an answer to its caller. A truncated answer never looks complete: an event stream lacks its last event, and
+ * the connection is destroyed before the end of the chunked body.
  */
 import type { ServerResponse } from 'node:http'
 import type { AnswerHead, RequestFailure } from '@drumdrift/core'
 
-/** Bytes that a slow caller may leave unread before its answer is cut. */
+/** Bytes that a slow caller may leave unread before its answer is cut off. */
 const LARGEST_BACKLOG = 4 * 1024 * 1024
 
-/** Where an answer goes. */
+/** Receives the answer to one request. */
 export interface AnswerSink {
-  /** Whether the caller is gone. */
+  /** Whether the caller has disconnected. */
   readonly gone: boolean
-  /** Whether anything of an answer has been written. */
+  /** Whether the head of an answer has been written. */
   readonly begun: boolean
   onGone (listener: () => void): void
   head (head: AnswerHead, instance: string): void
-  /** Returns false when the caller reads too slowly and the answer had to be cut. */
+  /** Returns false if the caller has disconnected, or reads too slowly and its answer was cut off. */
   part (bytes: Buffer): boolean
   end (): void
   fail (failure: RequestFailure): void
@@ -53,7 +53,8 @@
 }
 
 /**
- * Answers with a failure, in the shape that chat clients expect, and with the time to come back where there is one.
+ * Writes a failure as a JSON error in the format that chat clients expect, with a `retry-after` header if the failure
+ * has a retry time.
  *
  * @example
  * writeFailure(response, requestFailure('overloaded', 'not-run', 'the queue is full', 2_000))
@@ -65,7 +66,7 @@
   response.end(JSON.stringify({ error: { message: detail, type: 'drumdrift', code, outcome, retry_after_milliseconds: retryAfter } }))
 }
 
-/** An answer over HTTP. */
+/** Writes an answer to an HTTP response. */
 export class HttpAnswerSink implements AnswerSink {
   private _gone = false
   private _ended = false
--- a/packages/node/src/lib/entry/caller-request.ts
+++ b/packages/node/src/lib/entry/caller-request.ts
@@ -4,20 +4,19 @@
  * SPDX-License-Identifier: BSD-3-Clause
  */
 /**
- * Turns an HTTP request of a caller into a checked request, or says why not. What callers may say is listed in
- * docs/PROTOCOLS.md.
+ * Parses and validates callers' HTTP requests. docs/PROTOCOLS.md describes the accepted routes and headers.
  */
 import type { IncomingHttpHeaders } from 'node:http'
 import { requestFailure, type Configuration, type RequestClass, type RequestFailure } from '@drumdrift/core'
 import { randomUUID } from 'node:crypto'
 import { digestOfText } from '../agent/digest.js'
 
-/** A checked request of a caller. */
+/** A validated request of a caller. */
 export interface CallerRequest {
   readonly id: string
   readonly organisation: string
   readonly requestClass: RequestClass
-  /** The pool or service that is to answer. */
+  /** The name of the pool or service that answers. */
   readonly group: string
   readonly kind: 'pool' | 'service'
   readonly method: string
@@ -26,11 +25,11 @@
   readonly body: Buffer
   readonly bodyDigest: string
   readonly neverRepeat: boolean
-  /** Whether the answer comes as an event stream, which can be resumed. */
+  /** Whether the answer is an event stream, which can be resumed. */
   readonly streamed: boolean
-  /** The start of the prompt, for affinity; empty for none. */
+  /** The start of the prompt, used for affinity; empty for services. */
   readonly prefix: string
-  /** By this process's clock, in milliseconds. */
+  /** Monotonic time of this process, in milliseconds, as is `deadline`. */
   readonly receivedAt: number
   readonly deadline: number
 }
@@ -51,16 +50,16 @@
 
 type Parsed = CallerRequest | RequestFailure
 
-/** Whether a parse result is a failure. */
+/** Narrows a parse result to a failure. */
 export function isFailure (parsed: Parsed): parsed is RequestFailure {
   return 'type' in parsed && parsed.type === 'request-failure'
 }
 
 /**
- * Checks a caller's request against the configuration in force.
+ * Parses a caller's request and validates it against the current configuration.
  *
  * @param organisations Organisations by the digest of their callers' keys.
- * @param longest The default and the longest time to the deadline, in milliseconds.
+ * @param longest The default and maximum time to the deadline, in milliseconds.
  *
  * @example
  * const parsed = parseCallerRequest(raw, configuration, organisations, 120_000, performance.now())
@@ -69,7 +68,7 @@
 export function parseCallerRequest (
   raw: RawRequest, configuration: Configuration | undefined, organisations: ReadonlyMap<string, string>, longest: number, now: number
 ): Parsed {
-  if (configuration === undefined) return requestFailure('no-configuration', 'not-run', 'no configuration is known yet', RETRY_AFTER_SETTINGS)
+  if (configuration === undefined) return requestFailure('no-configuration', 'not-run', 'no configuration has been received yet', RETRY_AFTER_SETTINGS)
   const organisation = organisations.get(digestOfText(bearer(raw.headers)))
   if (organisation === undefined) return requestFailure('unknown-organisation', 'not-run', 'the key belongs to no organisation')
   const common = parseCommon(raw, longest, now)
@@ -77,7 +76,7 @@
   if (raw.url === CHAT_PATH) return parseChat(raw, configuration, { ...common, organisation })
   const service = SERVICE_PATH.exec(raw.url)
   if (service !== null) return parseService(raw, configuration, { ...common, organisation }, service[1] ?? '', service[2] ?? '/')
-  return requestFailure('bad-request', 'not-run', `nothing is served at ${raw.url.slice(0, 100)}`)
+  return requestFailure('bad-request', 'not-run', `no route matches ${raw.url.slice(0, 100)}`)
 }
 
 interface Common {
@@ -91,22 +90,22 @@
 
 function parseCommon (raw: RawRequest, longest: number, now: number): Common | RequestFailure {
   const id = header(raw, 'x-request-id') ?? header(raw, 'idempotency-key') ?? randomUUID()
-  if (!ID_PATTERN.test(id)) return requestFailure('bad-request', 'not-run', 'x-request-id: 1 to 512 printable characters are expected')
+  if (!ID_PATTERN.test(id)) return requestFailure('bad-request', 'not-run', 'x-request-id must have 1 to 512 printable characters')
   const requestClass = header(raw, 'x-request-class') ?? 'interactive'
-  if (requestClass !== 'interactive' && requestClass !== 'batch') return requestFailure('bad-request', 'not-run', 'x-request-class: interactive or batch is expected')
+  if (requestClass !== 'interactive' && requestClass !== 'batch') return requestFailure('bad-request', 'not-run', 'x-request-class must be interactive or batch')
   const given = header(raw, 'x-deadline-milliseconds')
   const remaining = given === undefined ? longest : Number(given)
-  if (!Number.isFinite(remaining)) return requestFailure('bad-request', 'not-run', 'x-deadline-milliseconds: a number is expected')
-  if (remaining <= 0) return requestFailure('deadline-passed', 'not-run', 'the deadline has passed already')
+  if (!Number.isFinite(remaining)) return requestFailure('bad-request', 'not-run', 'x-deadline-milliseconds must be a number')
+  if (remaining <= 0) return requestFailure('deadline-passed', 'not-run', 'the deadline has already passed')
   const repeat = header(raw, 'x-repeat') ?? 'allowed'
-  if (repeat !== 'allowed' && repeat !== 'never') return requestFailure('bad-request', 'not-run', 'x-repeat: allowed or never is expected')
+  if (repeat !== 'allowed' && repeat !== 'never') return requestFailure('bad-request', 'not-run', 'x-repeat must be allowed or never')
   return { id, requestClass, deadline: now + Math.min(remaining, longest), receivedAt: now, neverRepeatAsked: repeat === 'never' }
 }
 
 function parseChat (raw: RawRequest, configuration: Configuration, common: Common & { organisation: string }): Parsed {
-  if (raw.method !== 'POST') return requestFailure('bad-request', 'not-run', 'POST is expected')
+  if (raw.method !== 'POST') return requestFailure('bad-request', 'not-run', 'chat completions require POST')
   const body = parseChatBody(raw.body)
-  if (body === undefined) return requestFailure('bad-request', 'not-run', 'a JSON object with model and messages is expected')
+  if (body === undefined) return requestFailure('bad-request', 'not-run', 'the body must be a JSON object with model and messages')
   if (!Object.hasOwn(configuration.pools, body.model)) return requestFailure('unknown-model', 'not-run', `no pool is named ${body.model.slice(0, 64)}`)
   return {
     ...common,
@@ -164,7 +163,7 @@
   return Array.isArray(value) ? value[0] : value
 }
 
-/** Headers that reach the endpoint: the caller's key and hop headers do not. */
+/** Selects the headers that are forwarded to the endpoint. The caller's key and hop-by-hop headers are not. */
 function forwarded (raw: RawRequest): Record<string, string> {
   const kept: Record<string, string> = {}
   for (const name of ['content-type', 'accept', 'accept-language', 'user-agent']) {
--- a/packages/node/src/lib/entry/carrier.ts
+++ b/packages/node/src/lib/entry/carrier.ts
@@ -4,8 +4,8 @@
  * SPDX-License-Identifier: BSD-3-Clause
  */
 /**
- * Carries one started request to its end: chooses endpoints, tries again where that is allowed, and goes on with a
- * broken event stream on another endpoint of the same version.
+ * Runs a dispatched request until it is answered or fails: chooses endpoints, retries where that is allowed, and
+ * resumes a broken event stream on another endpoint of the same version.
  */
 import { requestFailure, startOf, SuspectRequests, type AdmissionRefusal, type ForwardedRequest, type InstanceRecord, type PeerRequest, type RequestClass, type RequestFailure } from '@drumdrift/core'
 import { match } from 'ts-pattern'
@@ -19,25 +19,25 @@
 import type { Group } from './group.js'
 import { OnceCarrier, type OnceOutcome } from './once-carrier.js'
 
-/** What the carrier works with. */
+/** Dependencies of the carrier. */
 export interface CarrierParts {
   readonly pool: PeerPool
   readonly once: OnceCarrier
   readonly patience: CallPatience
   readonly histograms: Histograms
   readonly counters: Counters
-  /** What makes two requests the same: see `fingerprintOf`. */
+  /** Identifies requests with the same content; see `fingerprintOf`. */
   readonly fingerprint: (request: CallerRequest) => string
 }
 
 const priorities: Record<RequestClass, number> = { interactive: 0, batch: 10 }
-/** Pause before endpoints that all refused are asked again, in milliseconds. */
+/** Pause before a retry once every endpoint has refused, in milliseconds. */
 const REFUSED_PAUSE = 30
-/** Refusals are cheap and prove that nothing ran, but their number is bounded too. */
+/** Refusals of one request before it fails. They are cheap and prove that nothing ran, but still have to be bounded. */
 const MOST_REFUSALS = 40
 const RETRY_AFTER_TROUBLE = 1_000
 
-/** The progress of one request over its attempts. */
+/** The state of one request across its attempts. */
 interface Course {
   readonly job: Job
   readonly group: Group<Job>
@@ -49,22 +49,26 @@
   /** Whether an attempt may have run. */
   sent: boolean
   lastPieceAt: number
-  /** The attempt under way, which ends when the caller hangs up. */
+  /** The attempt in flight, which is stopped when the caller disconnects. */
   call: AgentCall | undefined
 }
 
-/** What follows from the end of one attempt. */
+/** What to do after an attempt has ended. */
 type Next = 'done' | 'again' | { readonly failure: RequestFailure }
 
-/** Carries requests for one entry. */
+/** Runs the requests of one entry. */
 export class RequestCarrier {
-  /** Without it, a request that ends its endpoints is tried at one after the other, ten times in a row, and anew each time it comes. */
+  /**
+   * Holds back requests that crash the endpoints which run them. Without it, such a request is retried on one endpoint after the other,
+   * up to ten times, and again each time its caller resends it.
+   */
   private readonly _suspects = new SuspectRequests()
 
   constructor (private readonly _parts: CarrierParts) {}
 
   /**
-   * Carries a request. Returns the failure to tell the caller, or nothing when it has its whole answer or is gone.
+   * Runs a request. Returns the failure to report to the caller, or `undefined` if the caller received the complete answer or has
+   * disconnected.
    */
   async carry (job: Job, group: Group<Job>): Promise<RequestFailure | undefined> {
     const course: Course = { job, group, tried: new Set(), fingerprint: this._parts.fingerprint(job.request), version: '', events: 0, refusals: 0, sent: false, lastPieceAt: 0, call: undefined }
@@ -73,7 +77,7 @@
     if (this._suspects.standing(course.fingerprint, now) === 'held-back') return this._heldBack(course, now)
     group.budget.attempted()
     for (;;) {
-      // Looked at before each attempt: an entry that was paused must not begin what its caller has long given up.
+      // Checked before each attempt, so that an entry resuming after a pause starts no request whose deadline has passed.
       const stopped = this._stopped(course)
       if (stopped !== undefined) return stopped
       const next = await this._attempt(course)
@@ -94,11 +98,11 @@
     return this._after(course, record, end)
   }
 
-  /** Every candidate was tried or is avoided: the ones that only refused may be asked again. */
+  /** Handles the case that every candidate has been tried or is ejected. Those that only refused are retried after a pause. */
   private async _noEndpoint (course: Course): Promise<Next> {
     course.refusals += 1
-    if (course.events > 0) return { failure: requestFailure('answer-cut', 'cut', 'the answer broke off and no endpoint of its version could go on with it') }
-    if (course.refusals > MOST_REFUSALS || !course.group.listed) return { failure: this._unserved(course, 'no endpoint takes work') }
+    if (course.events > 0) return { failure: requestFailure('answer-cut', 'cut', 'the answer was interrupted and no endpoint of its version could resume it') }
+    if (course.refusals > MOST_REFUSALS || !course.group.listed) return { failure: this._unserved(course, 'no endpoint accepts requests') }
     await pause(REFUSED_PAUSE)
     return 'again'
   }
@@ -145,12 +149,13 @@
       .with({ type: 'stopped' }, () => job.sink.gone ? 'done' : { failure: requestFailure('answer-cut', 'cut', 'the caller reads too slowly') })
       .with({ type: 'refused' }, ({ reason }) => this._refused(course, record, reason, now))
       .with({ type: 'broken' }, () => {
-        // An agent breaks off at the deadline too; that says nothing of its endpoint. Starts of an endpoint are not told here: each loss is one.
+        // An agent also aborts at the deadline, which is no evidence against its endpoint. Restarts of an endpoint are not visible
+        // here, so each loss counts as a separate start.
         if (now < job.request.deadline) this._suspects.lost(course.fingerprint, startOf({ id: record.instance, born: now }), now)
-        return this._failed(course, record, 'the answer broke off')
+        return this._failed(course, record, 'the answer was interrupted')
       })
-      .with({ type: 'silent', admitted: false }, () => this._failed(course, record, 'the endpoint does not answer'))
-      .otherwise(() => this._failed(course, record, 'the answer broke off'))
+      .with({ type: 'silent', admitted: false }, () => this._failed(course, record, 'the endpoint did not respond'))
+      .otherwise(() => this._failed(course, record, 'the answer was interrupted'))
   }
 
   private _refused (course: Course, record: InstanceRecord, reason: AdmissionRefusal, now: number): Next {
@@ -158,7 +163,7 @@
     group.choice.refused(record.instance, reason, now)
     this._parts.counters.add(`refusals_${reason.replaceAll('-', '_')}`)
     course.refusals += 1
-    // One busy endpoint may be bad luck; two in a row say that there is no room.
+    // A single busy endpoint may be chance; a second refusal indicates that the group is at capacity.
     if (reason === 'busy' && course.refusals > 1) group.limit.refused(now)
     return course.refusals > MOST_REFUSALS ? { failure: this._unserved(course, 'endpoints are busy') } : 'again'
   }
@@ -169,15 +174,15 @@
     course.sent = true
     const resumable = !job.sink.begun || (job.request.streamed && course.version !== '')
     if (!resumable) return { failure: requestFailure('answer-cut', 'cut', detail) }
-    if (this._suspects.standing(course.fingerprint, performance.now()) !== 'clear') return { failure: this._unserved(course, `${detail}, again and again`) }
-    if (!group.budget.trySpend()) return { failure: this._unserved(course, `${detail}, and the budget for retries is spent`) }
+    if (this._suspects.standing(course.fingerprint, performance.now()) !== 'clear') return { failure: this._unserved(course, `${detail} on several endpoints`) }
+    if (!group.budget.trySpend()) return { failure: this._unserved(course, `${detail}, and the retry budget is exhausted`) }
     this._parts.counters.add(course.events > 0 ? 'answers_resumed' : 'requests_retried')
     return 'again'
   }
 
   private _heldBack ({ fingerprint }: Course, now: number): RequestFailure {
     this._parts.counters.add('requests_held_back')
-    return requestFailure('ends-endpoints', 'not-run', 'endpoints were lost under it again and again', this._suspects.heldBackFor(fingerprint, now))
+    return requestFailure('ends-endpoints', 'not-run', 'several endpoints were lost while running this request', this._suspects.heldBackFor(fingerprint, now))
   }
 
   private _afterOnce (course: Course, record: InstanceRecord, outcome: OnceOutcome): Next {
@@ -216,7 +221,7 @@
 }
 
 /**
- * A caller's request as it goes to an agent.
+ * Converts a caller's request to the form that is sent to an agent.
  *
  * @example
  * forwardedRequest(request, 0, '')
--- a/packages/node/src/lib/entry/dispatcher.ts
+++ b/packages/node/src/lib/entry/dispatcher.ts
@@ -4,8 +4,8 @@
  * SPDX-License-Identifier: BSD-3-Clause
  */
 /**
- * Decides which waiting request starts next, and gives up at once on what cannot start in time, with a word on when
- * to come back.
+ * Queues requests and decides which starts next. Sheds requests that cannot start in time as soon as they come in, with
+ * a time after which to retry.
  */
 import { requestFailure, type Candidate, type ChoicePolicy, type Configuration, type InstanceRecord, type RequestClass, type RequestFailure, type Waiting } from '@drumdrift/core'
 import type { Histograms } from '../observe/histograms.js'
@@ -14,22 +14,22 @@
 import type { CallerRequest } from './caller-request.js'
 import { Group } from './group.js'
 
-/** A request with the place that its answer goes to. */
+/** A request with the sink that receives its answer. */
 export interface Job {
   readonly request: CallerRequest
   readonly sink: AnswerSink
 }
 
-/** Carries one started request to its end. */
+/** Runs a request that the dispatcher has started. Returns a failure, or `undefined` if there is nothing to report. */
 export type Carrier = (job: Job, group: Group<Job>) => Promise<RequestFailure | undefined>
 
-/** Bounds; times in milliseconds. */
+/** Limits of the dispatcher; times in milliseconds. */
 export interface DispatcherPolicy {
   readonly queueLength: number
   readonly longestWait: number
   readonly choice: ChoicePolicy
   readonly queueing: 'fair' | 'first-in-first-out'
-  /** Load that retries may add, as a share of first attempts. */
+  /** The maximum number of retries, as a share of first attempts. */
   readonly retryRatio: number
 }
 
@@ -38,12 +38,12 @@
 const RETRY_WHEN_FULL = 1_000
 const LEAST_RETRY = 500
 /**
- * The share of the allowed wait up to which a start is promised. Waits grow when others with smaller backlogs come, and
- * who is told "no" should be told at once, not after a wait.
+ * A request is queued only if its expected wait is below this share of its allowed wait. Waits grow when organisations
+ * with smaller backlogs send requests, and a request should be refused on arrival rather than after it has waited.
  */
 const CERTAINTY = 0.5
 
-/** The queues of one entry. */
+/** Queues and starts the requests of one entry. */
 export class Dispatcher {
   private readonly _groups = new Map<string, Group<Job>>()
   private readonly _timer: NodeJS.Timeout
@@ -61,12 +61,12 @@
     this._timer = setInterval(() => this._sweep(), SWEEP)
   }
 
-  /** Requests accepted and not yet answered. */
+  /** Number of requests that are accepted and not yet answered. */
   get inProgress (): number { return this._accepted }
 
   close (): void { clearInterval(this._timer) }
 
-  /** Takes what the platform publishes. */
+  /** Applies the published configuration and list of instances. */
   apply (configuration: Configuration, instances: readonly InstanceRecord[]): void {
     this._configuration = configuration
     const draining = new Set(configuration.draining)
@@ -80,11 +80,11 @@
     }
   }
 
-  /** The state of a group, for operators. */
+  /** Returns the state of a group, for operators. */
   group (name: string): Group<Job> | undefined { return this._groups.get(name) }
 
   /**
-   * Takes a request: it starts, waits, or is refused at once.
+   * Accepts a request, which starts or is queued, or refuses it immediately.
    *
    * @example
    * dispatcher.submit({ request, sink })
@@ -92,7 +92,7 @@
   submit (job: Job): void {
     const { request, sink } = job
     const group = this._groups.get(request.group)
-    const refusal = group === undefined ? requestFailure('no-endpoint', 'not-run', 'nothing serves this yet', RETRY_WHEN_FULL) : this._refusal(request, group)
+    const refusal = group === undefined ? requestFailure('no-endpoint', 'not-run', 'no endpoint serves this group yet', RETRY_WHEN_FULL) : this._refusal(request, group)
     if (group === undefined || refusal !== undefined) {
       this._finish(job, refusal)
       return
@@ -104,13 +104,13 @@
     this._pump(group)
   }
 
-  /** Waits until every accepted request is answered. */
+  /** Resolves when every accepted request has been answered. */
   async idle (): Promise<void> {
     if (this._accepted === 0) return
     await new Promise<void>(resolve => this._idle.add(resolve))
   }
 
-  /** Whose share a request draws on. */
+  /** Returns the fair-queueing flow of a request. */
   private _flow ({ organisation, requestClass }: CallerRequest): { organisation: string, requestClass: RequestClass, weight: number } {
     if (this._policy.queueing === 'first-in-first-out') return { organisation: '', requestClass: 'interactive', weight: DEFAULT_WEIGHT }
     return { organisation, requestClass, weight: this._weight(organisation) }
@@ -122,7 +122,7 @@
     if (group.queue.size >= this._policy.queueLength) return requestFailure('overloaded', 'not-run', 'the queue is full', Math.max(RETRY_WHEN_FULL, wait))
     const allowed = Math.min(this._policy.longestWait, request.deadline - request.receivedAt)
     if (wait <= allowed * CERTAINTY) return undefined
-    return requestFailure('overloaded', 'not-run', `a start is expected in ${Math.round(wait)} ms only`, Math.max(LEAST_RETRY, wait))
+    return requestFailure('overloaded', 'not-run', `the expected wait is ${Math.round(wait)} ms`, Math.max(LEAST_RETRY, wait))
   }
 
   private _pump (group: Group<Job>): void {
@@ -150,13 +150,13 @@
     this._pump(group)
   }
 
-  /** A fault of our own must not hold a place for ever, nor leave the caller without an answer. */
+  /** Turns an exception into a failure, so that a bug neither occupies a slot forever nor leaves the caller without an answer. */
   private async _carryOut (job: Job, group: Group<Job>): Promise<RequestFailure | undefined> {
     try {
       return await this._carry(job, group)
     } catch (error) {
       this._counters.add('faults')
-      return requestFailure('outcome-unknown', 'unknown', error instanceof Error ? error.message : 'unknown fault')
+      return requestFailure('outcome-unknown', 'unknown', error instanceof Error ? error.message : 'unknown error')
     }
   }
 
@@ -190,9 +190,9 @@
   }
 
   private _tooLate (waiting: Waiting<Job>, group: Group<Job>, now: number): RequestFailure {
-    if (waiting.item.request.deadline <= now) return requestFailure('deadline-passed', 'not-run', 'the deadline passed before a start')
+    if (waiting.item.request.deadline <= now) return requestFailure('deadline-passed', 'not-run', 'the deadline passed before the request started')
     const wait = group.expectedWait(waiting.organisation, organisation => this._weight(organisation))
-    return requestFailure('overloaded', 'not-run', 'no start in time', Math.max(LEAST_RETRY, wait))
+    return requestFailure('overloaded', 'not-run', 'the request could not start in time', Math.max(LEAST_RETRY, wait))
   }
 
   private _weight (organisation: string): number {
--- a/packages/node/src/lib/entry/entry.ts
+++ b/packages/node/src/lib/entry/entry.ts
@@ -4,7 +4,7 @@
  * SPDX-License-Identifier: BSD-3-Clause
  */
 /**
- * The entry: takes callers' requests over HTTP, shares them out over the endpoints, and answers operators.
+ * The entry: accepts callers' requests over HTTP, distributes them over the endpoints, and serves operators.
  */
 import { randomBytes } from 'node:crypto'
 import type { ChoicePolicy, PeerRequest, ProcessStatus } from '@drumdrift/core'
@@ -84,7 +84,7 @@
     })
   }
 
-  /** Starts to listen. */
+  /** Starts listening for peers and callers. */
   async start (): Promise<void> {
     await this._server.listen()
     await this._front.listen()
@@ -92,9 +92,9 @@
   }
 
   /**
-   * Takes nothing new, lets requests in progress end, then stops.
+   * Drains the entry: refuses new requests, waits for those in progress, then stops.
    *
-   * @returns Requests that were cut off because the patience of the settings ran out.
+   * @returns The number of requests that were cut off when `stop-patience-seconds` had elapsed.
    */
   async stop (): Promise<number> {
     this._leave()
@@ -111,7 +111,7 @@
     return cut
   }
 
-  /** This entry's account of itself. */
+  /** Returns the status that this entry reports to operators. */
   status (): ProcessStatus {
     const { revisions, ages } = this._spread.spread.note(performance.now())
     return {
@@ -155,12 +155,12 @@
     else if (request.type === 'push') this._spread.pushed(request, responder)
     else if (request.type === 'status') responder.send({ type: 'status', status: this.status() })
     else if (request.type === 'leave') this._ordered(request, responder)
-    else responder.send({ type: 'refused', reason: 'not-supported', detail: 'an entry does not answer this' })
+    else responder.send({ type: 'refused', reason: 'not-supported', detail: 'an entry does not support this request' })
   }
 
   private _ordered (request: Extract<PeerRequest, { type: 'leave' }>, responder: Responder): void {
     if (request.incarnation !== this.incarnation) {
-      responder.send({ type: 'refused', reason: 'wrong-incarnation', detail: `this is ${this.incarnation}` })
+      responder.send({ type: 'refused', reason: 'wrong-incarnation', detail: `the current incarnation is ${this.incarnation}` })
       return
     }
     this._leave()
--- a/packages/node/src/lib/entry/group.ts
+++ b/packages/node/src/lib/entry/group.ts
@@ -4,21 +4,22 @@
  * SPDX-License-Identifier: BSD-3-Clause
  */
 /**
- * What an entry holds for one pool or service: the queue, the limit, and what is known of its endpoints.
+ * The state that an entry keeps for one pool or service: its queue, its concurrency limit, and the load and health of its
+ * endpoints.
  */
 import {
   ConcurrencyLimit, Ejection, EndpointChoice, endpointSubset, FairQueue, RetryBudget, type Candidate, type ChoicePolicy, type EndpointStatus, type InstanceRecord
 } from '@drumdrift/core'
 import { StartPace } from './start-pace.js'
 
-/** Endpoints of a zone that one entry uses. */
+/** Maximum number of endpoints of one zone that an entry uses. */
 const SUBSET_SIZE = 24
-/** Slots that an endpoint is taken to have until it is heard of. */
+/** Slots that an endpoint is assumed to have until it reports its status. */
 const ASSUMED_SLOTS = 8
 const LEAST_LIMIT = 1
-/** Weight of the newest sample in the mean duration of requests. */
+/** Weight of the newest sample in the exponentially weighted moving average of request durations. */
 const SMOOTHING = 0.1
-/** The mean duration until one is measured, in milliseconds. */
+/** Initial value of the mean request duration, in milliseconds. */
 const FIRST_DURATION = 300
 
 /** The state of one group at one entry. */
@@ -32,7 +33,7 @@
   private _records: readonly InstanceRecord[] = []
   private _running = 0
   private _meanDuration = FIRST_DURATION
-  /** How fast the queue is worked off, in all and for each organisation that waits. */
+  /** Interval between starts, overall and for each organisation with queued requests. */
   private readonly _pace = new StartPace()
   private readonly _paces = new Map<string, StartPace>()
 
@@ -42,13 +43,14 @@
   }
 
   get running (): number { return this._running }
-  /** Whether any endpoint is listed. */
+  /** Whether the group has any endpoint. */
   get listed (): boolean { return this._records.length > 0 }
 
   /**
-   * Takes the endpoints that are listed as live and not draining, and keeps a subset of each zone's.
+   * Sets the endpoints of the group to a subset per zone of those listed.
    *
-   * @param index This entry's place among the entries of its zone.
+   * @param listed Endpoints that are live and not draining.
+   * @param index The index of this entry among the entries of its zone.
    */
   setEndpoints (listed: readonly InstanceRecord[], index: number): void {
     const records = subsetOfZones(listed, index)
@@ -59,7 +61,7 @@
     this._resize()
   }
 
-  /** Chooses an endpoint, but none of `tried`. */
+  /** Chooses an endpoint that is not in `tried` and, unless `version` is empty, serves that version. */
   choose (prefix: string, tried: ReadonlySet<string>, version: string, now: number): InstanceRecord | undefined {
     const fresh = this._records.filter(record => !tried.has(record.instance) && this._hasVersion(record.instance, version))
     const usable = new Set(this._ejection.usable(fresh.map(record => record.instance), now))
@@ -67,7 +69,7 @@
     return this._records.find(record => record.instance === instance)
   }
 
-  /** A request starts for an organisation. */
+  /** Records that a request of an organisation starts. */
   started (organisation: string, now: number): void {
     this._pace.started(this.queue.size > 0, now)
     this._paceOf(organisation).started(this.queue.sizeOf(organisation) > 0, now)
@@ -77,7 +79,7 @@
   }
 
   /**
-   * A request of an organisation has ended.
+   * Records that a request of an organisation has ended.
    *
    * @param duration Milliseconds since its start.
    */
@@ -89,7 +91,7 @@
     else this.inProgress.delete(organisation)
   }
 
-  /** Milliseconds that a new request of an organisation would wait for its start, if things go on as they do. */
+  /** Estimates how long a new request of an organisation would be queued at the present rate of starts, in milliseconds. */
   expectedWait (organisation: string, weightOf: (organisation: string) => number): number {
     if (this._running < this.limit.limit && this.queue.size === 0) return 0
     const own = weightOf(organisation)
@@ -110,7 +112,7 @@
     this._resize()
   }
 
-  /** A call to an instance has ended. */
+  /** Records that a call to an instance has ended. */
   finished (instance: string, health: 'good' | 'bad' | 'unclear', now: number): void {
     this.choice.ended(instance)
     if (health === 'good') this._ejection.succeeded(instance)
--- a/packages/node/src/lib/entry/http-front.ts
+++ b/packages/node/src/lib/entry/http-front.ts
@@ -4,7 +4,7 @@
  * SPDX-License-Identifier: BSD-3-Clause
  */
 /**
- * The entry's HTTP side: callers' requests, health, metrics and the operators' interface.
+ * The entry's HTTP interface: callers' requests, health, metrics and the operators' routes.
  */
 import { createServer, type IncomingMessage, type Server, type ServerResponse } from 'node:http'
 import { requestFailure, type Configuration } from '@drumdrift/core'
@@ -16,21 +16,21 @@
 import { isFailure, parseCallerRequest } from './caller-request.js'
 import type { Dispatcher } from './dispatcher.js'
 
-/** Answers an operator's request. */
+/** Handles a request of an operator. */
 export type OperatorHandler = (request: IncomingMessage, body: Buffer) => Promise<{ readonly status: number, readonly type: string, readonly body: string }>
 
-/** What the front works with. */
+/** Dependencies and limits of the HTTP server. */
 export interface HttpFrontParts {
   readonly address: string
   readonly largestBody: number
-  /** The default and the longest time to a deadline, in milliseconds. */
+  /** The default and maximum time to a deadline, in milliseconds. */
   readonly longestDeadline: number
   readonly dispatcher: Dispatcher
   readonly configuration: () => Configuration | undefined
   /** Organisations by the digest of their callers' keys. */
   readonly organisations: () => ReadonlyMap<string, string>
   readonly operator: OperatorHandler
-  /** Issues a request id, or nothing when too few keepers can be reached. */
+  /** Issues a request id. Resolves to `undefined` if too few keepers are reachable. */
   readonly issueId: () => Promise<string | undefined>
   readonly log: Log
   readonly counters: Counters
@@ -58,7 +58,7 @@
 
   listen (): Promise<void> { return listenAt(this._server, this._parts.address) }
 
-  /** From now on new requests are refused as "not run"; those accepted go on. */
+  /** Starts to drain: new requests are refused as not run, and accepted requests continue. */
   leave (): void {
     this._leaving = true
   }
@@ -93,13 +93,13 @@
     const now = performance.now()
     if (this._leaving) {
       response.setHeader('connection', 'close')
-      writeFailure(response, requestFailure('leaving', 'not-run', 'this entry is stopping', RETRY_WHEN_LEAVING))
+      writeFailure(response, requestFailure('leaving', 'not-run', 'this entry is draining', RETRY_WHEN_LEAVING))
       return
     }
     const body = await readBody(request, this._parts.largestBody)
     if (body === undefined) {
       response.setHeader('connection', 'close')
-      writeFailure(response, requestFailure('body-too-large', 'not-run', `a body of ${this._parts.largestBody} bytes at most is taken`))
+      writeFailure(response, requestFailure('body-too-large', 'not-run', `the body exceeds the limit of ${this._parts.largestBody} bytes`))
       return
     }
     const raw = { method: request.method ?? 'GET', url: request.url ?? '/', headers: request.headers, body }
@@ -121,7 +121,7 @@
   private async _issue (response: ServerResponse): Promise<void> {
     const id = await this._parts.issueId()
     if (id === undefined) {
-      writeFailure(response, requestFailure('no-endpoint', 'not-run', 'too few keepers can be reached', RETRY_WHEN_LEAVING))
+      writeFailure(response, requestFailure('no-endpoint', 'not-run', 'too few keepers are reachable', RETRY_WHEN_LEAVING))
       return
     }
     response.writeHead(200, { 'content-type': 'application/json' }).end(JSON.stringify({ id }))
@@ -134,7 +134,7 @@
   }
 }
 
-/** Reads a body, or nothing when it is larger than allowed. */
+/** Reads a body. Returns `undefined` if it exceeds the limit. */
 async function readBody (request: IncomingMessage, largest: number): Promise<Buffer | undefined> {
   const pieces: Buffer[] = []
   let length = 0
--- a/packages/node/src/lib/entry/once-carrier.ts
+++ b/packages/node/src/lib/entry/once-carrier.ts
@@ -4,7 +4,7 @@
  * SPDX-License-Identifier: BSD-3-Clause
  */
 /**
- * Carries out one attempt of a request that may not repeat: the sockets round `OnceAttempt`, which decides.
+ * Runs the attempts of requests that may run at most once. `OnceAttempt` makes the decisions; this module does the I/O.
  */
 import { randomBytes } from 'node:crypto'
 import {
@@ -18,18 +18,18 @@
 import type { Job } from './dispatcher.js'
 import type { Group } from './group.js'
 
-/** How an attempt ended. */
+/** The outcome of an attempt. */
 export type OnceOutcome =
   | { readonly type: 'answered', readonly health: 'good' }
   | { readonly type: 'elsewhere', readonly health: 'unclear' | 'bad', readonly reason: AdmissionRefusal | 'unreachable' }
   | { readonly type: 'failed', readonly health: 'unclear' | 'bad', readonly failure: RequestFailure }
 
-/** What the carrier works with. */
+/** Dependencies of the carrier. */
 export interface OnceCarrierParts {
   readonly incarnation: string
   readonly pool: PeerPool
   readonly patience: CallPatience
-  /** All agents listed, live or leaving: the keepers of ids are chosen among them. */
+  /** Returns all listed agents, live or leaving, from which the keepers of ids are chosen. */
   readonly agents: () => readonly InstanceRecord[]
 }
 
@@ -47,16 +47,17 @@
   readonly settle: (outcome: OnceOutcome) => void
 }
 
-/** Attempts of one entry. */
+/** Runs the attempts of one entry. */
 export class OnceCarrier {
   private _nextAttempt = 1
 
   constructor (private readonly _parts: OnceCarrierParts) {}
 
   /**
-   * Issues a request id, whose keepers are agents that answer now, of as many availability zones as there are.
+   * Issues a request id whose keepers are agents that are reachable now, spread over as many availability zones as
+   * possible.
    *
-   * @returns Nothing when fewer than three answer, or all where there are fewer agents.
+   * @returns `undefined` if fewer than three agents answer, or fewer than all if there are less than three live agents.
    */
   async issueId (): Promise<string | undefined> {
     const random = randomBytes(9).toString('hex')
@@ -67,7 +68,7 @@
     return keepers.length >= Math.min(LEAST_KEEPERS, live.length) && keepers.length > 0 ? formatIssuedId(random, keepers) : undefined
   }
 
-  /** Makes one attempt at one endpoint. */
+  /** Attempts a request on one endpoint. */
   attempt (job: Job, group: Group<Job>, record: InstanceRecord): Promise<OnceOutcome> {
     const agents = this._parts.agents()
     const addresses = new Map(agents.map(agent => [agent.instance, agent.address]))
@@ -137,7 +138,7 @@
     this._afterGo(attempt, end)
   }
 
-  /** A caller that hangs up does not stop a request that may not repeat: it ends as it ends. */
+  /** Handles the end of a `go` call. A caller that disconnects does not stop a request that may run only once. */
   private _afterGo (attempt: Attempt, end: CallEnd): void {
     const { course, job, settle } = attempt
     if (end.type === 'whole') return settle({ type: 'answered', health: 'good' })
@@ -145,7 +146,7 @@
     if (course.committed) return this._carryOut(attempt, course.lost())
     if (end.type === 'not-reached') return this._carryOut(attempt, course.neverReached())
     const cut = job.sink.begun
-    const failure = cut ? requestFailure('answer-cut', 'unknown', 'the answer broke off') : requestFailure('outcome-unknown', 'unknown', 'the request started and its answer was lost')
+    const failure = cut ? requestFailure('answer-cut', 'unknown', 'the answer was interrupted') : requestFailure('outcome-unknown', 'unknown', 'the request started and its answer was lost')
     settle({ type: 'failed', health: 'bad', failure })
   }
 
@@ -165,7 +166,7 @@
   }
 }
 
-/** Agents in rendezvous order, the zones in turn, so that the loss of one zone takes as few keepers as can be. */
+/** Orders agents by rendezvous hashing, alternating between zones, so that the loss of one zone affects as few keepers as possible. */
 function spreadOverZones (agents: readonly InstanceRecord[], subject: string): InstanceRecord[] {
   const byName = new Map(agents.map(agent => [agent.instance, agent]))
   const taken = new Map<string, number>()
--- a/packages/node/src/lib/entry/start-pace.ts
+++ b/packages/node/src/lib/entry/start-pace.ts
@@ -3,22 +3,22 @@
  * Copyright 2026 the drumdrift contributors
  * SPDX-License-Identifier: BSD-3-Clause
  */
-/** Measures the time between starts while others wait: how fast a queue is really worked off. */
+/** Measures the rate at which a queue drains: the interval between starts while other requests wait. */
 const SMOOTHING = 0.1
 const LONGEST_INTERVAL = 1_000
 
-/** The pace of one queue. */
+/** An exponentially weighted moving average of the interval between the starts of one queue. */
 export class StartPace {
   private _interval = 0
   private _startedAt: number | undefined
 
-  /** Milliseconds between starts; 0 while unknown. */
+  /** Average interval between starts, in milliseconds; 0 while unknown. */
   get interval (): number { return this._interval }
 
   /**
-   * Something started.
+   * Records a start.
    *
-   * @param backlogged Whether others still wait: the time to the next start then counts.
+   * @param backlogged Whether other requests still wait. Only then is the interval to the next start measured.
    * @example
    * pace.started(queue.size > 0, now)
    */
--- a/packages/node/src/lib/peer/connection.ts
+++ b/packages/node/src/lib/peer/connection.ts
@@ -4,8 +4,8 @@
  * SPDX-License-Identifier: BSD-3-Clause
  */
 /**
- * One TCP connection between two processes of the system. Either side may ask; replies find their call by number, so
- * a late reply reaches nobody but its own call.
+ * A TCP connection between two processes of the system. Either side may send requests. Replies are matched to their call
+ * by number, so a late reply cannot reach another call.
  */
 import type { Socket } from 'node:net'
 import type { PeerReply, PeerRequest } from '@drumdrift/core'
@@ -18,36 +18,36 @@
   readonly payload: Buffer
 }
 
-/** Takes the replies of one call, in the order they came. */
+/** Receives the replies of one call, in order of arrival. */
 export interface ReplyListener {
   reply (reply: PeerReply, payload: Buffer): void
-  /** The connection ended before the call did. */
+  /** Called if the connection ends before the call does. */
   lost (): void
 }
 
-/** Answers one request of the other side. */
+/** Sends the replies to one request of the other side. */
 export interface Responder {
   readonly connection: PeerConnection
   readonly call: number
   send (reply: PeerReply, payload?: Buffer): void
 }
 
-/** Handles what the other side asks. */
+/** Handles a request of the other side. */
 export type RequestHandler = (request: PeerRequest, payload: Buffer, responder: Responder) => void
 
-/** Bytes of messages, payloads not counted: what control costs on the network. */
+/** Bytes of messages without their payloads, which measure the network cost of control traffic. */
 export interface Traffic {
   sent: number
   received: number
 }
 
-/** Holds back reading, to keep a process to its share of the link. */
+/** Paces reading, to keep a process within its share of the link. */
 export interface ReadPacer {
-  /** Bytes came in; returns milliseconds to stop reading for. */
+  /** Records received bytes and returns for how many milliseconds to pause reading. */
   received (bytes: number): number
 }
 
-/** A connection, of either side. */
+/** One end of a connection, on the side that opened it or on the side that accepted it. */
 export class PeerConnection {
   private readonly _reader = new FrameReader()
   private readonly _listeners = new Map<number, ReplyListener>()
@@ -58,8 +58,10 @@
   private _pausedUntil = 0
 
   /**
-   * @param onRequest Handles requests of the other side.
-   * @param onFault Told of malformed input, once, before the connection is closed.
+   * @param _onRequest Handles requests of the other side.
+   * @param _onFault Called once on malformed input, before the connection is closed.
+   * @param _traffic Accumulates the bytes of messages in both directions.
+   * @param _pacer Paces reading; without it, reading is never paused.
    */
   constructor (
     private readonly _socket: Socket,
@@ -76,22 +78,22 @@
 
   get open (): boolean { return this._open }
   /**
-   * Milliseconds since anything came from the other side. Time in which this side held back reading does not count: then
-   * it is this side that is slow.
+   * Milliseconds since the last contact with the other side. Time during which this side paused reading does not count,
+   * because the delay is then its own.
    */
   silence (now: number): number {
     return Math.max(0, now - Math.max(this._heardAt, this._pausedUntil))
   }
 
-  /** Whether calls of this side are under way. */
+  /** Whether calls of this side are in flight. */
   get busy (): boolean { return this._listeners.size > 0 }
-  /** Bytes that the other side has not taken yet. */
+  /** Bytes that are buffered because the other side has not read them yet. */
   get backlog (): number { return this._socket.writableLength }
 
   /**
-   * Asks, with any number of replies.
+   * Sends a request that may have any number of replies.
    *
-   * @returns The call's number, to hang up with.
+   * @returns The number of the call, for `forget` and for a hang-up.
    */
   ask (request: PeerRequest, payload: Buffer | undefined, listener: ReplyListener): number {
     const call = this._nextCall++
@@ -105,9 +107,11 @@
   }
 
   /**
-   * Asks for one reply.
+   * Sends a request and resolves with its first reply.
    *
-   * @throws DrumdriftError with a peer failure: `timed-out` or `connection-lost`.
+   * @param timeout Milliseconds until the call fails.
+   *
+   * @throws DrumdriftError with a peer failure of reason `timed-out` or `connection-lost`.
    * @example
    * const { reply } = await connection.call({ type: 'status' }, undefined, 500)
    */
@@ -126,15 +130,15 @@
     })
   }
 
-  /** Says something whose reply does not matter. */
+  /** Sends a request without waiting for a reply. */
   tell (request: PeerRequest): void {
     this._write({ call: this._nextCall++, request }, undefined)
   }
 
-  /** Ends a call: later replies to it are dropped. */
+  /** Ends a call. Later replies to it are dropped. */
   forget (call: number): void { this._listeners.delete(call) }
 
-  /** Calls back when the connection has ended. Returns a function that takes the listener away. */
+  /** Adds a listener for the end of the connection. Returns a function that removes it. */
   onEnd (listener: () => void): () => void {
     this._endListeners.add(listener)
     return () => { this._endListeners.delete(listener) }
--- a/packages/node/src/lib/peer/frame.ts
+++ b/packages/node/src/lib/peer/frame.ts
@@ -4,30 +4,29 @@
  * SPDX-License-Identifier: BSD-3-Clause
  */
 /**
- * Frames between the system's processes: two 32-bit big-endian lengths, a cbor body, and a raw payload that never goes
- * through the codec, so that chunks of weights are not copied more than the socket does.
+ * The frame format between the system's processes: two 32-bit big-endian lengths, a CBOR body, and a raw payload. The
+ * payload bypasses the codec, so that chunks of weights are not copied beyond what the socket does.
  */
 import { Encoder } from 'cbor-x'
 import { DrumdriftError, type PeerReply, type PeerRequest } from '@drumdrift/core'
 
-/** Bytes of the two lengths. */
+/** Size of the two lengths. */
 const HEADER_BYTES = 8
-/** The largest body: a published document of a megabyte with room for its envelope. */
+/** Fits a published document of a megabyte and its envelope. */
 const LARGEST_BODY = 4 * 1024 * 1024
-/** The largest payload: a chunk, or the body of a request. */
+/** Fits a chunk or the body of a request. */
 const LARGEST_PAYLOAD = 64 * 1024 * 1024
 
 /**
- * Keys that messages often have, written as their place in this list. Reports of load are nine in ten of all messages; one of
- * them takes 55 bytes so, and 141 with its keys in full. Both sides must have the same list: a change of it is a change of the
- * protocol.
+ * Frequent keys of messages, each encoded as its index in this list. Nine in ten messages are load reports, which take 55 bytes
+ * this way and 141 bytes with full keys. Both sides must use the same list, so changing it changes the protocol.
  */
 const FREQUENT_KEYS = [
   'call', 'request', 'reply', 'type', 'load', 'running', 'waiting', 'unreadTokens', 'version', 'accepting', 'pace', 'closesIn', 'opensIn', 'sentRate', 'identity', 'held', 'elsewhere', 'named', 'model', 'revision', 'age', 'digest', 'wait'
 ]
 const codec = new Encoder({ keyMap: Object.fromEntries(FREQUENT_KEYS.map((key, place) => [key, place])), useRecords: false })
 
-/** One message of a connection. Calls are numbered by the side that asks. */
+/** One message of a connection. The side that sends a request numbers the call. */
 export type PeerEnvelope =
   | { readonly call: number, readonly request: PeerRequest }
   | { readonly call: number, readonly reply: PeerReply }
@@ -36,15 +35,15 @@
 export interface Frame {
   readonly envelope: PeerEnvelope
   readonly payload: Buffer
-  /** Bytes of the frame without its payload. */
+  /** Size of the frame without its payload, in bytes. */
   readonly overhead: number
 }
 
 const nothing = Buffer.alloc(0)
 
 /**
- * Encodes a frame as buffers to be written in order; one buffer without a payload, since most messages have none and each buffer
- * is a write.
+ * Encodes a frame as buffers to be written in order. A frame without a payload, as most are, is a single buffer, since each
+ * buffer takes a write.
  *
  * @example
  * for (const part of encodeFrame({ call: 1, request: { type: 'status' } })) socket.write(part)
@@ -58,13 +57,13 @@
   return payload.length > 0 ? [head, payload] : [head]
 }
 
-/** Cuts a byte stream into frames. Malformed or oversized input throws a typed failure; the connection is then closed. */
+/** Splits a byte stream into frames. Throws a typed failure on malformed or oversized input, upon which the connection is to be closed. */
 export class FrameReader {
   private _pieces: Buffer[] = []
   private _held = 0
 
   /**
-   * Takes bytes and returns the frames that they complete.
+   * Adds received bytes and returns the frames that they complete.
    *
    * @throws DrumdriftError with a peer failure of reason `malformed` or `oversized`.
    */
@@ -91,7 +90,7 @@
     return { envelope, payload: this._take(payloadLength), overhead: HEADER_BYTES + bodyLength }
   }
 
-  /** The first bytes, without taking them. */
+  /** Returns at least `length` bytes of the buffer without consuming them. */
   private _peek (length: number): Buffer {
     const first = this._pieces[0] ?? nothing
     if (first.length >= length) return first
@@ -116,7 +115,7 @@
 }
 
 /**
- * An error that carries a peer failure.
+ * Creates an error with a peer failure.
  *
  * @example
  * throw peerError('timed-out', 'no reply within 500 ms')
@@ -130,9 +129,9 @@
   try {
     value = codec.decode(body)
   } catch {
-    throw peerError('malformed', 'body is not cbor')
+    throw peerError('malformed', 'body is not valid CBOR')
   }
-  if (!isEnvelope(value)) throw peerError('malformed', 'body is not a message')
+  if (!isEnvelope(value)) throw peerError('malformed', 'body is not a peer message')
   return value
 }
 
--- a/packages/node/src/lib/peer/pool.ts
+++ b/packages/node/src/lib/peer/pool.ts
@@ -4,8 +4,8 @@
  * SPDX-License-Identifier: BSD-3-Clause
  */
 /**
- * The asking side between the system's processes: one connection for control and one for bulk to each address, opened
- * when first needed, closed when idle. Bulk connections carry weights and may be read slowly; control ones never are.
+ * Client connections between the system's processes: one for control and one for bulk traffic per address, opened on
+ * first use and closed when idle. Bulk connections transfer weights and may be paced; control connections never are.
  */
 import { createConnection } from 'node:net'
 import { PROTOCOL_VERSION, type PeerRequest } from '@drumdrift/core'
@@ -13,12 +13,12 @@
 import { peerError } from './frame.js'
 import { parseAddress } from '../settings/address.js'
 
-/** What a connection is for. */
+/** The kind of traffic on a connection. */
 export type Purpose = 'control' | 'bulk'
 
-/** Milliseconds to open a connection and be welcomed. */
+/** Time to open a connection and complete the hello, in milliseconds. */
 const CONNECT_TIMEOUT = 800
-/** Idle connections are closed after this, in milliseconds. */
+/** Time after which an idle connection is closed, in milliseconds. */
 const IDLE_LIMIT = 15_000
 
 interface Pooled {
@@ -28,15 +28,15 @@
   calls: number
 }
 
-/** Connections of one process to its peers. */
+/** The client connections of one process to its peers. */
 export class PeerPool {
   private readonly _pooled = new Map<string, Pooled>()
   private readonly _sweeper: NodeJS.Timeout
 
   /**
-   * @param _self Told to the other side in the hello.
-   * @param _traffic Counts bytes of messages.
-   * @param _bulkPacer Holds back reading on bulk connections.
+   * @param _self Name and key of this process, sent in the hello.
+   * @param _traffic Accumulates the bytes of messages.
+   * @param _bulkPacer Paces reading on bulk connections.
    */
   constructor (private readonly _self: { readonly instance: string, readonly key: string }, private readonly _traffic: Traffic = { sent: 0, received: 0 }, private readonly _bulkPacer?: ReadPacer) {
     this._sweeper = setInterval(() => this._sweep(), IDLE_LIMIT / 3)
@@ -44,9 +44,9 @@
   }
 
   /**
-   * Asks a peer for one reply.
+   * Sends a request to a peer and resolves with its first reply.
    *
-   * @param timeout Milliseconds for the whole call, connecting included.
+   * @param options `timeout` is the time that the peer has to reply once connected, 1 s by default. `purpose` is `control` by default.
    * @throws DrumdriftError with a peer failure.
    * @example
    * const { reply } = await pool.call('10.0.0.7:7400', { type: 'status' })
@@ -65,9 +65,9 @@
   }
 
   /**
-   * The open connection to a peer, for calls with many replies.
+   * Returns the connection to a peer, for calls with many replies. Opens one if there is none.
    *
-   * @param patience Milliseconds to open one.
+   * @param patience Milliseconds in which a new connection has to open.
    */
   async connection (address: string, { purpose = 'control', patience = CONNECT_TIMEOUT }: { purpose?: Purpose, patience?: number } = {}): Promise<PeerConnection> {
     const pooled = this._get(address, purpose, patience)
@@ -100,12 +100,12 @@
     const socket = createConnection({ host, port })
     const pacer = purpose === 'bulk' ? this._bulkPacer : undefined
     const connection = new PeerConnection(socket, (_request, _payload, responder) => {
-      responder.send({ type: 'refused', reason: 'not-supported', detail: 'this side only asks' })
+      responder.send({ type: 'refused', reason: 'not-supported', detail: 'this side of the connection accepts no requests' })
     }, () => {}, this._traffic, pacer)
     const hello: PeerRequest = { type: 'hello', protocol: PROTOCOL_VERSION, instance: this._self.instance, key: this._self.key }
     try {
       const { reply } = await connection.call(hello, undefined, patience)
-      if (reply.type !== 'welcome') throw peerError('refused', reply.type === 'refused' ? reply.reason : 'no welcome')
+      if (reply.type !== 'welcome') throw peerError('refused', reply.type === 'refused' ? reply.reason : 'the peer did not reply to the hello with a welcome')
     } catch (error) {
       connection.close()
       throw error
--- a/packages/node/src/lib/peer/server.ts
+++ b/packages/node/src/lib/peer/server.ts
@@ -4,8 +4,8 @@
  * SPDX-License-Identifier: BSD-3-Clause
  */
 /**
- * The listening side between the system's processes. The first message of a connection must be a `hello` with the
- * right protocol version and key; until then nothing else is answered.
+ * The server side of connections between the system's processes. The first message of a connection must be a `hello`
+ * with the right protocol version and key. Any other first message is refused and the connection closed.
  */
 import { createHash, timingSafeEqual } from 'node:crypto'
 import { createServer, type Server, type Socket } from 'node:net'
@@ -14,12 +14,12 @@
 import { listenAt } from '../listen.js'
 import type { Log } from '../observe/log.js'
 
-/** Bounds the connections that one process accepts. */
+/** Maximum number of connections that a process accepts. */
 const MOST_CONNECTIONS = 4_096
-/** A connection that says nothing is closed after this, in milliseconds. */
+/** Time after which a connection without a valid hello is closed, in milliseconds. */
 const HELLO_PATIENCE = 5_000
 
-/** Settings of the listening side. */
+/** Options of a peer server. */
 export interface PeerServerOptions {
   readonly instance: string
   readonly address: string
@@ -29,7 +29,7 @@
   readonly onRequest: RequestHandler
 }
 
-/** Accepts connections and lets in those that know the key. */
+/** Accepts connections and serves those that authenticate with the key. */
 export class PeerServer {
   private readonly _server: Server
   private readonly _connections = new Set<PeerConnection>()
@@ -39,10 +39,10 @@
     this._server.maxConnections = MOST_CONNECTIONS
   }
 
-  /** Starts to listen. */
+  /** Starts listening. */
   listen (): Promise<void> { return listenAt(this._server, this._options.address) }
 
-  /** Stops listening and ends every connection. */
+  /** Stops listening and closes every connection. */
   close (): void {
     this._server.close()
     for (const connection of this._connections) connection.close()
@@ -62,13 +62,13 @@
     })
   }
 
-  /** A message of a wrong shape is refused, and the connection goes on. */
+  /** Handles a request. A malformed message is refused, and the connection stays open. */
   private _handle (request: PeerRequest, payload: Buffer, responder: Responder): void {
     try {
       this._options.onRequest(request, payload, responder)
     } catch (error) {
       this._options.log.warn('peer-malformed', { type: String(request.type), detail: error instanceof Error ? error.message : '' })
-      responder.send({ type: 'refused', reason: 'malformed', detail: 'message has a wrong shape' })
+      responder.send({ type: 'refused', reason: 'malformed', detail: 'the message is malformed' })
     }
   }
 
@@ -79,7 +79,7 @@
       return true
     }
     this._options.log.warn('peer-refused', { reason: refusal })
-    responder.send({ type: 'refused', reason: refusal, detail: `this process speaks protocol ${PROTOCOL_VERSION}` })
+    responder.send({ type: 'refused', reason: refusal, detail: `this process uses protocol version ${PROTOCOL_VERSION}` })
     setImmediate(() => responder.connection.close())
     return false
   }
@@ -92,7 +92,7 @@
 }
 
 /**
- * Compares secrets in a time that does not tell how much of them agrees.
+ * Compares two secrets in constant time, so that the duration does not reveal how much of them matches.
  *
  * @example
  * sameSecret(header, key)
--- a/packages/node/src/test/lib/agent-call_test.ts
+++ b/packages/node/src/test/lib/agent-call_test.ts
@@ -30,7 +30,7 @@
 
 type Step = PeerReply | 'lost' | 'stop' | number
 
-/** Plays replies and pauses (in milliseconds); tells how the call ended and what the caller got. */
+/** Replays replies and pauses (in milliseconds). Returns how the call ended and what the caller received. */
 async function play (steps: readonly Step[]): Promise<{ ended: CallEnd['type'] | 'open', text: string, hungUp: boolean }> {
   const connection = new FakeConnection()
   let text = ''
@@ -60,19 +60,19 @@
   afterEach(() => mock.timers.reset())
 
   const cases: [name: string, steps: Step[], ended: CallEnd['type'] | 'open', text: string, hungUp: boolean][] = [
-    ['a whole answer', [admitted, head, part(0), part(1), end(2)], 'whole', 'ab', false],
+    ['a complete answer', [admitted, head, part(0), part(1), end(2)], 'whole', 'ab', false],
     ['parts out of order', [admitted, head, part(1), end(2), part(0)], 'whole', 'ab', false],
     ['an answer without its end', [admitted, head, part(0), 499], 'open', 'a', false],
-    ['silence in the middle', [admitted, head, part(0), 500], 'silent', 'a', true],
-    ['silence before the first part', [admitted, 3_000], 'silent', '', true],
-    ['no word at all', [1_000], 'silent', '', true],
-    ['patience after the admission', [999, admitted, 2_999, head, 2_999], 'open', '', false],
+    ['a timeout between parts', [admitted, head, part(0), 500], 'silent', 'a', true],
+    ['a timeout before the first part', [admitted, 3_000], 'silent', '', true],
+    ['a timeout before the admission', [1_000], 'silent', '', true],
+    ['a restart of the timeout by the admission and the head', [999, admitted, 2_999, head, 2_999], 'open', '', false],
     ['a refusal', [{ type: 'admitted', admission: { type: 'refused', reason: 'busy' }, status }], 'refused', '', false],
     ['a broken answer', [admitted, head, part(0), { type: 'broken', detail: 'x', notRun: false, status }], 'broken', 'a', false],
-    ['an endpoint that was never reached', [admitted, { type: 'broken', detail: 'x', notRun: true, status }], 'not-reached', '', false],
+    ['an endpoint that could not be reached', [admitted, { type: 'broken', detail: 'x', notRun: true, status }], 'not-reached', '', false],
     ['a lost connection', [admitted, 'lost'], 'lost', '', false],
-    ['a caller that is gone', [admitted, 'stop'], 'stopped', '', true],
-    ['an end that does not fit', [admitted, head, part(0), part(1), end(1)], 'broken', 'ab', true],
+    ['a caller that disconnects', [admitted, 'stop'], 'stopped', '', true],
+    ['an end with a wrong count of parts', [admitted, head, part(0), part(1), end(1)], 'broken', 'ab', true],
     ['replies after the end', [admitted, head, part(0), end(1), part(1), 'lost'], 'whole', 'a', false]
   ]
   for (const [name, steps, ended, text, hungUp] of cases) it(name, async () => assert.deepEqual(await play(steps), { ended, text, hungUp }))
--- a/packages/node/src/test/lib/caller-request_test.ts
+++ b/packages/node/src/test/lib/caller-request_test.ts
@@ -32,15 +32,15 @@
     ['an unknown model', parse('/v1/chat/completions', { ...chat, model: 'x' }), 'unknown-model'],
     ['a model named like a property of objects', parse('/v1/chat/completions', { ...chat, model: 'constructor' }), 'unknown-model'],
     ['an unknown service', parse('/services/x/y', ''), 'unknown-service'],
-    ['a body that is no JSON', parse('/v1/chat/completions', '{'), 'bad-request'],
+    ['a body that is not JSON', parse('/v1/chat/completions', '{'), 'bad-request'],
     ['a body without messages', parse('/v1/chat/completions', { model: 'drafting' }), 'bad-request'],
     ['GET on chat', parse('/v1/chat/completions', chat, {}, 'GET'), 'bad-request'],
-    ['a path that leads nowhere', parse('/x', ''), 'bad-request'],
+    ['an unknown path', parse('/x', ''), 'bad-request'],
     ['an id that is too long', parse('/v1/chat/completions', chat, { 'x-request-id': 'x'.repeat(600) }), 'bad-request'],
     ['an unknown class', parse('/v1/chat/completions', chat, { 'x-request-class': 'urgent' }), 'bad-request'],
     ['a deadline that has passed', parse('/v1/chat/completions', chat, { 'x-deadline-milliseconds': '-5' }), 'deadline-passed'],
-    ['a deadline that is no number', parse('/v1/chat/completions', chat, { 'x-deadline-milliseconds': 'soon' }), 'bad-request'],
-    ['a word on repeating that is none', parse('/v1/chat/completions', chat, { 'x-repeat': 'maybe' }), 'bad-request']
+    ['a deadline that is not a number', parse('/v1/chat/completions', chat, { 'x-deadline-milliseconds': 'soon' }), 'bad-request'],
+    ['an unknown x-repeat value', parse('/v1/chat/completions', chat, { 'x-repeat': 'maybe' }), 'bad-request']
   ]
   for (const [name, result, code] of refused) {
     it(`refuses ${name} as not run`, () => {
@@ -49,7 +49,7 @@
     })
   }
 
-  it('says that it knows no configuration yet', () => {
+  it('refuses requests until it has a configuration, with a retry time', () => {
     const result = parseCallerRequest({ method: 'GET', url: '/', headers: {}, body: Buffer.alloc(0) }, undefined, organisations, 1, 1)
     assert.ok(isFailure(result) && result.code === 'no-configuration' && result.retryAfter > 0)
   })
@@ -59,13 +59,13 @@
     ['another call of that service', parse('/services/booking/halls', ''), false],
     ['the declared path with another method', parse('/services/booking/notices', '', {}, 'GET'), false],
     ['a chat', parse('/v1/chat/completions', chat), false],
-    ['a chat whose caller asks for it', parse('/v1/chat/completions', chat, { 'x-repeat': 'never' }), true]
+    ['a chat with x-repeat: never', parse('/v1/chat/completions', chat, { 'x-repeat': 'never' }), true]
   ]
   for (const [name, result, neverRepeat] of repeats) {
     it(`${name} ${neverRepeat ? 'may not' : 'may'} repeat`, () => assert.equal(!isFailure(result) && result.neverRepeat, neverRepeat))
   }
 
-  it('does not pass the caller\'s key on, and keeps the deadline within bounds', () => {
+  it('does not forward the caller\'s key, and bounds the deadline', () => {
     const result = parse('/v1/chat/completions', chat, { 'x-deadline-milliseconds': '999999', 'content-type': 'application/json' })
     assert.ok(!isFailure(result))
     assert.deepEqual(result.headers, { 'content-type': 'application/json' })
--- a/packages/node/src/test/lib/carrier_test.ts
+++ b/packages/node/src/test/lib/carrier_test.ts
@@ -3,8 +3,8 @@
  * Copyright 2026 the drumdrift contributors
  * SPDX-License-Identifier: BSD-3-Clause
  */
-// A request ends every endpoint that runs it, and its caller sends it again under new ids. An entry that sends to agents had ten retries in
-// hand and knew no two requests for the same: endpoints broke off eight times under six sends of one request, and three times since.
+// A request crashes every endpoint that runs it, and its caller resends it under new ids. Without fingerprints, an entry with a budget of ten
+// retries did not recognise the copies as the same request: six sends crashed endpoints eight times. With them, three times.
 import assert from 'node:assert/strict'
 import { afterEach, beforeEach, describe, it, mock } from 'node:test'
 import type { AnswerHead, InstanceRecord, PeerReply, PeerRequest, RequestFailure } from '@drumdrift/core'
@@ -27,7 +27,7 @@
   instance: `agent-${index}`, availabilityZone: 'koshi', role: 'agent', address: `10.0.0.${index}:1`, endpoint: 'pool', state: 'live'
 }))
 
-/** Agents whose endpoints break off under one body, and answer any other. */
+/** Agents whose endpoints crash on one body and answer any other. */
 class FakeAgents {
   readonly broken: string[] = []
 
@@ -87,14 +87,14 @@
     return await carrier.carry({ request, sink: new Sink() }, group)
   }
 
-  it('holds a request back under which endpoints break off again and again', async () => {
+  it('holds back a request that repeatedly crashes endpoints', async () => {
     for (let count = 0; count < 5; count += 1) await carry(`fatal-${count}`, 'fatal')
     const failure = await carry('fatal-again', 'fatal')
     assert.deepEqual([agents.broken.length, failure?.code, failure?.outcome], [3, 'ends-endpoints', 'not-run'])
     assert.ok((failure?.retryAfter ?? 0) > 0)
   })
 
-  it('carries other requests of the same caller', async () => {
+  it('runs other requests of the same caller', async () => {
     for (let count = 0; count < 5; count += 1) await carry(`fatal-${count}`, 'fatal')
     assert.equal(await carry('sound', 'sound'), undefined)
   })
--- a/packages/node/src/test/lib/dispatcher_test.ts
+++ b/packages/node/src/test/lib/dispatcher_test.ts
@@ -32,7 +32,7 @@
   fail (failure: RequestFailure): void { this.failure = failure }
 }
 
-/** A dispatcher over one endpoint, whose requests end when the test says so. */
+/** A dispatcher with one endpoint, whose requests end when the test ends them. */
 class Bench {
   readonly started: { id: string, end: (failure?: RequestFailure) => void }[] = []
   readonly dispatcher: Dispatcher
@@ -79,32 +79,32 @@
     assert.equal(bench.dispatcher.inProgress, 9)
   })
 
-  it('refuses what nothing serves, at once and as not run', () => {
+  it('immediately refuses a request for an unknown group as not run', () => {
     const sink = bench.submit('r', 'a', 'nothing')
     assert.deepEqual([sink.failure?.code, sink.failure?.outcome], ['no-endpoint', 'not-run'])
   })
 
-  it('keeps an organisation to its own bound', () => {
+  it('enforces the concurrency limit of an organisation', () => {
     bench.submit('one', 'b')
     bench.submit('two', 'b')
     bench.submit('three', 'a')
     assert.deepEqual(bench.started.map(({ id }) => id), ['one', 'three'])
   })
 
-  it('forgets a caller that hangs up while it waits', () => {
+  it('removes a queued request whose caller disconnects', () => {
     const sinks = Array.from({ length: 10 }, (_, index) => bench.submit(`r${index}`))
     sinks[9]?.hangUp()
     assert.equal(bench.dispatcher.inProgress, 9)
   })
 
-  it('refuses at once, with a time to come back, what would wait too long', () => {
+  it('immediately refuses requests that would wait too long, with a retry time', () => {
     const sinks = Array.from({ length: 100 }, (_, index) => bench.submit(`r${index}`))
     const refused = sinks.filter(sink => sink.failure !== undefined)
     assert.ok(refused.length > 20, `${refused.length}`)
     assert.ok(refused.every(sink => sink.failure?.code === 'overloaded' && sink.failure.outcome === 'not-run' && sink.failure.retryAfter > 0))
   })
 
-  it('tells a caller the failure of its request, and goes on', async () => {
+  it('reports the failure of a request to its caller and releases its slot', async () => {
     const sink = bench.submit('r')
     bench.started[0]?.end(requestFailure('outcome-unknown', 'unknown', 'x'))
     await new Promise(resolve => setImmediate(resolve))
--- a/packages/node/src/test/lib/frame_test.ts
+++ b/packages/node/src/test/lib/frame_test.ts
@@ -18,7 +18,7 @@
 
 describe('FrameReader', () => {
   for (const size of [1, 3, 7, 64, 4_096, 200_000]) {
-    it(`reads what was written, ${size} bytes at a time`, () => {
+    it(`decodes frames that arrive ${size} bytes at a time`, () => {
       const reader = new FrameReader()
       const frames = []
       for (let start = 0; start < stream.length; start += size) frames.push(...reader.push(stream.subarray(start, start + size)))
@@ -27,14 +27,14 @@
     })
   }
 
-  it('writes a report of load in fewer bytes than its keys alone would take', () => {
+  it('encodes a load report in fewer bytes than its keys alone would take', () => {
     const load = { running: 9, waiting: 0, unreadTokens: 1_834, version: 1, accepting: true, pace: 1, sentRate: 0.07, entries: 98 }
     const frame = Buffer.concat(encodeFrame({ call: 1, reply: { type: 'load', load } }))
     const keys = ['call', 'reply', 'type', 'load', ...Object.keys(load)].join('').length
     assert.ok(frame.length > 0 && frame.length < keys, `${frame.length} is not below ${keys}`)
   })
 
-  it('writes a message without a payload as one buffer, and a payload as it is', () => {
+  it('encodes a message without a payload as one buffer, and does not copy a payload', () => {
     const payload = Buffer.alloc(100_000)
     assert.equal(encodeFrame({ call: 1, request: { type: 'status' } }).length, 1)
     assert.equal(encodeFrame({ call: 1, request: { type: 'status' } }, payload)[1], payload)
@@ -49,8 +49,8 @@
   const bad: [name: string, bytes: Buffer, reason: string][] = [
     ['an oversized body', header(2 ** 31, 0), 'oversized'],
     ['an oversized payload', header(1, 2 ** 31), 'oversized'],
-    ['bytes that are no cbor', Buffer.concat([header(4, 0), Buffer.from([0xff, 0xff, 0xff, 0xff])]), 'malformed'],
-    ['cbor that is no message', Buffer.concat([header(1, 0), Buffer.from([0x01])]), 'malformed'],
+    ['bytes that are not CBOR', Buffer.concat([header(4, 0), Buffer.from([0xff, 0xff, 0xff, 0xff])]), 'malformed'],
+    ['CBOR that is not a message', Buffer.concat([header(1, 0), Buffer.from([0x01])]), 'malformed'],
     ['a message without a call', Buffer.concat([header(1, 0), Buffer.from([0xa0])]), 'malformed'],
     ['HTTP', Buffer.from('GET / HTTP/1.1\r\nhost: x\r\n\r\n'), 'oversized']
   ]
@@ -58,7 +58,7 @@
     it(`refuses ${name}`, () => {
       try {
         new FrameReader().push(bytes)
-        assert.fail('it was taken')
+        assert.fail('the input was accepted')
       } catch (error) {
         const failure = failureOf(error)
         assert.equal(failure.type === 'peer-failure' ? failure.reason : failure.type, reason)
