--- a/packages/node/src/lib/entry/agent-call.ts
+++ b/packages/node/src/lib/entry/agent-call.ts
@@ -48,22 +48,22 @@
 }
 
 /** Timeouts of a call, in milliseconds. */
-export interface CallPatience {
+export interface CallTimeouts {
   readonly admission: number
   readonly firstAnswer: number
-  readonly silence: number
+  readonly betweenParts: number
 }
 
 /** A call in flight. */
 export class AgentCall {
   private readonly _stream = new AnswerStream<AnswerPiece>()
-  private _call = 0
+  private _callNumber = 0
   private _admitted = false
   private _timer: NodeJS.Timeout | undefined
-  private _finish: (end: CallEnd) => void = () => {}
+  private _resolve: (end: CallEnd) => void = () => {}
   private _ended = false
 
-  constructor (private readonly _connection: CallConnection, private readonly _patience: CallPatience, private readonly _listener: CallListener) {}
+  constructor (private readonly _connection: CallConnection, private readonly _timeouts: CallTimeouts, private readonly _listener: CallListener) {}
 
   /**
    * Sends the request and resolves with the way in which the call ended; never rejects.
@@ -73,10 +73,10 @@
    */
   send (request: PeerRequest, body: Buffer): Promise<CallEnd> {
     return new Promise(resolve => {
-      this._finish = resolve
-      this._wait(this._patience.admission)
-      this._call = this._connection.ask(request, body, {
-        reply: (reply, payload) => this._take(reply, payload),
+      this._resolve = resolve
+      this._restartTimer(this._timeouts.admission)
+      this._callNumber = this._connection.ask(request, body, {
+        reply: (reply, payload) => this._handleReply(reply, payload),
         lost: () => this._end({ type: 'lost' })
       })
     })
@@ -85,31 +85,31 @@
   /** Stops the call and sends a hang-up, upon which the agent aborts the request at its endpoint. */
   stop (): void {
     if (this._ended) return
-    this._hangUp()
+    this._sendHangUp()
     this._end({ type: 'stopped' })
   }
 
-  private _take (reply: PeerReply, payload: Buffer): void {
+  private _handleReply (reply: PeerReply, payload: Buffer): void {
     if (this._ended) return
     match(reply)
       .with({ type: 'admitted' }, ({ admission, status }) => {
         this._listener.status(status)
         if (admission.type === 'refused') return this._end({ type: 'refused', reason: admission.reason })
         this._admitted = true
-        this._wait(this._patience.firstAnswer)
+        this._restartTimer(this._timeouts.firstAnswer)
         this._listener.admitted()
       })
       .with({ type: 'head' }, ({ head }) => {
-        this._wait(this._patience.firstAnswer)
+        this._restartTimer(this._timeouts.firstAnswer)
         this._listener.head(head)
       })
       .with({ type: 'part' }, ({ sequence, events }) => {
-        this._wait(this._patience.silence)
-        this._progress(this._stream.part({ sequence, data: { bytes: payload, events } }))
+        this._restartTimer(this._timeouts.betweenParts)
+        this._handleProgress(this._stream.part({ sequence, data: { bytes: payload, events } }))
       })
       .with({ type: 'end' }, ({ count, status }) => {
         this._listener.status(status)
-        this._progress(this._stream.end(count))
+        this._handleProgress(this._stream.end(count))
       })
       .with({ type: 'broken' }, ({ detail, notRun, status }) => {
         this._listener.status(status)
@@ -119,9 +119,9 @@
       .otherwise(() => this._end({ type: 'broken', detail: `unexpected reply ${reply.type}` }))
   }
 
-  private _progress (progress: ReturnType<AnswerStream<AnswerPiece>['part']>): void {
+  private _handleProgress (progress: ReturnType<AnswerStream<AnswerPiece>['part']>): void {
     if (progress.type === 'broken') {
-      this._hangUp()
+      this._sendHangUp()
       this._end(progress)
       return
     }
@@ -132,24 +132,24 @@
     if (progress.whole) this._end({ type: 'whole' })
   }
 
-  private _wait (milliseconds: number): void {
+  private _restartTimer (milliseconds: number): void {
     clearTimeout(this._timer)
     this._timer = setTimeout(() => {
-      this._hangUp()
+      this._sendHangUp()
       this._end({ type: 'silent', admitted: this._admitted })
     }, milliseconds)
   }
 
-  private _hangUp (): void {
+  private _sendHangUp (): void {
     if (!this._connection.open) return
-    this._connection.tell({ type: 'hang-up', call: this._call })
+    this._connection.tell({ type: 'hang-up', call: this._callNumber })
   }
 
   private _end (end: CallEnd): void {
     if (this._ended) return
     this._ended = true
     clearTimeout(this._timer)
-    this._connection.forget(this._call)
-    this._finish(end)
+    this._connection.forget(this._callNumber)
+    this._resolve(end)
   }
 }
--- a/packages/node/src/lib/entry/answer-sink.ts
+++ b/packages/node/src/lib/entry/answer-sink.ts
@@ -11,7 +11,7 @@
 import type { AnswerHead, RequestFailure } from '@drumdrift/core'
 
 /** Bytes that a slow caller may leave unread before its answer is cut off. */
-const LARGEST_BACKLOG = 4 * 1024 * 1024
+const MAX_BACKLOG_BYTES = 4 * 1024 * 1024
 
 /** Receives the answer to one request. */
 export interface AnswerSink {
@@ -19,7 +19,7 @@
   readonly gone: boolean
   /** Whether the head of an answer has been written. */
   readonly begun: boolean
-  onGone (listener: () => void): void
+  onDisconnect (listener: () => void): void
   head (head: AnswerHead, instance: string): void
   /** Returns false if the caller has disconnected, or reads too slowly and its answer was cut off. */
   part (bytes: Buffer): boolean
@@ -27,7 +27,7 @@
   fail (failure: RequestFailure): void
 }
 
-const statuses: Record<RequestFailure['code'], number> = {
+const httpStatuses: Record<RequestFailure['code'], number> = {
   overloaded: 429,
   'deadline-passed': 408,
   'unknown-model': 404,
@@ -62,7 +62,7 @@
 export function writeFailure (response: ServerResponse, failure: RequestFailure): void {
   const { code, outcome, detail, retryAfter } = failure
   if (retryAfter > 0) response.setHeader('retry-after', String(Math.ceil(retryAfter / 1000)))
-  response.writeHead(statuses[code], { 'content-type': 'application/json', 'x-outcome': outcome })
+  response.writeHead(httpStatuses[code], { 'content-type': 'application/json', 'x-outcome': outcome })
   response.end(JSON.stringify({ error: { message: detail, type: 'drumdrift', code, outcome, retry_after_milliseconds: retryAfter } }))
 }
 
@@ -78,7 +78,7 @@
   get gone (): boolean { return this._gone }
   get begun (): boolean { return this._response.headersSent }
 
-  onGone (listener: () => void): void {
+  onDisconnect (listener: () => void): void {
     this._response.on('close', () => { if (!this._ended) listener() })
   }
 
@@ -92,7 +92,7 @@
   part (bytes: Buffer): boolean {
     if (this._gone) return false
     this._response.write(bytes)
-    if (this._response.writableLength <= LARGEST_BACKLOG) return true
+    if (this._response.writableLength <= MAX_BACKLOG_BYTES) return true
     this._response.destroy()
     return false
   }
--- a/packages/node/src/lib/entry/caller-request.ts
+++ b/packages/node/src/lib/entry/caller-request.ts
@@ -46,12 +46,12 @@
 const SERVICE_PATH = /^\/services\/([^/?]+)(\/.*)?$/
 const ID_PATTERN = /^[\x21-\x7e]{1,512}$/
 const PREFIX_CHARACTERS = 256
-const RETRY_AFTER_SETTINGS = 1_000
+const RETRY_WITHOUT_CONFIGURATION_MILLISECONDS = 1_000
 
-type Parsed = CallerRequest | RequestFailure
+type ParseResult = CallerRequest | RequestFailure
 
 /** Narrows a parse result to a failure. */
-export function isFailure (parsed: Parsed): parsed is RequestFailure {
+export function isFailure (parsed: ParseResult): parsed is RequestFailure {
   return 'type' in parsed && parsed.type === 'request-failure'
 }
 
@@ -59,19 +59,19 @@
  * Parses a caller's request and validates it against the current configuration.
  *
  * @param organisations Organisations by the digest of their callers' keys.
- * @param longest The default and maximum time to the deadline, in milliseconds.
+ * @param maxMilliseconds The default and maximum time to the deadline, in milliseconds.
  *
  * @example
  * const parsed = parseCallerRequest(raw, configuration, organisations, 120_000, performance.now())
  * if (isFailure(parsed)) refuse(parsed)
  */
 export function parseCallerRequest (
-  raw: RawRequest, configuration: Configuration | undefined, organisations: ReadonlyMap<string, string>, longest: number, now: number
-): Parsed {
-  if (configuration === undefined) return requestFailure('no-configuration', 'not-run', 'no configuration has been received yet', RETRY_AFTER_SETTINGS)
-  const organisation = organisations.get(digestOfText(bearer(raw.headers)))
+  raw: RawRequest, configuration: Configuration | undefined, organisations: ReadonlyMap<string, string>, maxMilliseconds: number, now: number
+): ParseResult {
+  if (configuration === undefined) return requestFailure('no-configuration', 'not-run', 'no configuration has been received yet', RETRY_WITHOUT_CONFIGURATION_MILLISECONDS)
+  const organisation = organisations.get(digestOfText(bearerToken(raw.headers)))
   if (organisation === undefined) return requestFailure('unknown-organisation', 'not-run', 'the key belongs to no organisation')
-  const common = parseCommon(raw, longest, now)
+  const common = parseCommonFields(raw, maxMilliseconds, now)
   if ('type' in common) return common
   if (raw.url === CHAT_PATH) return parseChat(raw, configuration, { ...common, organisation })
   const service = SERVICE_PATH.exec(raw.url)
@@ -79,30 +79,30 @@
   return requestFailure('bad-request', 'not-run', `no route matches ${raw.url.slice(0, 100)}`)
 }
 
-interface Common {
+interface CommonFields {
   readonly id: string
   readonly requestClass: RequestClass
   readonly deadline: number
   readonly receivedAt: number
-  readonly neverRepeatAsked: boolean
+  readonly callerForbidsRepeat: boolean
   readonly organisation?: string
 }
 
-function parseCommon (raw: RawRequest, longest: number, now: number): Common | RequestFailure {
+function parseCommonFields (raw: RawRequest, maxMilliseconds: number, now: number): CommonFields | RequestFailure {
   const id = header(raw, 'x-request-id') ?? header(raw, 'idempotency-key') ?? randomUUID()
   if (!ID_PATTERN.test(id)) return requestFailure('bad-request', 'not-run', 'x-request-id must have 1 to 512 printable characters')
   const requestClass = header(raw, 'x-request-class') ?? 'interactive'
   if (requestClass !== 'interactive' && requestClass !== 'batch') return requestFailure('bad-request', 'not-run', 'x-request-class must be interactive or batch')
-  const given = header(raw, 'x-deadline-milliseconds')
-  const remaining = given === undefined ? longest : Number(given)
+  const deadlineHeader = header(raw, 'x-deadline-milliseconds')
+  const remaining = deadlineHeader === undefined ? maxMilliseconds : Number(deadlineHeader)
   if (!Number.isFinite(remaining)) return requestFailure('bad-request', 'not-run', 'x-deadline-milliseconds must be a number')
   if (remaining <= 0) return requestFailure('deadline-passed', 'not-run', 'the deadline has already passed')
   const repeat = header(raw, 'x-repeat') ?? 'allowed'
   if (repeat !== 'allowed' && repeat !== 'never') return requestFailure('bad-request', 'not-run', 'x-repeat must be allowed or never')
-  return { id, requestClass, deadline: now + Math.min(remaining, longest), receivedAt: now, neverRepeatAsked: repeat === 'never' }
+  return { id, requestClass, deadline: now + Math.min(remaining, maxMilliseconds), receivedAt: now, callerForbidsRepeat: repeat === 'never' }
 }
 
-function parseChat (raw: RawRequest, configuration: Configuration, common: Common & { organisation: string }): Parsed {
+function parseChat (raw: RawRequest, configuration: Configuration, common: CommonFields & { organisation: string }): ParseResult {
   if (raw.method !== 'POST') return requestFailure('bad-request', 'not-run', 'chat completions require POST')
   const body = parseChatBody(raw.body)
   if (body === undefined) return requestFailure('bad-request', 'not-run', 'the body must be a JSON object with model and messages')
@@ -113,29 +113,29 @@
     kind: 'pool',
     method: 'POST',
     path: CHAT_PATH,
-    headers: forwarded(raw),
+    headers: forwardedHeaders(raw),
     body: raw.body,
     bodyDigest: digestOfText(raw.body),
-    neverRepeat: common.neverRepeatAsked,
+    neverRepeat: common.callerForbidsRepeat,
     streamed: body.stream,
     prefix: body.prefix
   }
 }
 
-function parseService (raw: RawRequest, configuration: Configuration, common: Common & { organisation: string }, service: string, path: string): Parsed {
+function parseService (raw: RawRequest, configuration: Configuration, common: CommonFields & { organisation: string }, service: string, path: string): ParseResult {
   if (!Object.hasOwn(configuration.services, service)) return requestFailure('unknown-service', 'not-run', `no service is named ${service.slice(0, 64)}`)
   const patterns = configuration.services[service]?.neverRepeat ?? []
-  const declared = patterns.some(pattern => pattern.method === raw.method && path.startsWith(pattern.pathPrefix))
+  const declaredNeverRepeat = patterns.some(pattern => pattern.method === raw.method && path.startsWith(pattern.pathPrefix))
   return {
     ...common,
     group: service,
     kind: 'service',
     method: raw.method,
     path,
-    headers: forwarded(raw),
+    headers: forwardedHeaders(raw),
     body: raw.body,
     bodyDigest: digestOfText(Buffer.concat([Buffer.from(`${raw.method} ${path}\n`), raw.body])),
-    neverRepeat: declared || common.neverRepeatAsked,
+    neverRepeat: declaredNeverRepeat || common.callerForbidsRepeat,
     streamed: false,
     prefix: ''
   }
@@ -154,7 +154,7 @@
   return { model, stream: stream === true, prefix: JSON.stringify(messages).slice(0, PREFIX_CHARACTERS) }
 }
 
-function bearer (headers: IncomingHttpHeaders): string {
+function bearerToken (headers: IncomingHttpHeaders): string {
   return /^Bearer (.+)$/i.exec(headers.authorization ?? '')?.[1] ?? ''
 }
 
@@ -164,11 +164,11 @@
 }
 
 /** Selects the headers that are forwarded to the endpoint. The caller's key and hop-by-hop headers are not. */
-function forwarded (raw: RawRequest): Record<string, string> {
-  const kept: Record<string, string> = {}
+function forwardedHeaders (raw: RawRequest): Record<string, string> {
+  const headers: Record<string, string> = {}
   for (const name of ['content-type', 'accept', 'accept-language', 'user-agent']) {
     const value = header(raw, name)
-    if (value !== undefined) kept[name] = value
+    if (value !== undefined) headers[name] = value
   }
-  return kept
+  return headers
 }
--- a/packages/node/src/lib/entry/dispatcher.ts
+++ b/packages/node/src/lib/entry/dispatcher.ts
@@ -21,44 +21,44 @@
 }
 
 /** Runs a request that the dispatcher has started. Returns a failure, or `undefined` if there is nothing to report. */
-export type Carrier = (job: Job, group: Group<Job>) => Promise<RequestFailure | undefined>
+export type JobHandler = (job: Job, group: Group<Job>) => Promise<RequestFailure | undefined>
 
 /** Limits of the dispatcher; times in milliseconds. */
 export interface DispatcherPolicy {
-  readonly queueLength: number
-  readonly longestWait: number
+  readonly maxQueueLength: number
+  readonly maxWait: number
   readonly choice: ChoicePolicy
   readonly queueing: 'fair' | 'first-in-first-out'
   /** The maximum number of retries, as a share of first attempts. */
   readonly retryRatio: number
 }
 
-const SWEEP = 25
+const SWEEP_INTERVAL_MILLISECONDS = 25
 const DEFAULT_WEIGHT = 1
-const RETRY_WHEN_FULL = 1_000
-const LEAST_RETRY = 500
+const DEFAULT_RETRY_MILLISECONDS = 1_000
+const MIN_RETRY_MILLISECONDS = 500
 /**
  * A request is queued only if its expected wait is below this share of its allowed wait. Waits grow when organisations
  * with smaller backlogs send requests, and a request should be refused on arrival rather than after it has waited.
  */
-const CERTAINTY = 0.5
+const MAX_EXPECTED_WAIT_SHARE = 0.5
 
 /** Queues and starts the requests of one entry. */
 export class Dispatcher {
   private readonly _groups = new Map<string, Group<Job>>()
   private readonly _timer: NodeJS.Timeout
-  private readonly _idle = new Set<() => void>()
+  private readonly _idleListeners = new Set<() => void>()
   private _configuration: Configuration | undefined
   private _accepted = 0
 
   constructor (
-    private readonly _self: Candidate,
+    private readonly _ownEntry: Candidate,
     private readonly _policy: DispatcherPolicy,
-    private readonly _carry: Carrier,
+    private readonly _handleJob: JobHandler,
     private readonly _histograms: Histograms,
     private readonly _counters: Counters
   ) {
-    this._timer = setInterval(() => this._sweep(), SWEEP)
+    this._timer = setInterval(() => this._sweep(), SWEEP_INTERVAL_MILLISECONDS)
   }
 
   /** Number of requests that are accepted and not yet answered. */
@@ -70,11 +70,11 @@
   apply (configuration: Configuration, instances: readonly InstanceRecord[]): void {
     this._configuration = configuration
     const draining = new Set(configuration.draining)
-    const entries = instances.filter(record => record.role === 'entry' && record.availabilityZone === this._self.availabilityZone).map(record => record.instance).sort()
-    const index = Math.max(0, entries.indexOf(this._self.instance))
+    const entries = instances.filter(record => record.role === 'entry' && record.availabilityZone === this._ownEntry.availabilityZone).map(record => record.instance).sort()
+    const index = Math.max(0, entries.indexOf(this._ownEntry.instance))
     const usable = instances.filter(record => record.role === 'agent' && record.state === 'live' && !draining.has(record.instance))
     for (const name of [...Object.keys(configuration.pools), ...Object.keys(configuration.services)]) {
-      const group = this._groups.get(name) ?? new Group<Job>(name, this._self, this._policy, Math.random)
+      const group = this._groups.get(name) ?? new Group<Job>(name, this._ownEntry, this._policy, Math.random)
       this._groups.set(name, group)
       group.setEndpoints(usable.filter(record => record.endpoint === name), index)
     }
@@ -92,22 +92,22 @@
   submit (job: Job): void {
     const { request, sink } = job
     const group = this._groups.get(request.group)
-    const refusal = group === undefined ? requestFailure('no-endpoint', 'not-run', 'no endpoint serves this group yet', RETRY_WHEN_FULL) : this._refusal(request, group)
+    const refusal = group === undefined ? requestFailure('no-endpoint', 'not-run', 'no endpoint serves this group yet', DEFAULT_RETRY_MILLISECONDS) : this._admissionFailure(request, group)
     if (group === undefined || refusal !== undefined) {
-      this._finish(job, refusal)
+      this._complete(job, refusal)
       return
     }
     this._accepted += 1
-    const deadline = Math.min(request.deadline, request.receivedAt + this._policy.longestWait)
+    const deadline = Math.min(request.deadline, request.receivedAt + this._policy.maxWait)
     const waiting = group.queue.add(job, { ...this._flow(request), now: request.receivedAt, deadline })
-    sink.onGone(() => { if (group.queue.remove(waiting)) this._release() })
-    this._pump(group)
+    sink.onDisconnect(() => { if (group.queue.remove(waiting)) this._releaseAccepted() })
+    this._startQueued(group)
   }
 
   /** Resolves when every accepted request has been answered. */
   async idle (): Promise<void> {
     if (this._accepted === 0) return
-    await new Promise<void>(resolve => this._idle.add(resolve))
+    await new Promise<void>(resolve => this._idleListeners.add(resolve))
   }
 
   /** Returns the fair-queueing flow of a request. */
@@ -116,16 +116,16 @@
     return { organisation, requestClass, weight: this._weight(organisation) }
   }
 
-  private _refusal (request: CallerRequest, group: Group<Job>): RequestFailure | undefined {
-    if (!group.listed) return requestFailure('no-endpoint', 'not-run', 'no endpoint is listed', RETRY_WHEN_FULL)
+  private _admissionFailure (request: CallerRequest, group: Group<Job>): RequestFailure | undefined {
+    if (!group.hasEndpoints) return requestFailure('no-endpoint', 'not-run', 'no endpoint is listed', DEFAULT_RETRY_MILLISECONDS)
     const wait = group.expectedWait(this._flow(request).organisation, organisation => this._weight(organisation))
-    if (group.queue.size >= this._policy.queueLength) return requestFailure('overloaded', 'not-run', 'the queue is full', Math.max(RETRY_WHEN_FULL, wait))
-    const allowed = Math.min(this._policy.longestWait, request.deadline - request.receivedAt)
-    if (wait <= allowed * CERTAINTY) return undefined
-    return requestFailure('overloaded', 'not-run', `the expected wait is ${Math.round(wait)} ms`, Math.max(LEAST_RETRY, wait))
+    if (group.queue.size >= this._policy.maxQueueLength) return requestFailure('overloaded', 'not-run', 'the queue is full', Math.max(DEFAULT_RETRY_MILLISECONDS, wait))
+    const allowed = Math.min(this._policy.maxWait, request.deadline - request.receivedAt)
+    if (wait <= allowed * MAX_EXPECTED_WAIT_SHARE) return undefined
+    return requestFailure('overloaded', 'not-run', `the expected wait is ${Math.round(wait)} ms`, Math.max(MIN_RETRY_MILLISECONDS, wait))
   }
 
-  private _pump (group: Group<Job>): void {
+  private _startQueued (group: Group<Job>): void {
     while (group.running < group.limit.limit) {
       const waiting = group.queue.take(organisation => this._mayStart(group, organisation))
       if (waiting === undefined) return
@@ -134,8 +134,8 @@
   }
 
   private _mayStart (group: Group<Job>, organisation: string): boolean {
-    const most = this._configuration?.organisations[organisation]?.inProgress
-    return most === undefined || (group.inProgress.get(organisation) ?? 0) < most
+    const maximum = this._configuration?.organisations[organisation]?.inProgress
+    return maximum === undefined || (group.inProgress.get(organisation) ?? 0) < maximum
   }
 
   private async _start (waiting: Waiting<Job>, group: Group<Job>): Promise<void> {
@@ -143,56 +143,56 @@
     const startedAt = performance.now()
     this._histograms.record({ measure: 'queueing', organisation: request.organisation, requestClass: request.requestClass }, startedAt - waiting.enqueuedAt)
     group.started(request.organisation, startedAt)
-    const failure = await this._carryOut(waiting.item, group)
+    const failure = await this._handleSafely(waiting.item, group)
     group.ended(request.organisation, performance.now() - startedAt)
-    this._finish(waiting.item, failure)
-    this._release()
-    this._pump(group)
+    this._complete(waiting.item, failure)
+    this._releaseAccepted()
+    this._startQueued(group)
   }
 
   /** Turns an exception into a failure, so that a bug neither occupies a slot forever nor leaves the caller without an answer. */
-  private async _carryOut (job: Job, group: Group<Job>): Promise<RequestFailure | undefined> {
+  private async _handleSafely (job: Job, group: Group<Job>): Promise<RequestFailure | undefined> {
     try {
-      return await this._carry(job, group)
+      return await this._handleJob(job, group)
     } catch (error) {
       this._counters.add('faults')
       return requestFailure('outcome-unknown', 'unknown', error instanceof Error ? error.message : 'unknown error')
     }
   }
 
-  private _finish ({ request, sink }: Job, failure: RequestFailure | undefined): void {
+  private _complete ({ request, sink }: Job, failure: RequestFailure | undefined): void {
     const { organisation, requestClass } = request
-    const took = performance.now() - request.receivedAt
+    const elapsed = performance.now() - request.receivedAt
     if (failure === undefined) {
       this._counters.add(sink.gone ? 'answers_abandoned' : 'answers_whole')
-      this._histograms.record({ measure: 'whole-answer', organisation, requestClass }, took)
+      this._histograms.record({ measure: 'whole-answer', organisation, requestClass }, elapsed)
       return
     }
     this._counters.add(`answers_${failure.code.replaceAll('-', '_')}`)
-    this._histograms.record({ measure: 'refusal', organisation, requestClass }, took)
+    this._histograms.record({ measure: 'refusal', organisation, requestClass }, elapsed)
     sink.fail(failure)
   }
 
-  private _release (): void {
+  private _releaseAccepted (): void {
     this._accepted -= 1
-    if (this._accepted === 0) for (const listener of this._idle) listener()
+    if (this._accepted === 0) for (const listener of this._idleListeners) listener()
   }
 
   private _sweep (): void {
     const now = performance.now()
     for (const group of this._groups.values()) {
       for (const waiting of group.queue.expire(now)) {
-        this._finish(waiting.item, this._tooLate(waiting, group, now))
-        this._release()
+        this._complete(waiting.item, this._expiryFailure(waiting, group, now))
+        this._releaseAccepted()
       }
-      this._pump(group)
+      this._startQueued(group)
     }
   }
 
-  private _tooLate (waiting: Waiting<Job>, group: Group<Job>, now: number): RequestFailure {
+  private _expiryFailure (waiting: Waiting<Job>, group: Group<Job>, now: number): RequestFailure {
     if (waiting.item.request.deadline <= now) return requestFailure('deadline-passed', 'not-run', 'the deadline passed before the request started')
     const wait = group.expectedWait(waiting.organisation, organisation => this._weight(organisation))
-    return requestFailure('overloaded', 'not-run', 'the request could not start in time', Math.max(LEAST_RETRY, wait))
+    return requestFailure('overloaded', 'not-run', 'the request could not start in time', Math.max(MIN_RETRY_MILLISECONDS, wait))
   }
 
   private _weight (organisation: string): number {
--- a/packages/node/src/lib/entry/entry.ts
+++ b/packages/node/src/lib/entry/entry.ts
@@ -27,8 +27,8 @@
 import { OnceCarrier } from './once-carrier.js'
 
 const KIBIBYTE = 1024
-const ADMISSION_PATIENCE = 1_000
-const FLUSH_PAUSE = 100
+const ADMISSION_TIMEOUT_MILLISECONDS = 1_000
+const FLUSH_MILLISECONDS = 100
 
 /** An entry process. */
 export class EntryProcess {
@@ -43,7 +43,7 @@
   private readonly _dispatcher: Dispatcher
   private readonly _front: HttpFront
   private _organisations: ReadonlyMap<string, string> = new Map()
-  private _leaving = false
+  private _draining = false
 
   constructor (private readonly _settings: Settings, private readonly _log: Log) {
     const text = (section: string, key: string): string => _settings.text(section, key)
@@ -53,23 +53,23 @@
     this._pool = new PeerPool({ instance: this._name, key: text('peers', 'key') }, this._traffic)
     const platform = new HttpPlatform({ configuration: text('platform', 'configuration'), instances: text('platform', 'instances'), store: '', origin: '' })
     this._spread = new SpreadRunner({
-      self: spreadSelf(_settings), platform, pool: this._pool, log: _log, counters: this._counters, onAdopted: () => this._apply()
+      self: spreadSelf(_settings), platform, pool: this._pool, log: _log, counters: this._counters, onAdopted: () => this._applyPublishedState()
     })
-    const patience = { admission: ADMISSION_PATIENCE, firstAnswer: milliseconds('first-answer-seconds'), silence: milliseconds('silence-seconds') }
+    const patience = { admission: ADMISSION_TIMEOUT_MILLISECONDS, firstAnswer: milliseconds('first-answer-seconds'), betweenParts: milliseconds('silence-seconds') }
     const once = new OnceCarrier({
       incarnation: this.incarnation, pool: this._pool, patience, agents: () => this._spread.spread.instances.filter(record => record.role === 'agent')
     })
     const carrier = new RequestCarrier({ pool: this._pool, once, patience, histograms: this._histograms, counters: this._counters, fingerprint: request => fingerprintOf(text('peers', 'key'), request) })
-    const policy = { queueLength: _settings.number('requests', 'queue-length'), longestWait: milliseconds('queue-seconds'), choice: text('requests', 'choice') as ChoicePolicy, queueing: text('requests', 'queueing') as DispatcherPolicy['queueing'], retryRatio: _settings.number('requests', 'retry-percent') / 100 }
+    const policy = { maxQueueLength: _settings.number('requests', 'queue-length'), maxWait: milliseconds('queue-seconds'), choice: text('requests', 'choice') as ChoicePolicy, queueing: text('requests', 'queueing') as DispatcherPolicy['queueing'], retryRatio: _settings.number('requests', 'retry-percent') / 100 }
     const self = { instance: this._name, availabilityZone: text('process', 'availability-zone') }
-    this._dispatcher = new Dispatcher(self, policy, (job, group) => carrier.carry(job, group), this._histograms, this._counters)
+    this._dispatcher = new Dispatcher(self, policy, (job, group) => carrier.execute(job, group), this._histograms, this._counters)
     const desk = new OperatorDesk({
       keys: _settings.list('operators', 'keys'), spread: this._spread.spread, pool: this._pool, log: _log, counters: this._counters, histograms: this._histograms, self: () => this.status()
     })
     this._front = new HttpFront({
       address: text('process', 'http-address'),
-      largestBody: _settings.number('requests', 'largest-body-kilobytes') * KIBIBYTE,
-      longestDeadline: milliseconds('deadline-seconds'),
+      maxBodyBytes: _settings.number('requests', 'largest-body-kilobytes') * KIBIBYTE,
+      maxDeadline: milliseconds('deadline-seconds'),
       dispatcher: this._dispatcher,
       configuration: () => this._spread.spread.configuration,
       organisations: () => this._organisations,
@@ -80,7 +80,7 @@
       histograms: this._histograms
     })
     this._server = new PeerServer({
-      instance: this._name, address: text('process', 'address'), key: text('peers', 'key'), log: _log, traffic: this._traffic, onRequest: (request, _payload, responder) => this._answer(request, responder)
+      instance: this._name, address: text('process', 'address'), key: text('peers', 'key'), log: _log, traffic: this._traffic, onRequest: (request, _payload, responder) => this._handlePeerRequest(request, responder)
     })
   }
 
@@ -97,11 +97,11 @@
    * @returns The number of requests that were cut off when `stop-patience-seconds` had elapsed.
    */
   async stop (): Promise<number> {
-    this._leave()
+    this._startDraining()
     const patience = this._settings.number('process', 'stop-patience-seconds') * 1000
     await Promise.race([this._dispatcher.idle(), new Promise(resolve => setTimeout(resolve, patience).unref())])
     const cut = this._dispatcher.inProgress
-    await new Promise(resolve => setTimeout(resolve, FLUSH_PAUSE))
+    await new Promise(resolve => setTimeout(resolve, FLUSH_MILLISECONDS))
     this._front.close()
     this._dispatcher.close()
     this._spread.close()
@@ -120,7 +120,7 @@
       role: 'entry',
       endpoint: '',
       incarnation: this.incarnation,
-      lifecycle: this._leaving ? 'draining' : 'serving',
+      lifecycle: this._draining ? 'draining' : 'serving',
       revisions,
       ages,
       wanted: '',
@@ -134,36 +134,36 @@
     }
   }
 
-  private _leave (): void {
-    if (this._leaving) return
-    this._leaving = true
+  private _startDraining (): void {
+    if (this._draining) return
+    this._draining = true
     this._front.leave()
     this._log.info('entry-draining', { running: this._dispatcher.inProgress })
   }
 
-  private _apply (): void {
+  private _applyPublishedState (): void {
     const { configuration, instances } = this._spread.spread
     if (configuration === undefined) return
     this._organisations = new Map(Object.entries(configuration.organisations).flatMap(([organisation, { keyDigests }]) => keyDigests.map(digest => [digest, organisation] as const)))
     this._dispatcher.apply(configuration, instances)
     const listed = instances.find(record => record.instance === this._name)
-    if (listed?.state === 'leaving' || configuration.draining.includes(this._name)) this._leave()
+    if (listed?.state === 'leaving' || configuration.draining.includes(this._name)) this._startDraining()
   }
 
-  private _answer (request: PeerRequest, responder: Responder): void {
+  private _handlePeerRequest (request: PeerRequest, responder: Responder): void {
     if (request.type === 'compare') this._spread.compared(request, responder)
     else if (request.type === 'push') this._spread.pushed(request, responder)
     else if (request.type === 'status') responder.send({ type: 'status', status: this.status() })
-    else if (request.type === 'leave') this._ordered(request, responder)
+    else if (request.type === 'leave') this._handleLeave(request, responder)
     else responder.send({ type: 'refused', reason: 'not-supported', detail: 'an entry does not support this request' })
   }
 
-  private _ordered (request: Extract<PeerRequest, { type: 'leave' }>, responder: Responder): void {
+  private _handleLeave (request: Extract<PeerRequest, { type: 'leave' }>, responder: Responder): void {
     if (request.incarnation !== this.incarnation) {
       responder.send({ type: 'refused', reason: 'wrong-incarnation', detail: `the current incarnation is ${this.incarnation}` })
       return
     }
-    this._leave()
+    this._startDraining()
     this._log.info('leave-ordered', { operator: request.operator, lifecycle: request.lifecycle })
     responder.send({ type: 'left', lifecycle: 'draining' })
   }
--- a/packages/node/src/lib/entry/group.ts
+++ b/packages/node/src/lib/entry/group.ts
@@ -16,26 +16,26 @@
 const SUBSET_SIZE = 24
 /** Slots that an endpoint is assumed to have until it reports its status. */
 const ASSUMED_SLOTS = 8
-const LEAST_LIMIT = 1
+const MIN_LIMIT = 1
 /** Weight of the newest sample in the exponentially weighted moving average of request durations. */
-const SMOOTHING = 0.1
+const DURATION_SMOOTHING = 0.1
 /** Initial value of the mean request duration, in milliseconds. */
-const FIRST_DURATION = 300
+const INITIAL_DURATION_MILLISECONDS = 300
 
 /** The state of one group at one entry. */
 export class Group<Item> {
   readonly queue = new FairQueue<Item>()
   readonly budget: RetryBudget
   readonly choice: EndpointChoice
-  readonly limit = new ConcurrencyLimit(LEAST_LIMIT, ASSUMED_SLOTS)
+  readonly limit = new ConcurrencyLimit(MIN_LIMIT, ASSUMED_SLOTS)
   readonly inProgress = new Map<string, number>()
   private readonly _ejection = new Ejection()
   private _records: readonly InstanceRecord[] = []
   private _running = 0
-  private _meanDuration = FIRST_DURATION
+  private _meanDuration = INITIAL_DURATION_MILLISECONDS
   /** Interval between starts, overall and for each organisation with queued requests. */
-  private readonly _pace = new StartPace()
-  private readonly _paces = new Map<string, StartPace>()
+  private readonly _startPace = new StartPace()
+  private readonly _organisationPaces = new Map<string, StartPace>()
 
   constructor (readonly name: string, self: Candidate, policy: { readonly choice: ChoicePolicy, readonly retryRatio: number }, random: () => number) {
     this.choice = new EndpointChoice(self, random, policy.choice)
@@ -44,7 +44,7 @@
 
   get running (): number { return this._running }
   /** Whether the group has any endpoint. */
-  get listed (): boolean { return this._records.length > 0 }
+  get hasEndpoints (): boolean { return this._records.length > 0 }
 
   /**
    * Sets the endpoints of the group to a subset per zone of those listed.
@@ -53,27 +53,27 @@
    * @param index The index of this entry among the entries of its zone.
    */
   setEndpoints (listed: readonly InstanceRecord[], index: number): void {
-    const records = subsetOfZones(listed, index)
+    const records = zoneSubsets(listed, index)
     this._records = records
     const names = new Set(records.map(record => record.instance))
     this.choice.retain(names)
     this._ejection.retain(names)
-    this._resize()
+    this._updateLimit()
   }
 
   /** Chooses an endpoint that is not in `tried` and, unless `version` is empty, serves that version. */
   choose (prefix: string, tried: ReadonlySet<string>, version: string, now: number): InstanceRecord | undefined {
-    const fresh = this._records.filter(record => !tried.has(record.instance) && this._hasVersion(record.instance, version))
-    const usable = new Set(this._ejection.usable(fresh.map(record => record.instance), now))
-    const instance = this.choice.choose(fresh.filter(record => usable.has(record.instance)), prefix, now)
+    const untried = this._records.filter(record => !tried.has(record.instance) && this._hasVersion(record.instance, version))
+    const usable = new Set(this._ejection.usable(untried.map(record => record.instance), now))
+    const instance = this.choice.choose(untried.filter(record => usable.has(record.instance)), prefix, now)
     return this._records.find(record => record.instance === instance)
   }
 
   /** Records that a request of an organisation starts. */
   started (organisation: string, now: number): void {
-    this._pace.started(this.queue.size > 0, now)
+    this._startPace.started(this.queue.size > 0, now)
     this._paceOf(organisation).started(this.queue.sizeOf(organisation) > 0, now)
-    if (this.queue.sizeOf(organisation) === 0) this._paces.delete(organisation)
+    if (this.queue.sizeOf(organisation) === 0) this._organisationPaces.delete(organisation)
     this._running += 1
     this.inProgress.set(organisation, (this.inProgress.get(organisation) ?? 0) + 1)
   }
@@ -85,35 +85,35 @@
    */
   ended (organisation: string, duration: number): void {
     this._running -= 1
-    this._meanDuration += SMOOTHING * (duration - this._meanDuration)
-    const left = (this.inProgress.get(organisation) ?? 1) - 1
-    if (left > 0) this.inProgress.set(organisation, left)
+    this._meanDuration += DURATION_SMOOTHING * (duration - this._meanDuration)
+    const remaining = (this.inProgress.get(organisation) ?? 1) - 1
+    if (remaining > 0) this.inProgress.set(organisation, remaining)
     else this.inProgress.delete(organisation)
   }
 
   /** Estimates how long a new request of an organisation would be queued at the present rate of starts, in milliseconds. */
   expectedWait (organisation: string, weightOf: (organisation: string) => number): number {
     if (this._running < this.limit.limit && this.queue.size === 0) return 0
-    const own = weightOf(organisation)
-    const others = this.queue.waitingWeight(weightOf) - (this.queue.sizeOf(organisation) > 0 ? own : 0)
-    const ahead = Math.min(this.queue.size, this.queue.sizeOf(organisation) * (own + others) / own)
-    const byAll = (ahead + 1) * Math.max(this._pace.interval, this._meanDuration / this.limit.limit)
-    const byOwn = (this.queue.sizeOf(organisation) + 1) * (this._paces.get(organisation)?.interval ?? 0)
-    return Math.max(byAll, byOwn)
+    const ownWeight = weightOf(organisation)
+    const otherWeight = this.queue.waitingWeight(weightOf) - (this.queue.sizeOf(organisation) > 0 ? ownWeight : 0)
+    const ahead = Math.min(this.queue.size, this.queue.sizeOf(organisation) * (ownWeight + otherWeight) / ownWeight)
+    const overallWait = (ahead + 1) * Math.max(this._startPace.interval, this._meanDuration / this.limit.limit)
+    const organisationWait = (this.queue.sizeOf(organisation) + 1) * (this._organisationPaces.get(organisation)?.interval ?? 0)
+    return Math.max(overallWait, organisationWait)
   }
 
-  sent (instance: string): void {
+  callStarted (instance: string): void {
     this.choice.sent(instance)
     this._ejection.chosen(instance)
   }
 
-  heard (instance: string, status: EndpointStatus): void {
+  updateStatus (instance: string, status: EndpointStatus): void {
     this.choice.heard(instance, status)
-    this._resize()
+    this._updateLimit()
   }
 
   /** Records that a call to an instance has ended. */
-  finished (instance: string, health: 'good' | 'bad' | 'unclear', now: number): void {
+  callEnded (instance: string, health: 'good' | 'bad' | 'unclear', now: number): void {
     this.choice.ended(instance)
     if (health === 'good') this._ejection.succeeded(instance)
     else if (health === 'bad') this._ejection.failed(instance, now)
@@ -121,8 +121,8 @@
   }
 
   private _paceOf (organisation: string): StartPace {
-    const pace = this._paces.get(organisation) ?? new StartPace()
-    this._paces.set(organisation, pace)
+    const pace = this._organisationPaces.get(organisation) ?? new StartPace()
+    this._organisationPaces.set(organisation, pace)
     return pace
   }
 
@@ -130,12 +130,12 @@
     return version === '' || this.choice.status(instance)?.version === version
   }
 
-  private _resize (): void {
+  private _updateLimit (): void {
     this.limit.setMost(this.choice.slots(this._records.map(record => record.instance), ASSUMED_SLOTS))
   }
 }
 
-function subsetOfZones (records: readonly InstanceRecord[], index: number): InstanceRecord[] {
+function zoneSubsets (records: readonly InstanceRecord[], index: number): InstanceRecord[] {
   const zones = new Set(records.map(record => record.availabilityZone))
   const kept = new Set([...zones].flatMap(zone => {
     const members = records.filter(record => record.availabilityZone === zone)
--- a/packages/node/src/lib/entry/http-front.ts
+++ b/packages/node/src/lib/entry/http-front.ts
@@ -20,11 +20,11 @@
 export type OperatorHandler = (request: IncomingMessage, body: Buffer) => Promise<{ readonly status: number, readonly type: string, readonly body: string }>
 
 /** Dependencies and limits of the HTTP server. */
-export interface HttpFrontParts {
+export interface HttpFrontOptions {
   readonly address: string
-  readonly largestBody: number
+  readonly maxBodyBytes: number
   /** The default and maximum time to a deadline, in milliseconds. */
-  readonly longestDeadline: number
+  readonly maxDeadline: number
   readonly dispatcher: Dispatcher
   readonly configuration: () => Configuration | undefined
   /** Organisations by the digest of their callers' keys. */
@@ -39,28 +39,28 @@
 
 type Route = (request: IncomingMessage, response: ServerResponse) => void | Promise<void>
 
-const LARGEST_HEADERS = 16 * 1024
-const MOST_CONNECTIONS = 8_192
-const REQUEST_PATIENCE = 30_000
-const RETRY_WHEN_LEAVING = 1_000
+const MAX_HEADER_BYTES = 16 * 1024
+const MAX_CONNECTIONS = 8_192
+const REQUEST_TIMEOUT_MILLISECONDS = 30_000
+const UNAVAILABLE_RETRY_MILLISECONDS = 1_000
 
 /** The HTTP server of one entry. */
 export class HttpFront {
   private readonly _server: Server
-  private _leaving = false
+  private _draining = false
 
-  constructor (private readonly _parts: HttpFrontParts) {
-    this._server = createServer({ maxHeaderSize: LARGEST_HEADERS, requestTimeout: REQUEST_PATIENCE }, (request, response) => {
+  constructor (private readonly _options: HttpFrontOptions) {
+    this._server = createServer({ maxHeaderSize: MAX_HEADER_BYTES, requestTimeout: REQUEST_TIMEOUT_MILLISECONDS }, (request, response) => {
       this._route(request, response)
     })
-    this._server.maxConnections = MOST_CONNECTIONS
+    this._server.maxConnections = MAX_CONNECTIONS
   }
 
-  listen (): Promise<void> { return listenAt(this._server, this._parts.address) }
+  listen (): Promise<void> { return listenAt(this._server, this._options.address) }
 
   /** Starts to drain: new requests are refused as not run, and accepted requests continue. */
   leave (): void {
-    this._leaving = true
+    this._draining = true
   }
 
   close (): void {
@@ -69,78 +69,78 @@
   }
 
   private readonly _routes: Readonly<Record<string, Route>> = {
-    '/health': (_request, response) => { response.writeHead(this._leaving ? 503 : 200).end() },
-    '/metrics': async (_request, response) => { response.end(await metricsText(this._parts.counters, this._parts.histograms)) },
-    '/v1/models': (_request, response) => { this._models(response) },
-    '/v1/request-ids': async (_request, response) => { await this._issue(response) },
-    '/operator/ask': async (request, response) => { await this._operator(request, response) },
-    '/operator/histograms': async (request, response) => { await this._operator(request, response) }
+    '/health': (_request, response) => { response.writeHead(this._draining ? 503 : 200).end() },
+    '/metrics': async (_request, response) => { response.end(await metricsText(this._options.counters, this._options.histograms)) },
+    '/v1/models': (_request, response) => { this._listModels(response) },
+    '/v1/request-ids': async (_request, response) => { await this._issueId(response) },
+    '/operator/ask': async (request, response) => { await this._handleOperator(request, response) },
+    '/operator/histograms': async (request, response) => { await this._handleOperator(request, response) }
   }
 
   private async _route (request: IncomingMessage, response: ServerResponse): Promise<void> {
     const path = (request.url ?? '/').split('?')[0] ?? '/'
     const route = Object.hasOwn(this._routes, path) ? this._routes[path] : undefined
     try {
-      if (route === undefined) await this._caller(request, response)
+      if (route === undefined) await this._handleCaller(request, response)
       else await route(request, response)
     } catch (error) {
-      this._parts.log.error('request-failed', { path: path.slice(0, 100), detail: error instanceof Error ? error.message : '' })
+      this._options.log.error('request-failed', { path: path.slice(0, 100), detail: error instanceof Error ? error.message : '' })
       if (!response.headersSent) writeFailure(response, requestFailure('bad-request', 'not-run', 'the request could not be read'))
     }
   }
 
-  private async _caller (request: IncomingMessage, response: ServerResponse): Promise<void> {
+  private async _handleCaller (request: IncomingMessage, response: ServerResponse): Promise<void> {
     const now = performance.now()
-    if (this._leaving) {
+    if (this._draining) {
       response.setHeader('connection', 'close')
-      writeFailure(response, requestFailure('leaving', 'not-run', 'this entry is draining', RETRY_WHEN_LEAVING))
+      writeFailure(response, requestFailure('leaving', 'not-run', 'this entry is draining', UNAVAILABLE_RETRY_MILLISECONDS))
       return
     }
-    const body = await readBody(request, this._parts.largestBody)
+    const body = await readBody(request, this._options.maxBodyBytes)
     if (body === undefined) {
       response.setHeader('connection', 'close')
-      writeFailure(response, requestFailure('body-too-large', 'not-run', `the body exceeds the limit of ${this._parts.largestBody} bytes`))
+      writeFailure(response, requestFailure('body-too-large', 'not-run', `the body exceeds the limit of ${this._options.maxBodyBytes} bytes`))
       return
     }
     const raw = { method: request.method ?? 'GET', url: request.url ?? '/', headers: request.headers, body }
-    const parsed = parseCallerRequest(raw, this._parts.configuration(), this._parts.organisations(), this._parts.longestDeadline, now)
+    const parsed = parseCallerRequest(raw, this._options.configuration(), this._options.organisations(), this._options.maxDeadline, now)
     if (isFailure(parsed)) {
-      this._parts.counters.add(`answers_${parsed.code.replaceAll('-', '_')}`)
+      this._options.counters.add(`answers_${parsed.code.replaceAll('-', '_')}`)
       writeFailure(response, parsed)
       return
     }
-    this._parts.dispatcher.submit({ request: parsed, sink: new HttpAnswerSink(response, parsed.id) })
+    this._options.dispatcher.submit({ request: parsed, sink: new HttpAnswerSink(response, parsed.id) })
   }
 
-  private _models (response: ServerResponse): void {
-    const pools = Object.keys(this._parts.configuration()?.pools ?? {})
+  private _listModels (response: ServerResponse): void {
+    const pools = Object.keys(this._options.configuration()?.pools ?? {})
     response.writeHead(200, { 'content-type': 'application/json' })
     response.end(JSON.stringify({ object: 'list', data: pools.map(id => ({ id, object: 'model', owned_by: 'drumdrift' })) }))
   }
 
-  private async _issue (response: ServerResponse): Promise<void> {
-    const id = await this._parts.issueId()
+  private async _issueId (response: ServerResponse): Promise<void> {
+    const id = await this._options.issueId()
     if (id === undefined) {
-      writeFailure(response, requestFailure('no-endpoint', 'not-run', 'too few keepers are reachable', RETRY_WHEN_LEAVING))
+      writeFailure(response, requestFailure('no-endpoint', 'not-run', 'too few keepers are reachable', UNAVAILABLE_RETRY_MILLISECONDS))
       return
     }
     response.writeHead(200, { 'content-type': 'application/json' }).end(JSON.stringify({ id }))
   }
 
-  private async _operator (request: IncomingMessage, response: ServerResponse): Promise<void> {
-    const body = await readBody(request, this._parts.largestBody)
-    const answer = await this._parts.operator(request, body ?? Buffer.alloc(0))
+  private async _handleOperator (request: IncomingMessage, response: ServerResponse): Promise<void> {
+    const body = await readBody(request, this._options.maxBodyBytes)
+    const answer = await this._options.operator(request, body ?? Buffer.alloc(0))
     response.writeHead(answer.status, { 'content-type': answer.type }).end(answer.body)
   }
 }
 
 /** Reads a body. Returns `undefined` if it exceeds the limit. */
-async function readBody (request: IncomingMessage, largest: number): Promise<Buffer | undefined> {
+async function readBody (request: IncomingMessage, maxBytes: number): Promise<Buffer | undefined> {
   const pieces: Buffer[] = []
   let length = 0
   for await (const piece of request) {
     length += (piece as Buffer).length
-    if (length > largest) return undefined
+    if (length > maxBytes) return undefined
     pieces.push(piece as Buffer)
   }
   return Buffer.concat(pieces, length)
--- a/packages/node/src/lib/entry/start-pace.ts
+++ b/packages/node/src/lib/entry/start-pace.ts
@@ -5,7 +5,7 @@
  */
 /** Measures the rate at which a queue drains: the interval between starts while other requests wait. */
 const SMOOTHING = 0.1
-const LONGEST_INTERVAL = 1_000
+const MAX_INTERVAL_MILLISECONDS = 1_000
 
 /** An exponentially weighted moving average of the interval between the starts of one queue. */
 export class StartPace {
@@ -23,12 +23,12 @@
    * pace.started(queue.size > 0, now)
    */
   started (backlogged: boolean, now: number): void {
-    if (this._startedAt !== undefined) this._observe(Math.min(LONGEST_INTERVAL, now - this._startedAt))
+    if (this._startedAt !== undefined) this._observe(Math.min(MAX_INTERVAL_MILLISECONDS, now - this._startedAt))
     this._startedAt = backlogged ? now : undefined
     if (!backlogged) this._interval = 0
   }
 
-  private _observe (since: number): void {
-    this._interval = this._interval === 0 ? since : this._interval + SMOOTHING * (since - this._interval)
+  private _observe (elapsed: number): void {
+    this._interval = this._interval === 0 ? elapsed : this._interval + SMOOTHING * (elapsed - this._interval)
   }
 }
--- a/packages/node/src/lib/peer/connection.ts
+++ b/packages/node/src/lib/peer/connection.ts
@@ -52,21 +52,21 @@
   private readonly _reader = new FrameReader()
   private readonly _listeners = new Map<number, ReplyListener>()
   private readonly _endListeners = new Set<() => void>()
-  private _nextCall = 1
+  private _nextCallNumber = 1
   private _open = true
-  private _heardAt = performance.now()
+  private _lastReceivedAt = performance.now()
   private _pausedUntil = 0
 
   /**
    * @param _onRequest Handles requests of the other side.
-   * @param _onFault Called once on malformed input, before the connection is closed.
+   * @param _onMalformed Called once on malformed input, before the connection is closed.
    * @param _traffic Accumulates the bytes of messages in both directions.
    * @param _pacer Paces reading; without it, reading is never paused.
    */
   constructor (
     private readonly _socket: Socket,
     private readonly _onRequest: RequestHandler,
-    private readonly _onFault: (detail: string) => void,
+    private readonly _onMalformed: (detail: string) => void,
     private readonly _traffic: Traffic,
     private readonly _pacer?: ReadPacer
   ) {
@@ -82,7 +82,7 @@
    * because the delay is then its own.
    */
   silence (now: number): number {
-    return Math.max(0, now - Math.max(this._heardAt, this._pausedUntil))
+    return Math.max(0, now - Math.max(this._lastReceivedAt, this._pausedUntil))
   }
 
   /** Whether calls of this side are in flight. */
@@ -96,7 +96,7 @@
    * @returns The number of the call, for `forget` and for a hang-up.
    */
   ask (request: PeerRequest, payload: Buffer | undefined, listener: ReplyListener): number {
-    const call = this._nextCall++
+    const call = this._nextCallNumber++
     if (!this._open) {
       queueMicrotask(() => listener.lost())
       return call
@@ -132,7 +132,7 @@
 
   /** Sends a request without waiting for a reply. */
   tell (request: PeerRequest): void {
-    this._write({ call: this._nextCall++, request }, undefined)
+    this._write({ call: this._nextCallNumber++, request }, undefined)
   }
 
   /** Ends a call. Later replies to it are dropped. */
@@ -165,14 +165,14 @@
   }
 
   private _read (bytes: Buffer): void {
-    this._heardAt = performance.now()
+    this._lastReceivedAt = performance.now()
     this._pace(bytes.length)
     let frames: Frame[]
     try {
       frames = this._reader.push(bytes)
     } catch (error) {
       const failure = failureOf(error)
-      this._onFault('detail' in failure ? failure.detail : failure.type)
+      this._onMalformed('detail' in failure ? failure.detail : failure.type)
       this.close()
       return
     }
@@ -185,7 +185,7 @@
   private _pace (bytes: number): void {
     const wait = this._pacer?.received(bytes) ?? 0
     if (wait <= 0) return
-    this._pausedUntil = this._heardAt + wait
+    this._pausedUntil = this._lastReceivedAt + wait
     this._socket.pause()
     setTimeout(() => this._socket.resume(), wait)
   }
--- a/packages/node/src/lib/peer/frame.ts
+++ b/packages/node/src/lib/peer/frame.ts
@@ -13,9 +13,9 @@
 /** Size of the two lengths. */
 const HEADER_BYTES = 8
 /** Fits a published document of a megabyte and its envelope. */
-const LARGEST_BODY = 4 * 1024 * 1024
+const MAX_BODY_BYTES = 4 * 1024 * 1024
 /** Fits a chunk or the body of a request. */
-const LARGEST_PAYLOAD = 64 * 1024 * 1024
+const MAX_PAYLOAD_BYTES = 64 * 1024 * 1024
 
 /**
  * Frequent keys of messages, each encoded as its index in this list. Nine in ten messages are load reports, which take 55 bytes
@@ -24,7 +24,7 @@
 const FREQUENT_KEYS = [
   'call', 'request', 'reply', 'type', 'load', 'running', 'waiting', 'unreadTokens', 'version', 'accepting', 'pace', 'closesIn', 'opensIn', 'sentRate', 'identity', 'held', 'elsewhere', 'named', 'model', 'revision', 'age', 'digest', 'wait'
 ]
-const codec = new Encoder({ keyMap: Object.fromEntries(FREQUENT_KEYS.map((key, place) => [key, place])), useRecords: false })
+const codec = new Encoder({ keyMap: Object.fromEntries(FREQUENT_KEYS.map((key, index) => [key, index])), useRecords: false })
 
 /** One message of a connection. The side that sends a request numbers the call. */
 export type PeerEnvelope =
@@ -39,7 +39,7 @@
   readonly overhead: number
 }
 
-const nothing = Buffer.alloc(0)
+const emptyBuffer = Buffer.alloc(0)
 
 /**
  * Encodes a frame as buffers to be written in order. A frame without a payload, as most are, is a single buffer, since each
@@ -48,7 +48,7 @@
  * @example
  * for (const part of encodeFrame({ call: 1, request: { type: 'status' } })) socket.write(part)
  */
-export function encodeFrame (envelope: PeerEnvelope, payload: Buffer = nothing): Buffer[] {
+export function encodeFrame (envelope: PeerEnvelope, payload: Buffer = emptyBuffer): Buffer[] {
   const body = codec.encode(envelope)
   const head = Buffer.allocUnsafe(HEADER_BYTES + body.length)
   head.writeUInt32BE(body.length, 0)
@@ -59,8 +59,8 @@
 
 /** Splits a byte stream into frames. Throws a typed failure on malformed or oversized input, upon which the connection is to be closed. */
 export class FrameReader {
-  private _pieces: Buffer[] = []
-  private _held = 0
+  private _buffers: Buffer[] = []
+  private _bufferedBytes = 0
 
   /**
    * Adds received bytes and returns the frames that they complete.
@@ -68,8 +68,8 @@
    * @throws DrumdriftError with a peer failure of reason `malformed` or `oversized`.
    */
   push (bytes: Buffer): Frame[] {
-    this._pieces.push(bytes)
-    this._held += bytes.length
+    this._buffers.push(bytes)
+    this._bufferedBytes += bytes.length
     const frames: Frame[] = []
     for (;;) {
       const frame = this._next()
@@ -79,32 +79,32 @@
   }
 
   private _next (): Frame | undefined {
-    if (this._held < HEADER_BYTES) return undefined
+    if (this._bufferedBytes < HEADER_BYTES) return undefined
     const header = this._peek(HEADER_BYTES)
     const bodyLength = header.readUInt32BE(0)
     const payloadLength = header.readUInt32BE(4)
-    if (bodyLength > LARGEST_BODY || payloadLength > LARGEST_PAYLOAD) throw peerError('oversized', `frame of ${bodyLength} + ${payloadLength} bytes`)
-    if (this._held < HEADER_BYTES + bodyLength + payloadLength) return undefined
-    this._take(HEADER_BYTES)
-    const envelope = decodeEnvelope(this._take(bodyLength))
-    return { envelope, payload: this._take(payloadLength), overhead: HEADER_BYTES + bodyLength }
+    if (bodyLength > MAX_BODY_BYTES || payloadLength > MAX_PAYLOAD_BYTES) throw peerError('oversized', `frame of ${bodyLength} + ${payloadLength} bytes`)
+    if (this._bufferedBytes < HEADER_BYTES + bodyLength + payloadLength) return undefined
+    this._consume(HEADER_BYTES)
+    const envelope = decodeEnvelope(this._consume(bodyLength))
+    return { envelope, payload: this._consume(payloadLength), overhead: HEADER_BYTES + bodyLength }
   }
 
   /** Returns at least `length` bytes of the buffer without consuming them. */
   private _peek (length: number): Buffer {
-    const first = this._pieces[0] ?? nothing
+    const first = this._buffers[0] ?? emptyBuffer
     if (first.length >= length) return first
-    this._pieces = [Buffer.concat(this._pieces)]
-    return this._pieces[0] ?? nothing
+    this._buffers = [Buffer.concat(this._buffers)]
+    return this._buffers[0] ?? emptyBuffer
   }
 
-  private _take (length: number): Buffer {
-    this._held -= length
+  private _consume (length: number): Buffer {
+    this._bufferedBytes -= length
     const taken: Buffer[] = []
     let missing = length
     while (missing > 0) {
-      const piece = this._pieces.shift() ?? nothing
-      if (piece.length > missing) this._pieces.unshift(piece.subarray(missing))
+      const piece = this._buffers.shift() ?? emptyBuffer
+      if (piece.length > missing) this._buffers.unshift(piece.subarray(missing))
       const part = piece.subarray(0, missing)
       taken.push(part)
       missing -= part.length
--- a/packages/node/src/lib/peer/pool.ts
+++ b/packages/node/src/lib/peer/pool.ts
@@ -14,14 +14,14 @@
 import { parseAddress } from '../settings/address.js'
 
 /** The kind of traffic on a connection. */
-export type Purpose = 'control' | 'bulk'
+export type ConnectionPurpose = 'control' | 'bulk'
 
 /** Time to open a connection and complete the hello, in milliseconds. */
-const CONNECT_TIMEOUT = 800
+const CONNECT_TIMEOUT_MILLISECONDS = 800
 /** Time after which an idle connection is closed, in milliseconds. */
-const IDLE_LIMIT = 15_000
+const IDLE_TIMEOUT_MILLISECONDS = 15_000
 
-interface Pooled {
+interface PooledConnection {
   readonly connecting: Promise<PeerConnection>
   usedAt: number
   connection: PeerConnection | undefined
@@ -30,7 +30,7 @@
 
 /** The client connections of one process to its peers. */
 export class PeerPool {
-  private readonly _pooled = new Map<string, Pooled>()
+  private readonly _connections = new Map<string, PooledConnection>()
   private readonly _sweeper: NodeJS.Timeout
 
   /**
@@ -39,7 +39,7 @@
    * @param _bulkPacer Paces reading on bulk connections.
    */
   constructor (private readonly _self: { readonly instance: string, readonly key: string }, private readonly _traffic: Traffic = { sent: 0, received: 0 }, private readonly _bulkPacer?: ReadPacer) {
-    this._sweeper = setInterval(() => this._sweep(), IDLE_LIMIT / 3)
+    this._sweeper = setInterval(() => this._sweep(), IDLE_TIMEOUT_MILLISECONDS / 3)
     this._sweeper.unref()
   }
 
@@ -51,9 +51,9 @@
    * @example
    * const { reply } = await pool.call('10.0.0.7:7400', { type: 'status' })
    */
-  async call (address: string, request: PeerRequest, options: { payload?: Buffer, timeout?: number, purpose?: Purpose } = {}): Promise<Reply> {
+  async call (address: string, request: PeerRequest, options: { payload?: Buffer, timeout?: number, purpose?: ConnectionPurpose } = {}): Promise<Reply> {
     const { payload, timeout = 1_000, purpose = 'control' } = options
-    const pooled = this._get(address, purpose)
+    const pooled = this._getOrConnect(address, purpose)
     pooled.calls += 1
     try {
       const connection = await pooled.connecting
@@ -69,33 +69,33 @@
    *
    * @param patience Milliseconds in which a new connection has to open.
    */
-  async connection (address: string, { purpose = 'control', patience = CONNECT_TIMEOUT }: { purpose?: Purpose, patience?: number } = {}): Promise<PeerConnection> {
-    const pooled = this._get(address, purpose, patience)
+  async connection (address: string, { purpose = 'control', patience = CONNECT_TIMEOUT_MILLISECONDS }: { purpose?: ConnectionPurpose, patience?: number } = {}): Promise<PeerConnection> {
+    const pooled = this._getOrConnect(address, purpose, patience)
     pooled.usedAt = performance.now()
     return await pooled.connecting
   }
 
   close (): void {
     clearInterval(this._sweeper)
-    for (const pooled of this._pooled.values()) pooled.connection?.close()
+    for (const pooled of this._connections.values()) pooled.connection?.close()
   }
 
-  private _get (address: string, purpose: Purpose, patience = CONNECT_TIMEOUT): Pooled {
+  private _getOrConnect (address: string, purpose: ConnectionPurpose, patience = CONNECT_TIMEOUT_MILLISECONDS): PooledConnection {
     const key = `${purpose} ${address}`
-    const known = this._pooled.get(key)
-    if (known !== undefined) return known
-    const pooled: Pooled = { connecting: this._connect(address, purpose, patience), usedAt: performance.now(), connection: undefined, calls: 0 }
-    this._pooled.set(key, pooled)
-    const drop = (): void => { if (this._pooled.get(key) === pooled) this._pooled.delete(key) }
+    const existing = this._connections.get(key)
+    if (existing !== undefined) return existing
+    const pooled: PooledConnection = { connecting: this._connect(address, purpose, patience), usedAt: performance.now(), connection: undefined, calls: 0 }
+    this._connections.set(key, pooled)
+    const remove = (): void => { if (this._connections.get(key) === pooled) this._connections.delete(key) }
     pooled.connecting.then(connection => {
       pooled.connection = connection
-      connection.onEnd(drop)
-      if (!connection.open) drop()
-    }, drop)
+      connection.onEnd(remove)
+      if (!connection.open) remove()
+    }, remove)
     return pooled
   }
 
-  private async _connect (address: string, purpose: Purpose, patience: number): Promise<PeerConnection> {
+  private async _connect (address: string, purpose: ConnectionPurpose, patience: number): Promise<PeerConnection> {
     const { host, port } = parseAddress(address)
     const socket = createConnection({ host, port })
     const pacer = purpose === 'bulk' ? this._bulkPacer : undefined
@@ -115,8 +115,8 @@
 
   private _sweep (): void {
     const now = performance.now()
-    for (const pooled of this._pooled.values()) {
-      if (pooled.calls === 0 && now - pooled.usedAt > IDLE_LIMIT && !(pooled.connection?.busy ?? true)) pooled.connection?.close()
+    for (const pooled of this._connections.values()) {
+      if (pooled.calls === 0 && now - pooled.usedAt > IDLE_TIMEOUT_MILLISECONDS && !(pooled.connection?.busy ?? true)) pooled.connection?.close()
     }
   }
 }
--- a/packages/node/src/lib/peer/server.ts
+++ b/packages/node/src/lib/peer/server.ts
@@ -15,9 +15,9 @@
 import type { Log } from '../observe/log.js'
 
 /** Maximum number of connections that a process accepts. */
-const MOST_CONNECTIONS = 4_096
+const MAX_CONNECTIONS = 4_096
 /** Time after which a connection without a valid hello is closed, in milliseconds. */
-const HELLO_PATIENCE = 5_000
+const HELLO_TIMEOUT_MILLISECONDS = 5_000
 
 /** Options of a peer server. */
 export interface PeerServerOptions {
@@ -36,7 +36,7 @@
 
   constructor (private readonly _options: PeerServerOptions) {
     this._server = createServer(socket => this._accept(socket))
-    this._server.maxConnections = MOST_CONNECTIONS
+    this._server.maxConnections = MAX_CONNECTIONS
   }
 
   /** Starts listening. */
@@ -49,13 +49,13 @@
   }
 
   private _accept (socket: Socket): void {
-    let welcome = false
+    let authenticated = false
     const connection = new PeerConnection(socket, (request, payload, responder) => {
-      if (welcome) this._handle(request, payload, responder)
-      else welcome = this._greet(request, responder)
+      if (authenticated) this._handle(request, payload, responder)
+      else authenticated = this._authenticate(request, responder)
     }, detail => this._options.log.warn('peer-malformed', { detail, remote: remoteOf(socket) }), this._options.traffic)
     this._connections.add(connection)
-    const timer = setTimeout(() => { if (!welcome) connection.close() }, HELLO_PATIENCE)
+    const timer = setTimeout(() => { if (!authenticated) connection.close() }, HELLO_TIMEOUT_MILLISECONDS)
     connection.onEnd(() => {
       clearTimeout(timer)
       this._connections.delete(connection)
@@ -72,8 +72,8 @@
     }
   }
 
-  private _greet (request: PeerRequest, responder: Responder): boolean {
-    const refusal = this._refusal(request)
+  private _authenticate (request: PeerRequest, responder: Responder): boolean {
+    const refusal = this._helloRefusal(request)
     if (refusal === undefined) {
       responder.send({ type: 'welcome', instance: this._options.instance })
       return true
@@ -84,7 +84,7 @@
     return false
   }
 
-  private _refusal (request: PeerRequest): 'malformed' | 'protocol-version' | 'wrong-key' | undefined {
+  private _helloRefusal (request: PeerRequest): 'malformed' | 'protocol-version' | 'wrong-key' | undefined {
     if (request.type !== 'hello') return 'malformed'
     if (request.protocol !== PROTOCOL_VERSION) return 'protocol-version'
     return sameSecret(String(request.key), this._options.key) ? undefined : 'wrong-key'
--- a/packages/node/src/test/lib/agent-call_test.ts
+++ b/packages/node/src/test/lib/agent-call_test.ts
@@ -17,25 +17,25 @@
 
 class FakeConnection implements CallConnection {
   readonly open = true
-  readonly told: PeerRequest[] = []
+  readonly sent: PeerRequest[] = []
   listener: ReplyListener | undefined
   ask (_request: PeerRequest, _payload: Buffer | undefined, listener: ReplyListener): number {
     this.listener = listener
     return 1
   }
 
-  tell (request: PeerRequest): void { this.told.push(request) }
+  tell (request: PeerRequest): void { this.sent.push(request) }
   forget (): void {}
 }
 
 type Step = PeerReply | 'lost' | 'stop' | number
 
 /** Replays replies and pauses (in milliseconds). Returns how the call ended and what the caller received. */
-async function play (steps: readonly Step[]): Promise<{ ended: CallEnd['type'] | 'open', text: string, hungUp: boolean }> {
+async function replay (steps: readonly Step[]): Promise<{ ended: CallEnd['type'] | 'open', text: string, hungUp: boolean }> {
   const connection = new FakeConnection()
   let text = ''
   let ended: CallEnd['type'] | 'open' = 'open'
-  const call = new AgentCall(connection, { admission: 1_000, firstAnswer: 3_000, silence: 500 }, {
+  const call = new AgentCall(connection, { admission: 1_000, firstAnswer: 3_000, betweenParts: 500 }, {
     status: () => {},
     admitted: () => {},
     head: () => {},
@@ -52,7 +52,7 @@
     else connection.listener?.reply(step, Buffer.from(step.type === 'part' ? 'abc'[step.sequence] ?? '' : ''))
     await Promise.resolve()
   }
-  return { ended, text, hungUp: connection.told.some(request => request.type === 'hang-up') }
+  return { ended, text, hungUp: connection.sent.some(request => request.type === 'hang-up') }
 }
 
 describe('AgentCall', () => {
@@ -75,5 +75,5 @@
     ['an end with a wrong count of parts', [admitted, head, part(0), part(1), end(1)], 'broken', 'ab', true],
     ['replies after the end', [admitted, head, part(0), end(1), part(1), 'lost'], 'whole', 'a', false]
   ]
-  for (const [name, steps, ended, text, hungUp] of cases) it(name, async () => assert.deepEqual(await play(steps), { ended, text, hungUp }))
+  for (const [name, steps, ended, text, hungUp] of cases) it(name, async () => assert.deepEqual(await replay(steps), { ended, text, hungUp }))
 })
--- a/packages/node/src/test/lib/carrier_test.ts
+++ b/packages/node/src/test/lib/carrier_test.ts
@@ -22,7 +22,7 @@
 
 const ENDPOINTS = 8
 const status = { incarnation: 'i', lifecycle: 'serving', version: 'v', serving: true, running: 1, slots: 4 } as const
-const begun: PeerReply[] = [{ type: 'admitted', admission: { type: 'admitted', run: 1 }, status }, { type: 'head', head: { status: 200, headers: {}, version: 'v' } }]
+const startReplies: PeerReply[] = [{ type: 'admitted', admission: { type: 'admitted', run: 1 }, status }, { type: 'head', head: { status: 200, headers: {}, version: 'v' } }]
 const records: InstanceRecord[] = Array.from({ length: ENDPOINTS }, (_, index) => ({
   instance: `agent-${index}`, availabilityZone: 'koshi', role: 'agent', address: `10.0.0.${index}:1`, endpoint: 'pool', state: 'live'
 }))
@@ -31,7 +31,7 @@
 class FakeAgents {
   readonly broken: string[] = []
 
-  constructor (private readonly _fatal: string) {}
+  constructor (private readonly _fatalBody: string) {}
 
   async connection (address: string): Promise<unknown> {
     return {
@@ -46,17 +46,17 @@
   }
 
   private _answer (address: string, payload: Buffer, listener: ReplyListener): void {
-    const fatal = payload.toString() === this._fatal
+    const fatal = payload.toString() === this._fatalBody
     if (fatal) this.broken.push(address)
     const last: PeerReply = fatal ? { type: 'broken', detail: 'the endpoint closed its connection', notRun: false, status } : { type: 'end', count: 0, status }
-    for (const reply of [...begun, last]) listener.reply(reply, Buffer.alloc(0))
+    for (const reply of [...startReplies, last]) listener.reply(reply, Buffer.alloc(0))
   }
 }
 
-class Sink implements AnswerSink {
+class FakeSink implements AnswerSink {
   readonly gone = false
   readonly begun = false
-  onGone (): void {}
+  onDisconnect (): void {}
   head (_head: AnswerHead): void {}
   part (): boolean { return true }
   end (): void {}
@@ -74,7 +74,7 @@
     group = new Group<Job>('pool', { instance: 'entry-1', availabilityZone: 'koshi' }, { choice: 'affinity', retryRatio: 0.1 }, () => 0.5)
     group.setEndpoints(records, 0)
     carrier = new RequestCarrier({
-      pool: agents as unknown as PeerPool, once: undefined as unknown as OnceCarrier, patience: { admission: 1_000, firstAnswer: 1_000, silence: 1_000 }, histograms: new Histograms(), counters: new Counters(), fingerprint: request => fingerprintOf('k', request)
+      pool: agents as unknown as PeerPool, once: undefined as unknown as OnceCarrier, patience: { admission: 1_000, firstAnswer: 1_000, betweenParts: 1_000 }, histograms: new Histograms(), counters: new Counters(), fingerprint: request => fingerprintOf('k', request)
     })
   })
   afterEach(() => mock.timers.reset())
@@ -84,7 +84,7 @@
     const request: CallerRequest = {
       id, organisation: 'a', requestClass: 'interactive', group: 'pool', kind: 'pool', method: 'POST', path: '/', headers: {}, body: Buffer.from(body), bodyDigest: '', neverRepeat: false, streamed: true, prefix: '', receivedAt: now, deadline: now + 60_000
     }
-    return await carrier.carry({ request, sink: new Sink() }, group)
+    return await carrier.execute({ request, sink: new FakeSink() }, group)
   }
 
   it('holds back a request that repeatedly crashes endpoints', async () => {
--- a/packages/node/src/test/lib/dispatcher_test.ts
+++ b/packages/node/src/test/lib/dispatcher_test.ts
@@ -20,8 +20,8 @@
   readonly begun = false
   failure: RequestFailure | undefined
   private _listener = (): void => {}
-  onGone (listener: () => void): void { this._listener = listener }
-  hangUp (): void {
+  onDisconnect (listener: () => void): void { this._listener = listener }
+  disconnect (): void {
     this.gone = true
     this._listener()
   }
@@ -33,14 +33,14 @@
 }
 
 /** A dispatcher with one endpoint, whose requests end when the test ends them. */
-class Bench {
+class DispatcherFixture {
   readonly started: { id: string, end: (failure?: RequestFailure) => void }[] = []
   readonly dispatcher: Dispatcher
 
   constructor (queueLength = 100) {
     this.dispatcher = new Dispatcher(
       { instance: 'entry-1', availabilityZone: 'koshi' },
-      { queueLength, longestWait: 2_000, choice: 'affinity', queueing: 'fair', retryRatio: 0.1 },
+      { maxQueueLength: queueLength, maxWait: 2_000, choice: 'affinity', queueing: 'fair', retryRatio: 0.1 },
       async job => await new Promise(resolve => this.started.push({ id: job.request.id, end: resolve })),
       new Histograms(),
       new Counters()
@@ -60,55 +60,55 @@
 }
 
 describe('Dispatcher', () => {
-  let bench: Bench
+  let fixture: DispatcherFixture
   beforeEach(() => {
     mock.timers.enable({ apis: ['setTimeout', 'setInterval'] })
-    bench = new Bench()
+    fixture = new DispatcherFixture()
   })
   afterEach(() => {
-    bench.dispatcher.close()
+    fixture.dispatcher.close()
     mock.timers.reset()
   })
 
   it('starts up to its limit and queues the rest', async () => {
-    for (let index = 0; index < 10; index += 1) bench.submit(`r${index}`)
-    assert.equal(bench.started.length, 8)
-    bench.started[0]?.end()
+    for (let index = 0; index < 10; index += 1) fixture.submit(`r${index}`)
+    assert.equal(fixture.started.length, 8)
+    fixture.started[0]?.end()
     await new Promise(resolve => setImmediate(resolve))
-    assert.equal(bench.started.length, 9)
-    assert.equal(bench.dispatcher.inProgress, 9)
+    assert.equal(fixture.started.length, 9)
+    assert.equal(fixture.dispatcher.inProgress, 9)
   })
 
   it('immediately refuses a request for an unknown group as not run', () => {
-    const sink = bench.submit('r', 'a', 'nothing')
+    const sink = fixture.submit('r', 'a', 'nothing')
     assert.deepEqual([sink.failure?.code, sink.failure?.outcome], ['no-endpoint', 'not-run'])
   })
 
   it('enforces the concurrency limit of an organisation', () => {
-    bench.submit('one', 'b')
-    bench.submit('two', 'b')
-    bench.submit('three', 'a')
-    assert.deepEqual(bench.started.map(({ id }) => id), ['one', 'three'])
+    fixture.submit('one', 'b')
+    fixture.submit('two', 'b')
+    fixture.submit('three', 'a')
+    assert.deepEqual(fixture.started.map(({ id }) => id), ['one', 'three'])
   })
 
   it('removes a queued request whose caller disconnects', () => {
-    const sinks = Array.from({ length: 10 }, (_, index) => bench.submit(`r${index}`))
-    sinks[9]?.hangUp()
-    assert.equal(bench.dispatcher.inProgress, 9)
+    const sinks = Array.from({ length: 10 }, (_, index) => fixture.submit(`r${index}`))
+    sinks[9]?.disconnect()
+    assert.equal(fixture.dispatcher.inProgress, 9)
   })
 
   it('immediately refuses requests that would wait too long, with a retry time', () => {
-    const sinks = Array.from({ length: 100 }, (_, index) => bench.submit(`r${index}`))
+    const sinks = Array.from({ length: 100 }, (_, index) => fixture.submit(`r${index}`))
     const refused = sinks.filter(sink => sink.failure !== undefined)
     assert.ok(refused.length > 20, `${refused.length}`)
     assert.ok(refused.every(sink => sink.failure?.code === 'overloaded' && sink.failure.outcome === 'not-run' && sink.failure.retryAfter > 0))
   })
 
   it('reports the failure of a request to its caller and releases its slot', async () => {
-    const sink = bench.submit('r')
-    bench.started[0]?.end(requestFailure('outcome-unknown', 'unknown', 'x'))
+    const sink = fixture.submit('r')
+    fixture.started[0]?.end(requestFailure('outcome-unknown', 'unknown', 'x'))
     await new Promise(resolve => setImmediate(resolve))
     assert.equal(sink.failure?.code, 'outcome-unknown')
-    assert.equal(bench.dispatcher.inProgress, 0)
+    assert.equal(fixture.dispatcher.inProgress, 0)
   })
 })
