--- a/packages/node/src/lib/entry/agent-call.ts
+++ b/packages/node/src/lib/entry/agent-call.ts
@@ -66,7 +66,7 @@
   constructor (private readonly _connection: CallConnection, private readonly _timeouts: CallTimeouts, private readonly _listener: CallListener) {}
 
   /**
-   * Sends the request and resolves with the way in which the call ended; never rejects.
+   * Sends the request and resolves with the way in which the call ended.
    *
    * @example
    * const end = await new AgentCall(connection, patience, listener).send({ type: 'run', endpoint, request }, body)
--- a/packages/node/src/lib/entry/carrier.ts
+++ b/packages/node/src/lib/entry/carrier.ts
@@ -174,7 +174,7 @@
     state.mayHaveRun = true
     const resumable = !job.sink.begun || (job.request.streamed && state.version !== '')
     if (!resumable) return { failure: requestFailure('answer-cut', 'cut', detail) }
-    if (this._suspects.standing(state.fingerprint, performance.now()) !== 'clear') return { failure: this._unservedFailure(state, `${detail} on several endpoints`) }
+    if (this._suspects.standing(state.fingerprint, performance.now()) !== 'clear') return { failure: this._unservedFailure(state, `${detail}, and the request is suspected of crashing endpoints`) }
     if (!group.budget.trySpend()) return { failure: this._unservedFailure(state, `${detail}, and the retry budget is exhausted`) }
     this._options.counters.add(state.events > 0 ? 'answers_resumed' : 'requests_retried')
     return 'again'
--- a/packages/node/src/lib/entry/dispatcher.ts
+++ b/packages/node/src/lib/entry/dispatcher.ts
@@ -38,7 +38,7 @@
 const DEFAULT_RETRY_MILLISECONDS = 1_000
 const MIN_RETRY_MILLISECONDS = 500
 /**
- * A request is queued only if its expected wait is below this share of its allowed wait. Waits grow when organisations
+ * A request is queued only if its expected wait is at most this share of its allowed wait. Waits grow when organisations
  * with smaller backlogs send requests, and a request should be refused on arrival rather than after it has waited.
  */
 const MAX_EXPECTED_WAIT_SHARE = 0.5
--- a/packages/node/src/test/lib/carrier_test.ts
+++ b/packages/node/src/test/lib/carrier_test.ts
@@ -79,7 +79,7 @@
   })
   afterEach(() => mock.timers.reset())
 
-  async function carry (id: string, body: string): Promise<RequestFailure | undefined> {
+  async function execute (id: string, body: string): Promise<RequestFailure | undefined> {
     const now = performance.now()
     const request: CallerRequest = {
       id, organisation: 'a', requestClass: 'interactive', group: 'pool', kind: 'pool', method: 'POST', path: '/', headers: {}, body: Buffer.from(body), bodyDigest: '', neverRepeat: false, streamed: true, prefix: '', receivedAt: now, deadline: now + 60_000
@@ -88,14 +88,14 @@
   }
 
   it('holds back a request that repeatedly crashes endpoints', async () => {
-    for (let count = 0; count < 5; count += 1) await carry(`fatal-${count}`, 'fatal')
-    const failure = await carry('fatal-again', 'fatal')
+    for (let count = 0; count < 5; count += 1) await execute(`fatal-${count}`, 'fatal')
+    const failure = await execute('fatal-again', 'fatal')
     assert.deepEqual([agents.broken.length, failure?.code, failure?.outcome], [3, 'ends-endpoints', 'not-run'])
     assert.ok((failure?.retryAfter ?? 0) > 0)
   })
 
   it('runs other requests of the same caller', async () => {
-    for (let count = 0; count < 5; count += 1) await carry(`fatal-${count}`, 'fatal')
-    assert.equal(await carry('sound', 'sound'), undefined)
+    for (let count = 0; count < 5; count += 1) await execute(`fatal-${count}`, 'fatal')
+    assert.equal(await execute('sound', 'sound'), undefined)
   })
 })
