--- a/packages/node/src/lib/entry/agent-call.ts
+++ b/packages/node/src/lib/entry/agent-call.ts
@@ -69,7 +69,7 @@
    * Sends the request and resolves with the way in which the call ended.
    *
    * @example
-   * const end = await new AgentCall(connection, patience, listener).send({ type: 'run', endpoint, request }, body)
+   * const end = await new AgentCall(connection, timeouts, listener).send({ type: 'run', endpoint, request }, body)
    */
   send (request: PeerRequest, body: Buffer): Promise<CallEnd> {
     return new Promise(resolve => {
