--- a/packages/node/src/lib/entry/answer-sink.ts
+++ b/packages/node/src/lib/entry/answer-sink.ts
@@ -4,30 +4,30 @@
  * SPDX-License-Identifier: BSD-3-Clause
  */
 /**
- * The caller's side of an answer. An answer that does not come to its end never looks whole: an event stream lacks its
- * last event and its connection is destroyed before the end of the chunked body.
+ * Writes an answer to its caller. A truncated answer never looks complete: an event stream lacks its last event, and
+ * the connection is destroyed before the end of the chunked body.
  */
 import type { ServerResponse } from 'node:http'
 import type { AnswerHead, RequestFailure } from '@drumdrift/core'
 
-/** Bytes that a slow caller may leave unread before its answer is cut. */
-const LARGEST_BACKLOG = 4 * 1024 * 1024
+/** Bytes that a slow caller may leave unread before its answer is cut off. */
+const MAX_BACKLOG_BYTES = 4 * 1024 * 1024
 
-/** Where an answer goes. */
+/** Receives the answer to one request. */
 export interface AnswerSink {
-  /** Whether the caller is gone. */
+  /** Whether the caller has disconnected. */
   readonly gone: boolean
-  /** Whether anything of an answer has been written. */
+  /** Whether the head of an answer has been written. */
   readonly begun: boolean
-  onGone (listener: () => void): void
+  onDisconnect (listener: () => void): void
   head (head: AnswerHead, instance: string): void
-  /** Returns false when the caller reads too slowly and the answer had to be cut. */
+  /** Returns false if the caller has disconnected, or reads too slowly and its answer was cut off. */
   part (bytes: Buffer): boolean
   end (): void
   fail (failure: RequestFailure): void
 }
 
-const statuses: Record<RequestFailure['code'], number> = {
+const httpStatuses: Record<RequestFailure['code'], number> = {
   overloaded: 429,
   'deadline-passed': 408,
   'unknown-model': 404,
@@ -53,7 +53,8 @@
 }
 
 /**
- * Answers with a failure, in the shape that chat clients expect, and with the time to come back where there is one.
+ * Writes a failure as a JSON error in the format that chat clients expect, with a `retry-after` header if the failure
+ * has a retry time.
  *
  * @example
  * writeFailure(response, requestFailure('overloaded', 'not-run', 'the queue is full', 2_000))
@@ -61,11 +62,11 @@
 export function writeFailure (response: ServerResponse, failure: RequestFailure): void {
   const { code, outcome, detail, retryAfter } = failure
   if (retryAfter > 0) response.setHeader('retry-after', String(Math.ceil(retryAfter / 1000)))
-  response.writeHead(statuses[code], { 'content-type': 'application/json', 'x-outcome': outcome })
+  response.writeHead(httpStatuses[code], { 'content-type': 'application/json', 'x-outcome': outcome })
   response.end(JSON.stringify({ error: { message: detail, type: 'drumdrift', code, outcome, retry_after_milliseconds: retryAfter } }))
 }
 
-/** An answer over HTTP. */
+/** Writes an answer to an HTTP response. */
 export class HttpAnswerSink implements AnswerSink {
   private _gone = false
   private _ended = false
@@ -77,7 +78,7 @@
   get gone (): boolean { return this._gone }
   get begun (): boolean { return this._response.headersSent }
 
-  onGone (listener: () => void): void {
+  onDisconnect (listener: () => void): void {
     this._response.on('close', () => { if (!this._ended) listener() })
   }
 
@@ -91,7 +92,7 @@
   part (bytes: Buffer): boolean {
     if (this._gone) return false
     this._response.write(bytes)
-    if (this._response.writableLength <= LARGEST_BACKLOG) return true
+    if (this._response.writableLength <= MAX_BACKLOG_BYTES) return true
     this._response.destroy()
     return false
   }
--- a/packages/node/src/lib/entry/carrier.ts
+++ b/packages/node/src/lib/entry/carrier.ts
@@ -4,8 +4,8 @@
  * SPDX-License-Identifier: BSD-3-Clause
  */
 /**
- * Carries one started request to its end: chooses endpoints, tries again where that is allowed, and goes on with a
- * broken event stream on another endpoint of the same version.
+ * Runs a dispatched request until it is answered or fails: chooses endpoints, retries where that is allowed, and
+ * resumes a broken event stream on another endpoint of the same version.
  */
 import { requestFailure, startOf, SuspectRequests, type AdmissionRefusal, type ForwardedRequest, type InstanceRecord, type PeerRequest, type RequestClass, type RequestFailure } from '@drumdrift/core'
 import { match } from 'ts-pattern'
@@ -13,32 +13,32 @@
 import type { Histograms, Measure } from '../observe/histograms.js'
 import type { Counters } from '../observe/metrics.js'
 import type { PeerPool } from '../peer/pool.js'
-import { AgentCall, type CallEnd, type CallPatience } from './agent-call.js'
+import { AgentCall, type CallEnd, type CallTimeouts } from './agent-call.js'
 import type { CallerRequest } from './caller-request.js'
 import type { Job } from './dispatcher.js'
 import type { Group } from './group.js'
 import { OnceCarrier, type OnceOutcome } from './once-carrier.js'
 
-/** What the carrier works with. */
-export interface CarrierParts {
+/** Dependencies of the carrier. */
+export interface CarrierOptions {
   readonly pool: PeerPool
   readonly once: OnceCarrier
-  readonly patience: CallPatience
+  readonly patience: CallTimeouts
   readonly histograms: Histograms
   readonly counters: Counters
-  /** What makes two requests the same: see `fingerprintOf`. */
+  /** Identifies requests with the same content; see `fingerprintOf`. */
   readonly fingerprint: (request: CallerRequest) => string
 }
 
 const priorities: Record<RequestClass, number> = { interactive: 0, batch: 10 }
-/** Pause before endpoints that all refused are asked again, in milliseconds. */
-const REFUSED_PAUSE = 30
-/** Refusals are cheap and prove that nothing ran, but their number is bounded too. */
-const MOST_REFUSALS = 40
-const RETRY_AFTER_TROUBLE = 1_000
-
-/** The progress of one request over its attempts. */
-interface Course {
+/** Pause before a retry once every endpoint has refused, in milliseconds. */
+const REFUSED_PAUSE_MILLISECONDS = 30
+/** Refusals of one request before it fails. They are cheap and prove that nothing ran, but still have to be bounded. */
+const MAX_REFUSALS = 40
+const FAILURE_RETRY_MILLISECONDS = 1_000
+
+/** The state of one request across its attempts. */
+interface RequestState {
   readonly job: Job
   readonly group: Group<Job>
   readonly tried: Set<string>
@@ -47,176 +47,181 @@
   events: number
   refusals: number
   /** Whether an attempt may have run. */
-  sent: boolean
+  mayHaveRun: boolean
   lastPieceAt: number
-  /** The attempt under way, which ends when the caller hangs up. */
+  /** The attempt in flight, which is stopped when the caller disconnects. */
   call: AgentCall | undefined
 }
 
-/** What follows from the end of one attempt. */
-type Next = 'done' | 'again' | { readonly failure: RequestFailure }
+/** What to do after an attempt has ended. */
+type NextStep = 'done' | 'again' | { readonly failure: RequestFailure }
 
-/** Carries requests for one entry. */
+/** Runs the requests of one entry. */
 export class RequestCarrier {
-  /** Without it, a request that ends its endpoints is tried at one after the other, ten times in a row, and anew each time it comes. */
+  /**
+   * Holds back requests that crash the endpoints which run them. Without it, such a request is retried on one endpoint after the other,
+   * up to ten times, and again each time its caller resends it.
+   */
   private readonly _suspects = new SuspectRequests()
 
-  constructor (private readonly _parts: CarrierParts) {}
+  constructor (private readonly _options: CarrierOptions) {}
 
   /**
-   * Carries a request. Returns the failure to tell the caller, or nothing when it has its whole answer or is gone.
+   * Runs a request. Returns the failure to report to the caller, or `undefined` if the caller received the complete answer or has
+   * disconnected.
    */
-  async carry (job: Job, group: Group<Job>): Promise<RequestFailure | undefined> {
-    const course: Course = { job, group, tried: new Set(), fingerprint: this._parts.fingerprint(job.request), version: '', events: 0, refusals: 0, sent: false, lastPieceAt: 0, call: undefined }
-    job.sink.onGone(() => course.call?.stop())
+  async execute (job: Job, group: Group<Job>): Promise<RequestFailure | undefined> {
+    const state: RequestState = { job, group, tried: new Set(), fingerprint: this._options.fingerprint(job.request), version: '', events: 0, refusals: 0, mayHaveRun: false, lastPieceAt: 0, call: undefined }
+    job.sink.onDisconnect(() => state.call?.stop())
     const now = performance.now()
-    if (this._suspects.standing(course.fingerprint, now) === 'held-back') return this._heldBack(course, now)
+    if (this._suspects.standing(state.fingerprint, now) === 'held-back') return this._holdBackFailure(state, now)
     group.budget.attempted()
     for (;;) {
-      // Looked at before each attempt: an entry that was paused must not begin what its caller has long given up.
-      const stopped = this._stopped(course)
-      if (stopped !== undefined) return stopped
-      const next = await this._attempt(course)
+      // Checked before each attempt, so that an entry resuming after a pause starts no request whose deadline has passed.
+      const deadlineFailure = this._deadlineFailure(state)
+      if (deadlineFailure !== undefined) return deadlineFailure
+      const next = await this._attempt(state)
       if (next === 'done') return undefined
       if (next !== 'again') return next.failure
     }
   }
 
-  private async _attempt (course: Course): Promise<Next> {
-    const { job, group } = course
+  private async _attempt (state: RequestState): Promise<NextStep> {
+    const { job, group } = state
     if (job.sink.gone) return 'done'
     const now = performance.now()
-    const record = group.choose(job.request.prefix, course.tried, course.version, now)
-    if (record === undefined) return await this._noEndpoint(course)
-    group.sent(record.instance)
-    if (job.request.neverRepeat) return this._afterOnce(course, record, await this._parts.once.attempt(job, group, record))
-    const end = await this._call(course, record)
-    return this._after(course, record, end)
+    const record = group.choose(job.request.prefix, state.tried, state.version, now)
+    if (record === undefined) return await this._handleNoEndpoint(state)
+    group.callStarted(record.instance)
+    if (job.request.neverRepeat) return this._handleOnceOutcome(state, record, await this._options.once.attempt(job, group, record))
+    const end = await this._call(state, record)
+    return this._handleCallEnd(state, record, end)
   }
 
-  /** Every candidate was tried or is avoided: the ones that only refused may be asked again. */
-  private async _noEndpoint (course: Course): Promise<Next> {
-    course.refusals += 1
-    if (course.events > 0) return { failure: requestFailure('answer-cut', 'cut', 'the answer broke off and no endpoint of its version could go on with it') }
-    if (course.refusals > MOST_REFUSALS || !course.group.listed) return { failure: this._unserved(course, 'no endpoint takes work') }
-    await pause(REFUSED_PAUSE)
+  /** Handles the case that every candidate has been tried or is ejected. Those that only refused are retried after a pause. */
+  private async _handleNoEndpoint (state: RequestState): Promise<NextStep> {
+    state.refusals += 1
+    if (state.events > 0) return { failure: requestFailure('answer-cut', 'cut', 'the answer was interrupted and no endpoint of its version could resume it') }
+    if (state.refusals > MAX_REFUSALS || !state.group.hasEndpoints) return { failure: this._unservedFailure(state, 'no endpoint accepts requests') }
+    await pause(REFUSED_PAUSE_MILLISECONDS)
     return 'again'
   }
 
-  private async _call (course: Course, record: InstanceRecord): Promise<CallEnd> {
-    const { job, group } = course
+  private async _call (state: RequestState, record: InstanceRecord): Promise<CallEnd> {
+    const { job, group } = state
     const { request, sink } = job
     let connection
     try {
-      connection = await this._parts.pool.connection(record.address)
+      connection = await this._options.pool.connection(record.address)
     } catch {
       return { type: 'refused', reason: 'not-serving' }
     }
-    const message: PeerRequest = { type: 'run', endpoint: request.group, request: forwardedRequest(request, course.events, course.version) }
-    const call = new AgentCall(connection, this._parts.patience, {
-      status: status => group.heard(record.instance, status),
-      admitted: () => { course.sent = true },
+    const message: PeerRequest = { type: 'run', endpoint: request.group, request: forwardedRequest(request, state.events, state.version) }
+    const call = new AgentCall(connection, this._options.patience, {
+      status: status => group.updateStatus(record.instance, status),
+      admitted: () => { state.mayHaveRun = true },
       head: head => {
-        course.version = head.version
+        state.version = head.version
         sink.head(head, record.instance)
       },
       pieces: pieces => pieces.every(piece => {
-        this._measure(course)
-        course.events += piece.events
+        this._recordLatency(state)
+        state.events += piece.events
         return sink.part(piece.bytes)
       })
     })
-    course.call = call
+    state.call = call
     return await call.send(message, request.body)
   }
 
-  private _after (course: Course, record: InstanceRecord, end: CallEnd): Next {
-    const { group, job } = course
+  private _handleCallEnd (state: RequestState, record: InstanceRecord, end: CallEnd): NextStep {
+    const { group, job } = state
     const now = performance.now()
     const health = end.type === 'whole' ? 'good' : end.type === 'refused' || end.type === 'stopped' ? 'unclear' : 'bad'
-    group.finished(record.instance, health, now)
-    return match<CallEnd, Next>(end)
+    group.callEnded(record.instance, health, now)
+    return match<CallEnd, NextStep>(end)
       .with({ type: 'whole' }, () => {
         group.limit.succeeded(group.running)
-        this._suspects.answered(course.fingerprint, now)
+        this._suspects.answered(state.fingerprint, now)
         job.sink.end()
         return 'done'
       })
       .with({ type: 'stopped' }, () => job.sink.gone ? 'done' : { failure: requestFailure('answer-cut', 'cut', 'the caller reads too slowly') })
-      .with({ type: 'refused' }, ({ reason }) => this._refused(course, record, reason, now))
+      .with({ type: 'refused' }, ({ reason }) => this._handleRefusal(state, record, reason, now))
       .with({ type: 'broken' }, () => {
-        // An agent breaks off at the deadline too; that says nothing of its endpoint. Starts of an endpoint are not told here: each loss is one.
-        if (now < job.request.deadline) this._suspects.lost(course.fingerprint, startOf({ id: record.instance, born: now }), now)
-        return this._failed(course, record, 'the answer broke off')
+        // An agent also aborts at the deadline, which is no evidence against its endpoint. Restarts of an endpoint are not visible
+        // here, so each loss counts as a separate start.
+        if (now < job.request.deadline) this._suspects.lost(state.fingerprint, startOf({ id: record.instance, born: now }), now)
+        return this._handleFailure(state, record, 'the answer was interrupted')
       })
-      .with({ type: 'silent', admitted: false }, () => this._failed(course, record, 'the endpoint does not answer'))
-      .otherwise(() => this._failed(course, record, 'the answer broke off'))
+      .with({ type: 'silent', admitted: false }, () => this._handleFailure(state, record, 'the endpoint did not respond'))
+      .otherwise(() => this._handleFailure(state, record, 'the answer was interrupted'))
   }
 
-  private _refused (course: Course, record: InstanceRecord, reason: AdmissionRefusal, now: number): Next {
-    const { group } = course
+  private _handleRefusal (state: RequestState, record: InstanceRecord, reason: AdmissionRefusal, now: number): NextStep {
+    const { group } = state
     group.choice.refused(record.instance, reason, now)
-    this._parts.counters.add(`refusals_${reason.replaceAll('-', '_')}`)
-    course.refusals += 1
-    // One busy endpoint may be bad luck; two in a row say that there is no room.
-    if (reason === 'busy' && course.refusals > 1) group.limit.refused(now)
-    return course.refusals > MOST_REFUSALS ? { failure: this._unserved(course, 'endpoints are busy') } : 'again'
+    this._options.counters.add(`refusals_${reason.replaceAll('-', '_')}`)
+    state.refusals += 1
+    // A single busy endpoint may be chance; a second refusal indicates that the group is at capacity.
+    if (reason === 'busy' && state.refusals > 1) group.limit.refused(now)
+    return state.refusals > MAX_REFUSALS ? { failure: this._unservedFailure(state, 'endpoints are busy') } : 'again'
   }
 
-  private _failed (course: Course, record: InstanceRecord, detail: string): Next {
-    const { group, job } = course
-    course.tried.add(record.instance)
-    course.sent = true
-    const resumable = !job.sink.begun || (job.request.streamed && course.version !== '')
+  private _handleFailure (state: RequestState, record: InstanceRecord, detail: string): NextStep {
+    const { group, job } = state
+    state.tried.add(record.instance)
+    state.mayHaveRun = true
+    const resumable = !job.sink.begun || (job.request.streamed && state.version !== '')
     if (!resumable) return { failure: requestFailure('answer-cut', 'cut', detail) }
-    if (this._suspects.standing(course.fingerprint, performance.now()) !== 'clear') return { failure: this._unserved(course, `${detail}, again and again`) }
-    if (!group.budget.trySpend()) return { failure: this._unserved(course, `${detail}, and the budget for retries is spent`) }
-    this._parts.counters.add(course.events > 0 ? 'answers_resumed' : 'requests_retried')
+    if (this._suspects.standing(state.fingerprint, performance.now()) !== 'clear') return { failure: this._unservedFailure(state, `${detail}, and the request is suspected of crashing endpoints`) }
+    if (!group.budget.trySpend()) return { failure: this._unservedFailure(state, `${detail}, and the retry budget is exhausted`) }
+    this._options.counters.add(state.events > 0 ? 'answers_resumed' : 'requests_retried')
     return 'again'
   }
 
-  private _heldBack ({ fingerprint }: Course, now: number): RequestFailure {
-    this._parts.counters.add('requests_held_back')
-    return requestFailure('ends-endpoints', 'not-run', 'endpoints were lost under it again and again', this._suspects.heldBackFor(fingerprint, now))
+  private _holdBackFailure ({ fingerprint }: RequestState, now: number): RequestFailure {
+    this._options.counters.add('requests_held_back')
+    return requestFailure('ends-endpoints', 'not-run', 'several endpoints were lost while running this request', this._suspects.heldBackFor(fingerprint, now))
   }
 
-  private _afterOnce (course: Course, record: InstanceRecord, outcome: OnceOutcome): Next {
+  private _handleOnceOutcome (state: RequestState, record: InstanceRecord, outcome: OnceOutcome): NextStep {
     const now = performance.now()
-    course.group.finished(record.instance, outcome.health, now)
+    state.group.callEnded(record.instance, outcome.health, now)
     if (outcome.type === 'answered') {
-      course.job.sink.end()
+      state.job.sink.end()
       return 'done'
     }
     if (outcome.type === 'failed') return { failure: outcome.failure }
-    if (outcome.reason === 'unreachable') course.tried.add(record.instance)
-    return this._refused(course, record, outcome.reason === 'unreachable' ? 'not-serving' : outcome.reason, now)
+    if (outcome.reason === 'unreachable') state.tried.add(record.instance)
+    return this._handleRefusal(state, record, outcome.reason === 'unreachable' ? 'not-serving' : outcome.reason, now)
   }
 
-  private _stopped (course: Course): RequestFailure | undefined {
-    const { request } = course.job
+  private _deadlineFailure (state: RequestState): RequestFailure | undefined {
+    const { request } = state.job
     if (performance.now() < request.deadline) return undefined
-    if (course.events > 0) return requestFailure('answer-cut', 'cut', 'the deadline passed')
-    return requestFailure('deadline-passed', course.sent ? 'unknown' : 'not-run', 'the deadline passed')
+    if (state.events > 0) return requestFailure('answer-cut', 'cut', 'the deadline passed')
+    return requestFailure('deadline-passed', state.mayHaveRun ? 'unknown' : 'not-run', 'the deadline passed')
   }
 
-  private _unserved (course: Course, detail: string): RequestFailure {
-    if (course.events > 0) return requestFailure('answer-cut', 'cut', detail)
-    if (course.sent) return requestFailure('outcome-unknown', 'unknown', detail, RETRY_AFTER_TROUBLE)
-    return requestFailure('overloaded', 'not-run', detail, RETRY_AFTER_TROUBLE)
+  private _unservedFailure (state: RequestState, detail: string): RequestFailure {
+    if (state.events > 0) return requestFailure('answer-cut', 'cut', detail)
+    if (state.mayHaveRun) return requestFailure('outcome-unknown', 'unknown', detail, FAILURE_RETRY_MILLISECONDS)
+    return requestFailure('overloaded', 'not-run', detail, FAILURE_RETRY_MILLISECONDS)
   }
 
-  private _measure (course: Course): void {
+  private _recordLatency (state: RequestState): void {
     const now = performance.now()
-    const { organisation, requestClass, receivedAt } = course.job.request
-    const first = course.lastPieceAt === 0
+    const { organisation, requestClass, receivedAt } = state.job.request
+    const first = state.lastPieceAt === 0
     const measure: Measure = first ? 'first-token' : 'between-tokens'
-    this._parts.histograms.record({ measure, organisation, requestClass }, now - (first ? receivedAt : course.lastPieceAt))
-    course.lastPieceAt = now
+    this._options.histograms.record({ measure, organisation, requestClass }, now - (first ? receivedAt : state.lastPieceAt))
+    state.lastPieceAt = now
   }
 }
 
 /**
- * A caller's request as it goes to an agent.
+ * Converts a caller's request to the form that is sent to an agent.
  *
  * @example
  * forwardedRequest(request, 0, '')
--- a/packages/node/src/lib/entry/start-pace.ts
+++ b/packages/node/src/lib/entry/start-pace.ts
@@ -3,32 +3,32 @@
  * Copyright 2026 the drumdrift contributors
  * SPDX-License-Identifier: BSD-3-Clause
  */
-/** Measures the time between starts while others wait: how fast a queue is really worked off. */
+/** Measures the rate at which a queue drains: the interval between starts while other requests wait. */
 const SMOOTHING = 0.1
-const LONGEST_INTERVAL = 1_000
+const MAX_INTERVAL_MILLISECONDS = 1_000
 
-/** The pace of one queue. */
+/** An exponentially weighted moving average of the interval between the starts of one queue. */
 export class StartPace {
   private _interval = 0
   private _startedAt: number | undefined
 
-  /** Milliseconds between starts; 0 while unknown. */
+  /** Average interval between starts, in milliseconds; 0 while unknown. */
   get interval (): number { return this._interval }
 
   /**
-   * Something started.
+   * Records a start.
    *
-   * @param backlogged Whether others still wait: the time to the next start then counts.
+   * @param backlogged Whether other requests still wait. Only then is the interval to the next start measured.
    * @example
    * pace.started(queue.size > 0, now)
    */
   started (backlogged: boolean, now: number): void {
-    if (this._startedAt !== undefined) this._observe(Math.min(LONGEST_INTERVAL, now - this._startedAt))
+    if (this._startedAt !== undefined) this._observe(Math.min(MAX_INTERVAL_MILLISECONDS, now - this._startedAt))
     this._startedAt = backlogged ? now : undefined
     if (!backlogged) this._interval = 0
   }
 
-  private _observe (since: number): void {
-    this._interval = this._interval === 0 ? since : this._interval + SMOOTHING * (since - this._interval)
+  private _observe (elapsed: number): void {
+    this._interval = this._interval === 0 ? elapsed : this._interval + SMOOTHING * (elapsed - this._interval)
   }
 }
--- a/packages/node/src/lib/peer/frame.ts
+++ b/packages/node/src/lib/peer/frame.ts
@@ -4,30 +4,29 @@
  * SPDX-License-Identifier: BSD-3-Clause
  */
 /**
- * Frames between the system's processes: two 32-bit big-endian lengths, a cbor body, and a raw payload that never goes
- * through the codec, so that chunks of weights are not copied more than the socket does.
+ * The frame format between the system's processes: two 32-bit big-endian lengths, a CBOR body, and a raw payload. The
+ * payload bypasses the codec, so that chunks of weights are not copied beyond what the socket does.
  */
 import { Encoder } from 'cbor-x'
 import { DrumdriftError, type PeerReply, type PeerRequest } from '@drumdrift/core'
 
-/** Bytes of the two lengths. */
+/** Size of the two lengths. */
 const HEADER_BYTES = 8
-/** The largest body: a published document of a megabyte with room for its envelope. */
-const LARGEST_BODY = 4 * 1024 * 1024
-/** The largest payload: a chunk, or the body of a request. */
-const LARGEST_PAYLOAD = 64 * 1024 * 1024
+/** Fits a published document of a megabyte and its envelope. */
+const MAX_BODY_BYTES = 4 * 1024 * 1024
+/** Fits a chunk or the body of a request. */
+const MAX_PAYLOAD_BYTES = 64 * 1024 * 1024
 
 /**
- * Keys that messages often have, written as their place in this list. Reports of load are nine in ten of all messages; one of
- * them takes 55 bytes so, and 141 with its keys in full. Both sides must have the same list: a change of it is a change of the
- * protocol.
+ * Frequent keys of messages, each encoded as its index in this list. Nine in ten messages are load reports, which take 55 bytes
+ * this way and 141 bytes with full keys. Both sides must use the same list, so changing it changes the protocol.
  */
 const FREQUENT_KEYS = [
   'call', 'request', 'reply', 'type', 'load', 'running', 'waiting', 'unreadTokens', 'version', 'accepting', 'pace', 'closesIn', 'opensIn', 'sentRate', 'identity', 'held', 'elsewhere', 'named', 'model', 'revision', 'age', 'digest', 'wait'
 ]
-const codec = new Encoder({ keyMap: Object.fromEntries(FREQUENT_KEYS.map((key, place) => [key, place])), useRecords: false })
+const codec = new Encoder({ keyMap: Object.fromEntries(FREQUENT_KEYS.map((key, index) => [key, index])), useRecords: false })
 
-/** One message of a connection. Calls are numbered by the side that asks. */
+/** One message of a connection. The side that sends a request numbers the call. */
 export type PeerEnvelope =
   | { readonly call: number, readonly request: PeerRequest }
   | { readonly call: number, readonly reply: PeerReply }
@@ -36,20 +35,20 @@
 export interface Frame {
   readonly envelope: PeerEnvelope
   readonly payload: Buffer
-  /** Bytes of the frame without its payload. */
+  /** Size of the frame without its payload, in bytes. */
   readonly overhead: number
 }
 
-const nothing = Buffer.alloc(0)
+const emptyBuffer = Buffer.alloc(0)
 
 /**
- * Encodes a frame as buffers to be written in order; one buffer without a payload, since most messages have none and each buffer
- * is a write.
+ * Encodes a frame as buffers to be written in order. A frame without a payload, as most are, is a single buffer, since each
+ * buffer takes a write.
  *
  * @example
  * for (const part of encodeFrame({ call: 1, request: { type: 'status' } })) socket.write(part)
  */
-export function encodeFrame (envelope: PeerEnvelope, payload: Buffer = nothing): Buffer[] {
+export function encodeFrame (envelope: PeerEnvelope, payload: Buffer = emptyBuffer): Buffer[] {
   const body = codec.encode(envelope)
   const head = Buffer.allocUnsafe(HEADER_BYTES + body.length)
   head.writeUInt32BE(body.length, 0)
@@ -58,19 +57,19 @@
   return payload.length > 0 ? [head, payload] : [head]
 }
 
-/** Cuts a byte stream into frames. Malformed or oversized input throws a typed failure; the connection is then closed. */
+/** Splits a byte stream into frames. Throws a typed failure on malformed or oversized input, upon which the connection is to be closed. */
 export class FrameReader {
-  private _pieces: Buffer[] = []
-  private _held = 0
+  private _buffers: Buffer[] = []
+  private _bufferedBytes = 0
 
   /**
-   * Takes bytes and returns the frames that they complete.
+   * Adds received bytes and returns the frames that they complete.
    *
    * @throws DrumdriftError with a peer failure of reason `malformed` or `oversized`.
    */
   push (bytes: Buffer): Frame[] {
-    this._pieces.push(bytes)
-    this._held += bytes.length
+    this._buffers.push(bytes)
+    this._bufferedBytes += bytes.length
     const frames: Frame[] = []
     for (;;) {
       const frame = this._next()
@@ -80,32 +79,32 @@
   }
 
   private _next (): Frame | undefined {
-    if (this._held < HEADER_BYTES) return undefined
+    if (this._bufferedBytes < HEADER_BYTES) return undefined
     const header = this._peek(HEADER_BYTES)
     const bodyLength = header.readUInt32BE(0)
     const payloadLength = header.readUInt32BE(4)
-    if (bodyLength > LARGEST_BODY || payloadLength > LARGEST_PAYLOAD) throw peerError('oversized', `frame of ${bodyLength} + ${payloadLength} bytes`)
-    if (this._held < HEADER_BYTES + bodyLength + payloadLength) return undefined
-    this._take(HEADER_BYTES)
-    const envelope = decodeEnvelope(this._take(bodyLength))
-    return { envelope, payload: this._take(payloadLength), overhead: HEADER_BYTES + bodyLength }
+    if (bodyLength > MAX_BODY_BYTES || payloadLength > MAX_PAYLOAD_BYTES) throw peerError('oversized', `frame of ${bodyLength} + ${payloadLength} bytes`)
+    if (this._bufferedBytes < HEADER_BYTES + bodyLength + payloadLength) return undefined
+    this._consume(HEADER_BYTES)
+    const envelope = decodeEnvelope(this._consume(bodyLength))
+    return { envelope, payload: this._consume(payloadLength), overhead: HEADER_BYTES + bodyLength }
   }
 
-  /** The first bytes, without taking them. */
+  /** Returns at least `length` bytes of the buffer without consuming them. */
   private _peek (length: number): Buffer {
-    const first = this._pieces[0] ?? nothing
+    const first = this._buffers[0] ?? emptyBuffer
     if (first.length >= length) return first
-    this._pieces = [Buffer.concat(this._pieces)]
-    return this._pieces[0] ?? nothing
+    this._buffers = [Buffer.concat(this._buffers)]
+    return this._buffers[0] ?? emptyBuffer
   }
 
-  private _take (length: number): Buffer {
-    this._held -= length
+  private _consume (length: number): Buffer {
+    this._bufferedBytes -= length
     const taken: Buffer[] = []
     let missing = length
     while (missing > 0) {
-      const piece = this._pieces.shift() ?? nothing
-      if (piece.length > missing) this._pieces.unshift(piece.subarray(missing))
+      const piece = this._buffers.shift() ?? emptyBuffer
+      if (piece.length > missing) this._buffers.unshift(piece.subarray(missing))
       const part = piece.subarray(0, missing)
       taken.push(part)
       missing -= part.length
@@ -116,7 +115,7 @@
 }
 
 /**
- * An error that carries a peer failure.
+ * Creates an error with a peer failure.
  *
  * @example
  * throw peerError('timed-out', 'no reply within 500 ms')
@@ -130,9 +129,9 @@
   try {
     value = codec.decode(body)
   } catch {
-    throw peerError('malformed', 'body is not cbor')
+    throw peerError('malformed', 'body is not valid CBOR')
   }
-  if (!isEnvelope(value)) throw peerError('malformed', 'body is not a message')
+  if (!isEnvelope(value)) throw peerError('malformed', 'body is not a peer message')
   return value
 }
 
