--- a/packages/node/src/lib/operator/desk.ts
+++ b/packages/node/src/lib/operator/desk.ts
@@ -4,8 +4,9 @@
  * SPDX-License-Identifier: BSD-3-Clause
  */
 /**
- * Answers operators: who may ask, what runs where, and orders. A lasting change is never written anywhere: it is
- * compiled into the next configuration document for the operator to publish. Orders to leave go to one incarnation.
+ * Handles operator commands: authenticates the operator, shows the status of processes and sends orders. A lasting change
+ * is never stored: it is compiled into the next configuration document, which the operator publishes. An order to drain or
+ * stop is addressed to one incarnation.
  */
 import type { IncomingMessage } from 'node:http'
 import { checkConfiguration, type Configuration, type InstanceRecord, type ProcessStatus, type Spread } from '@drumdrift/core'
@@ -17,9 +18,9 @@
 import { languageHelp, parseCommand, type Command, type Filter, type FilterField, type LanguageMistake } from './language.js'
 import { renderRows, rowOf, type AnswerFormat } from './render.js'
 
-/** What the desk works with. */
+/** The dependencies of `OperatorDesk`. */
 export interface OperatorDeskParts {
-  /** Operators as name:key. */
+  /** Operators and their keys, as name:key. */
   readonly keys: readonly string[]
   readonly spread: Spread
   readonly pool: PeerPool
@@ -29,7 +30,7 @@
   readonly self: () => ProcessStatus
 }
 
-/** An answer over HTTP. */
+/** An HTTP response to an operator. */
 export interface OperatorAnswer {
   readonly status: number
   readonly type: string
@@ -38,16 +39,17 @@
 
 type Handlers = { readonly [Type in Command['type']]: (command: Extract<Command, { type: Type }>, format: AnswerFormat, operator: string) => Promise<OperatorAnswer> }
 
+/** Timeout of a request to a process, in milliseconds. */
 const ASK_TIMEOUT = 800
-/** Processes asked at once. */
+/** Maximum number of status requests in flight. */
 const ASK_WIDTH = 32
 const TEXT = 'text/plain; charset=utf-8'
 
-/** The operators' side of one entry. */
+/** Handles the operator requests of one entry. */
 export class OperatorDesk {
   constructor (private readonly _parts: OperatorDeskParts) {}
 
-  /** Answers a request to `/operator/ask` or `/operator/histograms`. */
+  /** Handles a request to `/operator/ask` or `/operator/histograms`. */
   async answer (request: IncomingMessage, body: Buffer): Promise<OperatorAnswer> {
     const operator = this._operator(request.headers.authorization)
     if (operator === undefined) return this._refuse(request)
@@ -87,7 +89,7 @@
   private _rollout (command: Extract<Command, { type: 'rollout' }>): OperatorAnswer {
     const current = this._parts.spread.configuration
     const pool = current?.pools[command.pool]
-    if (current === undefined || pool === undefined) return failed('unknown-pool', `no pool is named ${command.pool}`)
+    if (current === undefined || pool === undefined) return failed('unknown-pool', `there is no pool named ${command.pool}`)
     const { switchFraction = pool.switchFraction, originCopies = pool.originCopies } = command
     const neededBy = command.neededBy === undefined ? pool.neededBy : Date.parse(command.neededBy)
     const next = { ...pool, version: command.version, switchFraction, originCopies, ...(neededBy === undefined ? {} : { neededBy }) }
@@ -96,12 +98,12 @@
 
   private _drainLasting (instance: string): OperatorAnswer {
     const current = this._parts.spread.configuration
-    if (current === undefined) return failed('no-configuration', 'no configuration is known yet')
-    if (this._record(instance) === undefined) return failed('unknown-instance', `no instance is named ${instance}`)
+    if (current === undefined) return failed('no-configuration', 'no configuration has been received yet')
+    if (this._record(instance) === undefined) return failed('unknown-instance', `there is no instance named ${instance}`)
     return this._compiled({ ...current, draining: [...new Set([...current.draining, instance])] })
   }
 
-  /** Checks the next document as every process will, and names the revision that it was made from. */
+  /** Validates the next document like the processes that adopt it, and adds the revision on which it is based. */
   private _compiled (next: Configuration): OperatorAnswer {
     const checked = checkConfiguration(next)
     if ('failure' in checked) return failed('invalid', checked.failure.detail)
@@ -112,7 +114,7 @@
 
   private async _leave (command: Extract<Command, { type: 'leave' }>, operator: string): Promise<OperatorAnswer> {
     const record = this._record(command.instance)
-    if (record === undefined) return failed('unknown-instance', `no instance is named ${command.instance}`)
+    if (record === undefined) return failed('unknown-instance', `there is no instance named ${command.instance}`)
     const incarnation = command.incarnation ?? (await this._status(record))?.incarnation
     if (incarnation === undefined) return failed('unseen', `${command.instance} could not be reached`)
     const { lifecycle } = command
@@ -122,7 +124,7 @@
       if (reply.type === 'left') return text(200, formatPairs({ event: 'left', instance: command.instance, incarnation, lifecycle: reply.lifecycle }))
       return failed(reply.type === 'refused' ? reply.reason : 'refused', reply.type === 'refused' ? reply.detail : 'unexpected reply')
     } catch {
-      return failed('unseen', `${command.instance} did not answer; the order may have reached it, and may be given again`)
+      return failed('unseen', `${command.instance} did not answer; the order may have reached it and can safely be repeated`)
     }
   }
 
--- a/packages/node/src/lib/operator/explain-files.ts
+++ b/packages/node/src/lib/operator/explain-files.ts
@@ -3,16 +3,16 @@
  * Copyright 2026 the drumdrift contributors
  * SPDX-License-Identifier: BSD-3-Clause
  */
-/** Reads log files for the `explain` command. */
+/** Implements the `explain` command. */
 import { formatPairs } from '../observe/log.js'
 import { explainRequest, explanationFields } from './explain.js'
 import { EXIT_UNREADABLE, logFileFailureLine, readLogFiles } from './log-files.js'
 
-/** Exit code when no line names the request. */
+/** Exit code if no log line has the id of the request. */
 const EXIT_NOT_FOUND = 1
 
 /**
- * Prints what the files tell of one request.
+ * Prints the log lines of one request, the lines around it and the cause of its result.
  *
  * @returns The exit code.
  * @example
--- a/packages/node/src/lib/operator/explain.ts
+++ b/packages/node/src/lib/operator/explain.ts
@@ -4,55 +4,55 @@
  * SPDX-License-Identifier: BSD-3-Clause
  */
 /**
- * Explains what happened to one request from the log lines of several processes: its own lines in order, what its
- * processes learned about its endpoints at that time, and the cause in a word.
+ * Explains the result of one request from the log lines of several processes: the request's own lines in order, the state
+ * changes that its processes logged about its endpoints at that time, and the cause as one keyword.
  */
 import type { LogFields } from '../observe/log.js'
 
-/** A log line, taken apart. */
+/** A parsed log line. */
 export interface LogLine {
   readonly time: number
   readonly event: string
   readonly fields: Readonly<Record<string, string>>
-  /** As it was written. */
+  /** The line as it was logged, from its time on. */
   readonly text: string
 }
 
-/** Why a request ended as it did. */
+/** The cause of a request's result. */
 export type RequestCause =
   | 'in-time' | 'pool-busy' | 'endpoint-slower-than-expected' | 'stream-paused' | 'overloaded' | 'no-endpoint' | 'ends-endpoints' | 'endpoints-spared' | 'no-configuration'
   | 'not-allowed' | 'endpoint-failed' | 'time-over' | 'caller-left' | 'unfinished'
 
-/** What is known of one request. */
+/** The explanation of one request. */
 export interface Explanation {
   readonly cause: RequestCause
-  /** What to look at next. */
+  /** What the operator should check next. */
   readonly advice: string
-  /** The request's own lines, the first one first. */
+  /** The request's own lines, oldest first. */
   readonly request: readonly LogLine[]
-  /** What its processes learned of its endpoints, of the store and of versions around that time. */
+  /** Lines of its processes about its endpoints, the store and versions around that time, oldest first. */
   readonly around: readonly LogLine[]
 }
 
-/** Lines from so long before a request's first line until its last one tell what was believed then, in milliseconds. */
+/** Lines around a request are collected from this long before its first line until its last line, in milliseconds. */
 const AROUND_BEFORE = 3_000
-/** An answer that took this many times what was expected was held up where nobody expected it. */
+/** An answer that took more than this multiple of the expected time was delayed by something that the estimate did not include. */
 const SLOWER_FACTOR = 1.5
-/** Events that change what a process believes, whatever endpoint they are about. */
+/** Events that change the state by which a process routes, independent of an endpoint. */
 const beliefs = new Set(['store-lost', 'store-regained', 'epoch-began', 'history-lost', 'configuration-older', 'configuration-adopted', 'version-wanted', 'published-from-peer', 'entry-started', 'entry-ready', 'entry-stopping'])
-/** Events that say by what a process goes on until the next one of the kind, however long that takes. */
+/** Events whose state holds until the next event of the same name, however long ago they were logged. */
 const standingEvents: ReadonlySet<string> = new Set(['epoch-began', 'configuration-adopted'])
 /** Events about one endpoint or its agent. */
 const endpointEvents = new Set(['endpoint-listed', 'endpoint-gone', 'agent-lost', 'agent-regained'])
-/** What endpoints said of themselves, which holds for long and keeps requests from those that it is about. */
+/** Notices that endpoints sent about themselves. They hold for a long time and reduce or stop the requests to those endpoints. */
 const noticeEvents = new Set(['endpoint-limited', 'endpoint-limit-ended', 'endpoint-leaving', 'endpoint-resting'])
 
 const pair = /(\w+)=("(?:[^"\\]|\\.)*"|\S*)/g
 
 /**
- * Takes a log line apart. What stands before its time is skipped, since collectors put their own words there.
+ * Parses a log line. Text before the time is skipped, since log collectors add prefixes of their own.
  *
- * @returns Nothing when it is no log line.
+ * @returns `undefined` if the text is not a log line.
  * @example
  * parseLogLine('time=2026-12-02T05:30:00.000Z level=info event=entry-ready')?.event // 'entry-ready'
  */
@@ -69,9 +69,9 @@
 /**
  * Explains one request.
  *
- * @param id The caller's name for it.
+ * @param id The request id that the caller assigned.
  * @param lines Lines of all processes, in any order.
- * @returns Nothing when no line names the request.
+ * @returns `undefined` if no line has this id.
  * @example
  * const explanation = explainRequest('9c41d07b', lines)
  */
@@ -97,7 +97,7 @@
   return { cause, advice: advices[cause], request, around: around.sort((left, right) => left.time - right.time) }
 }
 
-/** The last line of each event of each instance. */
+/** Returns the latest line for each pair of instance and event. */
 function lastOfEach (lines: readonly LogLine[]): ReadonlySet<LogLine> {
   const last = new Map<string, LogLine>()
   for (const line of lines) {
@@ -107,31 +107,31 @@
   return new Set(last.values())
 }
 
-/** Fields of the line that closes an explanation. */
+/** Returns the fields of the summary line, which is printed last. */
 export function explanationFields ({ cause, advice, request }: Explanation): LogFields {
   return { event: 'explained', id: request[0]?.fields['id'], cause, lines: request.length, advice }
 }
 
 const advices: Record<RequestCause, string> = {
-  'in-time': 'nothing failed here; ask the caller for the id of its other attempts',
-  'pool-busy': 'the answer was late as expected: the pool had no better endpoint; look at the load and at switches',
-  'endpoint-slower-than-expected': 'the endpoint or the way to it was slower than known: see load_age, round_trip and its agent\'s log',
-  'stream-paused': 'events paused for longer than the objective: look at the endpoint\'s load, and at transfers of weights beside it',
-  overloaded: 'refused early, as every endpoint was expected too late or refused it: look at the load of the pool',
-  'ends-endpoints': 'endpoints were lost under this request again and again, so it is held back: see request-held-back, and what its body does to an endpoint',
-  'endpoints-spared': 'endpoints are sent less because they ask for it, see spared, and endpoint-limited, endpoint-leaving or endpoint-resting of each: look at what they are in need of, and whether their successors have come',
-  'no-endpoint': 'no endpoint may take it: see which are listed, and whether all hold a version that is due to be replaced',
-  'no-configuration': 'the process had just started and knew no configuration: see store-lost and its seeds',
-  'not-allowed': 'the configuration in force has no such route, key or size: compare its version with the one published',
-  'endpoint-failed': 'the last endpoint broke off or failed, and it could not go elsewhere: see the last attempt-ended',
-  'time-over': 'the caller\'s deadline or the route\'s time-out passed: see when the last attempt was sent',
-  'caller-left': 'the caller closed its connection before the answer',
-  unfinished: 'no final line: the process ended, or lines were left out (log-lines-left-out)'
+  'in-time': 'this request was answered in time; ask the caller for the ids of its other attempts',
+  'pool-busy': 'the answer was late, as the entry expected, since the pool had no better endpoint: check the load of the pool and switches of versions',
+  'endpoint-slower-than-expected': 'the endpoint or the network path to it was slower than estimated: check load_age, round_trip and the log of its agent',
+  'stream-paused': 'the pause between two events exceeded the objective: check the load of the endpoint, and weight transfers on its instance',
+  overloaded: 'refused early, since every endpoint was expected to answer too late or refused the request: check the load of the pool',
+  'ends-endpoints': 'endpoints were lost repeatedly while they ran this request, so it is held back: check request-held-back, and the effect of its body on an endpoint',
+  'endpoints-spared': 'endpoints receive fewer requests because they asked for it: check the field spared, and endpoint-limited, endpoint-leaving or endpoint-resting of each; find out what they lack, and whether their replacements have started',
+  'no-endpoint': 'no endpoint may serve it: check which endpoints are listed, and whether all hold a version that is due to be replaced',
+  'no-configuration': 'the process had just started and had no configuration: check store-lost and its seeds',
+  'not-allowed': 'the configuration in force does not allow this route, key or size: compare its version with the published one',
+  'endpoint-failed': 'the last endpoint failed or broke off its answer, and the request could not be retried on another endpoint: check the last attempt-ended',
+  'time-over': 'the deadline of the caller or the timeout of the route passed: check when the last attempt was sent',
+  'caller-left': 'the caller closed its connection before the answer was complete',
+  unfinished: 'the final line is missing: the process ended, or log lines were dropped (see log-lines-left-out)'
 }
 
 const refusals: Readonly<Record<string, RequestCause>> = { overloaded: 'overloaded', 'no-endpoint': 'no-endpoint', 'ends-endpoints': 'ends-endpoints', 'endpoints-spared': 'endpoints-spared', 'no-configuration': 'no-configuration', 'deadline-passed': 'time-over' }
 
-/** Why a request ended as it did, from its own lines in order. */
+/** Determines the cause of a request's result from its own lines, oldest first. */
 export function causeOf (request: readonly LogLine[]): RequestCause {
   const end = request.find(({ event }) => event === 'request-ended')?.fields
   if (end === undefined) return 'unfinished'
@@ -139,7 +139,7 @@
   return handler === undefined ? 'unfinished' : handler(end, request)
 }
 
-/** What a table has under a name from a log file, which may be any word. */
+/** Looks up a name from a log file. Only own keys count, since the file may contain any word, such as `constructor`. */
 function lookUp<Value> (table: Readonly<Record<string, Value>>, name: string | undefined): Value | undefined {
   return name !== undefined && Object.hasOwn(table, name) ? table[name] : undefined
 }
@@ -166,7 +166,7 @@
   try {
     return String(JSON.parse(value))
   } catch {
-    // A line that was cut off within a value is still worth showing.
+    // A line that was truncated within a value is still shown.
     return value.slice(1)
   }
 }
--- a/packages/node/src/lib/operator/language.ts
+++ b/packages/node/src/lib/operator/language.ts
@@ -4,8 +4,7 @@
  * SPDX-License-Identifier: BSD-3-Clause
  */
 /**
- * Parses the operators' language into typed commands. A mistake tells its position, what was expected and, when there
- * is one, a nearby word.
+ * Parses operator commands. A syntax error has its position, the expected input and, if there is one, a similar keyword.
  */
 import { closest, distance } from 'fastest-levenshtein'
 import { parse, SyntaxError as GrammarError } from './grammar.generated.js'
@@ -26,10 +25,10 @@
   | { readonly type: 'leave', readonly lifecycle: 'draining' | 'stopped', readonly instance: string, readonly incarnation: string | null, readonly lasting: boolean }
   | { readonly type: 'help' }
 
-/** Why a text is no command. */
+/** A syntax error in a command. */
 export interface LanguageMistake {
   readonly type: 'language-mistake'
-  /** Counted from 1. */
+  /** The position in the text, counted from 1. */
   readonly position: number
   readonly expected: string
   readonly nearby: string | undefined
@@ -38,18 +37,19 @@
 const words = ['show', 'rollout', 'drain', 'stop', 'help', 'instances', 'entries', 'agents', 'revisions', 'where', 'and', 'zone', 'pool', 'version', 'state', 'lifecycle', 'instance', 'incarnation', 'lasting', 'to', 'by', 'waves', 'copies']
 const FARTHEST = 2
 
-/** What `help` answers. */
+/** The answer to the command `help`. */
 export const languageHelp = [
   'show instances|entries|agents|revisions [where FIELD = VALUE [and ...]]   fields: zone pool version state lifecycle instance',
   'rollout POOL to VERSION [by 2026-12-24T05:30Z] [waves 25%] [copies 2]     prints the next configuration document, for you to publish',
-  'drain INSTANCE [incarnation NAME]                                        takes no new work; what runs goes on',
+  'drain INSTANCE [incarnation NAME]                                        accepts no new requests; running requests continue',
   'drain INSTANCE lasting                                                   prints the next configuration document, for you to publish',
-  'stop INSTANCE [incarnation NAME]                                         as drain, and the instance says it is stopped'
+  'stop INSTANCE [incarnation NAME]                                         as drain, and the instance reports that it is stopped'
 ].join('\n')
 
 /**
  * Parses a command.
  *
+ * @returns The command, or a description of the syntax error.
  * @example
  * parseCommand('show agents where zone = bagmati')
  * parseCommand('shwo agents') // { type: 'language-mistake', position: 1, nearby: 'show', ... }
@@ -71,7 +71,7 @@
   return { type: 'language-mistake', position: offset + 1, expected: expected === '' ? 'a space and more words' : expected, nearby: nearbyWord(found) }
 }
 
-/** The grammar may stop inside a word; a person means the whole of it. At the end of the text nothing is wrong but missing. */
+/** Moves an error inside a word to the start of the word. At the end of the text input is missing, so the offset stays. */
 function wordStart (text: string, offset: number): number {
   let start = offset
   if (offset >= text.length) return offset
--- a/packages/node/src/lib/operator/log-files.ts
+++ b/packages/node/src/lib/operator/log-files.ts
@@ -3,16 +3,16 @@
  * Copyright 2026 the drumdrift contributors
  * SPDX-License-Identifier: BSD-3-Clause
  */
-/** Reads log files for the commands that look back at what happened. */
+/** Reads log files for the commands `explain` and `losses`. */
 import { createReadStream } from 'node:fs'
 import { createInterface } from 'node:readline'
 import { formatPairs } from '../observe/log.js'
 import { parseLogLine, type LogLine } from './explain.js'
 
-/** Exit code when a file cannot be read. */
+/** Exit code if a file cannot be read. */
 export const EXIT_UNREADABLE = 2
 
-/** A file that cannot be read. */
+/** Describes a file that cannot be read. */
 export interface LogFileFailure {
   readonly type: 'log-file-failure'
   readonly file: string
@@ -20,8 +20,9 @@
 }
 
 /**
- * Reads the log lines of files; other lines in them are skipped.
+ * Reads the log lines of files and skips all other lines.
  *
+ * @returns The lines of all files, or the failure for the first file that cannot be read.
  * @example
  * const read = await readLogFiles(['entry-1.log', 'agent-1.log'])
  */
@@ -40,7 +41,7 @@
   return lines
 }
 
-/** The line that tells of a file that cannot be read. */
+/** Formats the output line for a file that cannot be read. */
 export function logFileFailureLine ({ file, detail }: LogFileFailure): string {
   return `${formatPairs({ event: 'file-unreadable', file, detail })}\n`
 }
--- a/packages/node/src/lib/operator/losses-files.ts
+++ b/packages/node/src/lib/operator/losses-files.ts
@@ -3,19 +3,20 @@
  * Copyright 2026 the drumdrift contributors
  * SPDX-License-Identifier: BSD-3-Clause
  */
-/** The `losses` command. */
+/** Implements the `losses` command. */
 import { formatPairs } from '../observe/log.js'
 import { EXIT_UNREADABLE, logFileFailureLine, readLogFiles } from './log-files.js'
 import { lossLines, tallyLosses } from './losses.js'
 
-/** Exit codes: no request in the files; a wrong option. */
+/** Exit code if the files contain no request. */
 const EXIT_NOTHING = 1
+/** Exit code for an invalid option. */
 const EXIT_WRONG_OPTION = 2
 
 /**
- * Prints where service was lost.
+ * Prints how many requests were lost, by cause, entry and time.
  *
- * @param seconds The length of a span, as it was given.
+ * @param seconds The length of a span, as given on the command line.
  * @returns The exit code.
  * @example
  * process.exitCode = await lossesOfFiles(['entry-1.log'], '2', text => process.stdout.write(text))
--- a/packages/node/src/lib/operator/losses.ts
+++ b/packages/node/src/lib/operator/losses.ts
@@ -4,25 +4,25 @@
  * SPDX-License-Identifier: BSD-3-Clause
  */
 /**
- * Says where service was lost: how many requests were not answered in time, by cause, by entry and by span of time, from
- * the log lines of several processes.
+ * Counts lost requests, those that were not answered in time, by cause, by entry and by span of time, from the log lines
+ * of several processes.
  */
 import type { LogFields } from '../observe/log.js'
 import { causeOf, type LogLine, type RequestCause } from './explain.js'
 
-/** Requests of one group, by what became of them. */
+/** Numbers of requests in one group, by the cause of their result. */
 export type CauseCounts = ReadonlyMap<RequestCause, number>
 
-/** Where service was lost. */
+/** Numbers of requests, by cause, for all requests and by group. */
 export interface LossTable {
   readonly all: CauseCounts
-  /** By the entry that took them. */
+  /** By the entry that received the request. */
   readonly byEntry: ReadonlyMap<string, CauseCounts>
-  /** By the start of the span in which they came, in milliseconds of the time of day. */
+  /** By the start of the span in which the request arrived, in milliseconds since the Unix epoch. */
   readonly bySpan: ReadonlyMap<number, CauseCounts>
 }
 
-/** What is no loss: it was served in time, not allowed, or its caller left. */
+/** Causes that are not losses: the request was served in time or was not allowed, or its caller left. */
 const notLost: ReadonlySet<RequestCause> = new Set<RequestCause>(['in-time', 'not-allowed', 'caller-left'])
 
 /**
@@ -47,7 +47,7 @@
   return { all, byEntry: sorted(byEntry), bySpan: sorted(bySpan) }
 }
 
-/** The lines that tell of a table, the largest loss first. */
+/** Returns the fields of the output lines. Causes are sorted by the number of requests, the most frequent first. */
 export function lossLines ({ all, byEntry, bySpan }: LossTable): LogFields[] {
   const causes = [...all].filter(([cause]) => !notLost.has(cause)).sort(([, left], [, right]) => right - left)
   return [
@@ -58,7 +58,7 @@
   ]
 }
 
-/** The lines of each request, the first one first. */
+/** Groups lines by request, each group oldest first. */
 function requestsOf (lines: readonly LogLine[]): Iterable<readonly LogLine[]> {
   const requests = new Map<string, LogLine[]>()
   for (const line of lines) {
--- a/packages/node/src/lib/operator/plot.ts
+++ b/packages/node/src/lib/operator/plot.ts
@@ -3,22 +3,22 @@
  * Copyright 2026 the drumdrift contributors
  * SPDX-License-Identifier: BSD-3-Clause
  */
-/** Plots percentiles as SVG, by vega-lite; loaded only when a plot is asked for. */
+/** Plots percentiles as SVG with vega-lite. This module is loaded only if a plot is requested. */
 import { compile, type TopLevelSpec } from 'vega-lite'
 import { parse, View } from 'vega'
 
-/** One curve. */
+/** One curve of the plot. */
 export interface PlotSeries {
   readonly measure: string
   readonly name: string
   readonly points: readonly { readonly percentile: number, readonly milliseconds: number }[]
 }
 
-/** The lowest value that is shown: a logarithmic axis has no zero. */
+/** Smaller values are plotted as this one, since a logarithmic axis has no zero. */
 const LEAST_MILLISECONDS = 0.1
 
 /**
- * Draws percentiles over a logarithmic axis of time, one panel for each measure.
+ * Plots percentiles on a logarithmic time axis, with one panel for each measure.
  *
  * @returns The SVG text.
  * @example
--- a/packages/node/src/lib/operator/render.ts
+++ b/packages/node/src/lib/operator/render.ts
@@ -4,17 +4,17 @@
  * SPDX-License-Identifier: BSD-3-Clause
  */
 /**
- * Shows statuses to people as a table and to programs as key=value or JSON lines.
+ * Formats process statuses as a table for people, and as key=value or JSON lines for programs.
  */
 import type { ProcessStatus } from '@drumdrift/core'
 import { formatPairs, type LogFields } from '../observe/log.js'
 
-/** Forms of an answer. */
+/** Output formats of an answer. */
 export type AnswerFormat = 'table' | 'pairs' | 'json'
 
 const DIGEST_SHOWN = 12
 
-/** A status as one flat row. */
+/** Converts a status into one flat row. */
 export function rowOf (status: ProcessStatus): LogFields {
   return {
     instance: status.instance,
@@ -41,7 +41,7 @@
 }
 
 /**
- * Renders rows.
+ * Formats rows.
  *
  * @example
  * renderRows(statuses.map(rowOf), 'table')
--- a/packages/node/src/lib/operator/report.ts
+++ b/packages/node/src/lib/operator/report.ts
@@ -4,8 +4,8 @@
  * SPDX-License-Identifier: BSD-3-Clause
  */
 /**
- * Merges the histograms of entries into one report: percentiles as key=value lines, and a plot of the distribution
- * for each organisation.
+ * Implements the `report` command: merges the histograms of several entries and prints percentiles as key=value lines,
+ * optionally with a plot of the distributions.
  */
 import { readFileSync, writeFileSync } from 'node:fs'
 import type { Histogram } from 'hdr-histogram-js'
@@ -22,11 +22,11 @@
 }
 
 const PERCENTILES = [50, 95, 99, 100] as const
-/** Points of a plotted curve, from the median to one in ten thousand. */
+/** Percentiles of a plotted curve, from the median to the slowest one in ten thousand. */
 const PLOTTED = [50, 75, 90, 95, 98, 99, 99.5, 99.9, 99.99] as const
 
 /**
- * Prints the report, and writes the plot if asked.
+ * Prints the report, and writes the plot if a file is given.
  *
  * @example
  * await report({ entries: '10.0.0.2:8080,10.0.0.3:8080', keyFile: 'operator.key', plot: 'report.svg' })
--- a/packages/node/src/lib/operator/watch.ts
+++ b/packages/node/src/lib/operator/watch.ts
@@ -4,8 +4,8 @@
  * SPDX-License-Identifier: BSD-3-Clause
  */
 /**
- * Follows a rollout: progress for each availability zone, a forecast of the time until all serve, and a clear word
- * when it is stuck and on what. All from what agents say of themselves.
+ * Monitors a rollout: prints the progress in each availability zone, a forecast of the time until all agents serve, and
+ * which agents are stuck and why. All data comes from the status reports of the agents.
  */
 import { readFileSync } from 'node:fs'
 import { setTimeout as pause } from 'node:timers/promises'
@@ -13,6 +13,7 @@
 import { askHttp } from '../platform/http-client.js'
 
 const POLL = 500
+/** A rollout without progress for this long is reported as stuck, in milliseconds. */
 const STUCK_AFTER = 15_000
 
 interface Row {
@@ -25,9 +26,9 @@
 }
 
 /**
- * Follows a rollout until all live agents of a pool serve, or the time is up.
+ * Prints the progress of a rollout until all live agents of a pool serve or the time limit passes.
  *
- * @returns The exit code: 0 when all serve.
+ * @returns The exit code: 0 if all agents serve, 1 if the time limit passed.
  * @example
  * await watchRollout('drafting', { entry: '10.0.0.2:8080', keyFile: 'operator.key', seconds: '600' })
  */
@@ -58,7 +59,7 @@
   return lines.map(line => JSON.parse(line) as Row)
 }
 
-/** Fetching is most of the way; the last tenth is the switch. */
+/** Estimates an agent's share of the rollout: fetching is nine tenths of it, the switch is the last tenth. */
 function shareOf (row: Row): number {
   if (row.state === 'serving') return 1
   return 0.9 * row.percent / 100
--- a/packages/node/src/test/lib/language_test.ts
+++ b/packages/node/src/test/lib/language_test.ts
@@ -18,7 +18,7 @@
     ['stop agent-3 incarnation agent-3.ab12', { type: 'leave', lifecycle: 'stopped', instance: 'agent-3', incarnation: 'agent-3.ab12', lasting: false }],
     ['help', { type: 'help' }]
   ]
-  for (const [text, command] of good) it(`understands "${text.trim()}"`, () => assert.deepEqual(parseCommand(text), command))
+  for (const [text, command] of good) it(`parses "${text.trim()}"`, () => assert.deepEqual(parseCommand(text), command))
 
   const wrong: [text: string, position: number, nearby: string | undefined][] = [
     ['shwo agents', 1, 'show'],
@@ -31,7 +31,7 @@
     ['drain', 6, undefined]
   ]
   for (const [text, position, nearby] of wrong) {
-    it(`tells where "${text}" is wrong`, () => {
+    it(`reports the position of the error in "${text}"`, () => {
       const mistake = parseCommand(text)
       assert.ok(mistake.type === 'language-mistake')
       assert.equal(mistake.position, position, mistake.expected)
--- a/packages/node/src/test/lib/operator/losses_test.ts
+++ b/packages/node/src/test/lib/operator/losses_test.ts
@@ -33,10 +33,10 @@
 describe('tallyLosses', () => {
   const table = tallyLosses(lines, 2_000)
   const groups: [name: string, found: Record<string, number>, expected: Record<string, number>][] = [
-    ['all', counts(table.all), { 'in-time': 1, overloaded: 2, 'stream-paused': 1, 'not-allowed': 1 }],
-    ['those of one entry', counts(table.byEntry.get('entry-1')), { 'in-time': 1, overloaded: 1 }],
-    ['those that came in one span, by their first line', counts(table.bySpan.get(0)), { 'in-time': 1, overloaded: 1, 'stream-paused': 1 }],
-    ['those of a later span', counts(table.bySpan.get(4_000)), { 'not-allowed': 1, overloaded: 1 }]
+    ['all requests', counts(table.all), { 'in-time': 1, overloaded: 2, 'stream-paused': 1, 'not-allowed': 1 }],
+    ['requests of one entry', counts(table.byEntry.get('entry-1')), { 'in-time': 1, overloaded: 1 }],
+    ['requests of one span, by their first line,', counts(table.bySpan.get(0)), { 'in-time': 1, overloaded: 1, 'stream-paused': 1 }],
+    ['requests of a later span', counts(table.bySpan.get(4_000)), { 'not-allowed': 1, overloaded: 1 }]
   ]
   for (const [name, found, expected] of groups) it(`counts ${name} by cause`, () => assert.deepEqual(found, expected))
 })
@@ -50,12 +50,12 @@
   }
 
   const cases: [name: string, file: string, span: string, code: number, says: RegExp][] = [
-    ['prints what was lost', file('good.log', texts.join('\n')), '2', 0, /^event=losses requests=5 lost=3\nevent=losses-cause cause=overloaded requests=2\nevent=losses-cause cause=stream-paused requests=1\n/],
-    ['reads lines that were cut or mixed with others', file('mixed.log', `noise\n${texts.join('\n')}\ntime=2026-12-02T05:30:00.000Z event=requ`), '2', 0, /requests=5 lost=3/],
-    ['says when the files hold no request', file('empty.log', 'nothing of ours'), '2', 1, /event=not-found files=1 lines=0/],
-    ['says which file cannot be read', join(folder, 'missing.log'), '2', 2, /event=file-unreadable file=.*missing\.log/],
-    ['refuses a span that is no number', file('span.log', ''), 'two', 2, /event=option-wrong option=span value=two/],
-    ['refuses a span of nothing', file('zero.log', ''), '0', 2, /event=option-wrong/]
+    ['prints the lost requests', file('good.log', texts.join('\n')), '2', 0, /^event=losses requests=5 lost=3\nevent=losses-cause cause=overloaded requests=2\nevent=losses-cause cause=stream-paused requests=1\n/],
+    ['reads files with truncated and foreign lines', file('mixed.log', `noise\n${texts.join('\n')}\ntime=2026-12-02T05:30:00.000Z event=requ`), '2', 0, /requests=5 lost=3/],
+    ['reports files without requests', file('empty.log', 'a line from another program'), '2', 1, /event=not-found files=1 lines=0/],
+    ['reports an unreadable file', join(folder, 'missing.log'), '2', 2, /event=file-unreadable file=.*missing\.log/],
+    ['rejects a span that is not a number', file('span.log', ''), 'two', 2, /event=option-wrong option=span value=two/],
+    ['rejects a span of zero', file('zero.log', ''), '0', 2, /event=option-wrong/]
   ]
   for (const [name, path, span, code, says] of cases) {
     it(name, async () => {
