--- a/packages/node/src/lib/observe/bounded-output.ts
+++ b/packages/node/src/lib/observe/bounded-output.ts
@@ -4,28 +4,28 @@
  * SPDX-License-Identifier: BSD-3-Clause
  */
 /**
- * Writes lines to a descriptor without ever blocking the process. Node writes to a pipe synchronously, so a reader that
- * stalls would stall the process; here lines wait in a bounded buffer, and what does not fit is dropped and counted.
+ * Writes lines to a file descriptor without blocking the process. Node writes to a pipe synchronously, so a stalled reader
+ * would block the process. Here lines are kept in a bounded buffer; lines that do not fit are dropped and counted.
  */
 import { write } from 'node:fs'
 import { Writable } from 'node:stream'
 
-/** Bytes that may wait for a reader: some seconds of a busy process. */
+/** Maximum number of buffered bytes: the output of a busy process over a few seconds. */
 const LARGEST_BACKLOG = 256 * 1024
-/** Before a descriptor that takes nothing is tried again, in milliseconds. */
+/** Delay before a write is retried if the descriptor accepts no data, in milliseconds. */
 const RETRY_PAUSE = 20
 /**
- * Lines that come within this time are written together, in milliseconds: each write costs a change of threads, and a line for
- * each was an eighth of what an entry's processor did at 8 requests a second. A process that is killed loses as much of its log.
+ * Lines within this time are written together, in milliseconds. Each write costs a thread switch: with one write per line,
+ * writes took an eighth of an entry's processor time at 8 requests per second. A killed process loses this much of its log.
  */
 export const WRITE_PAUSE = 100
-/** So many bytes are written at once, without waiting for more. */
+/** Once this many bytes are buffered, they are written without further delay. */
 const FULL_BATCH = 16 * 1024
 
-/** Writes bytes to a descriptor; the same shape as `fs.write`. */
+/** Writes bytes to a file descriptor; compatible with `fs.write`. */
 export type DescriptorWrite = (descriptor: number, bytes: Buffer, callback: (error: NodeJS.ErrnoException | null, written: number) => void) => void
 
-/** A stream of lines into a descriptor. */
+/** A stream that writes lines to a file descriptor. */
 export class BoundedOutput extends Writable {
   private _lines: Buffer[] = []
   private _waiting = 0
@@ -36,7 +36,7 @@
   private readonly _flushed = new Set<() => void>()
 
   /**
-   * @param _pause Milliseconds between writes, while little waits.
+   * @param _pause Minimum time between writes while little is buffered, in milliseconds.
    * @example
    * const output = new BoundedOutput(1)
    * output.write('event=started\n')
@@ -45,14 +45,14 @@
     super({ decodeStrings: true })
   }
 
-  /** Lines dropped since the last call. */
+  /** Returns the number of lines dropped since the last call. */
   takeDropped (): number {
     const dropped = this._dropped
     this._dropped = 0
     return dropped
   }
 
-  /** Waits until everything is written, for `patience` milliseconds at most. */
+  /** Waits until all lines are written, for at most `patience` milliseconds. */
   async flush (patience: number): Promise<void> {
     if (this._waiting === 0) return
     await new Promise<void>(resolve => {
@@ -103,7 +103,7 @@
         setTimeout(() => this._send(bytes), RETRY_PAUSE).unref()
         return
       }
-      // Nobody reads any more: there is nowhere to say so.
+      // After any other error the bytes are discarded: the reader is gone, so the error cannot be logged either.
       const done = error === null ? written : bytes.length
       this._waiting -= done
       if (done < bytes.length) return this._send(bytes.subarray(done))
--- a/packages/node/src/lib/observe/cost.ts
+++ b/packages/node/src/lib/observe/cost.ts
@@ -3,14 +3,14 @@
  * Copyright 2026 the drumdrift contributors
  * SPDX-License-Identifier: BSD-3-Clause
  */
-/** What a process costs its node, by its own reading. */
+/** Measures the resources that this process uses on its node. */
 import type { ProcessCost } from '@drumdrift/core'
 import type { Traffic } from '../peer/connection.js'
 
 const MICROSECONDS = 1_000
 
 /**
- * Reads what this process has cost so far.
+ * Returns the processor time, memory and control traffic of this process.
  *
  * @example
  * const cost = readCost(traffic)
--- a/packages/node/src/lib/observe/histograms.ts
+++ b/packages/node/src/lib/observe/histograms.ts
@@ -4,17 +4,17 @@
  * SPDX-License-Identifier: BSD-3-Clause
  */
 /**
- * Histograms for each organisation and class, in milliseconds. Their number is bounded: beyond it, new organisations
- * share one called "other", so that callers cannot make a process grow.
+ * Histograms by organisation and request class, in milliseconds. Their number is bounded: beyond the limit, new
+ * organisations share a histogram called "other", so that callers cannot increase the memory of a process.
  */
 import type { Histogram } from 'hdr-histogram-js'
-// The library's main module brings its second, compiled implementation: 9 MB more in every daemon, unused here.
+// The library's main module also loads a WebAssembly implementation, which is not used here and takes 9 MB in every daemon.
 import { constructorFromBucketSize } from 'hdr-histogram-js/dist/JsHistogramFactory.js'
 
-/** What is measured. */
+/** The measured quantities. */
 export type Measure = 'queueing' | 'first-token' | 'between-tokens' | 'whole-answer' | 'refusal' | 'transfer' | 'time-to-serve'
 
-/** Names one histogram. */
+/** Identifies one histogram. */
 export interface SeriesName {
   readonly measure: Measure
   readonly organisation: string
@@ -27,7 +27,7 @@
 }
 
 const MOST_SERIES = 256
-/** Values are kept in tenths of a millisecond, up to an hour, to two significant digits. */
+/** Values are recorded in tenths of a millisecond, up to one hour, with two significant digits. */
 const UNITS_PER_MILLISECOND = 10
 const HIGHEST = 36_000_000
 const DIGITS = 2
@@ -39,7 +39,7 @@
   /**
    * Records one measurement.
    *
-   * @param milliseconds Zero or more.
+   * @param milliseconds Negative values are recorded as zero, values above one hour as one hour.
    * @example
    * histograms.record({ measure: 'first-token', organisation: 'hall-1', requestClass: 'interactive' }, 42.5)
    */
@@ -48,10 +48,10 @@
     this._get(name).histogram.recordValue(value)
   }
 
-  /** All histograms. */
+  /** Returns all histograms. */
   all (): Series[] { return [...this._series.values()] }
 
-  /** A percentile in milliseconds, or nothing when nothing was recorded. */
+  /** Returns a percentile in milliseconds, or `undefined` if nothing was recorded. */
   percentile (name: SeriesName, percentile: number): number | undefined {
     const series = this._series.get(keyOf(name))
     return series === undefined ? undefined : series.histogram.getValueAtPercentile(percentile) / UNITS_PER_MILLISECOND
@@ -68,25 +68,25 @@
   }
 }
 
-/** An empty histogram of the common shape, so that any two can be merged. */
+/** Creates an empty histogram. All have the same parameters, so that any two can be merged. */
 export function newHistogram (): Histogram {
   const Constructor = constructorFromBucketSize(32)
   return new Constructor(1, HIGHEST, DIGITS)
 }
 
-/** Milliseconds at a percentile. */
+/** Returns a percentile of a histogram in milliseconds. */
 export function percentileOf (histogram: Histogram, percentile: number): number {
   return histogram.getValueAtPercentile(percentile) / UNITS_PER_MILLISECOND
 }
 
-/** A histogram as text, to be merged elsewhere. The codec is loaded when an operator first asks. */
+/** Encodes a histogram as text, to be merged by another process. The codec is loaded on the first request of an operator. */
 export async function encodeHistogram (histogram: Histogram): Promise<string> {
   const { encodeIntoCompressedBase64 } = await import('hdr-histogram-js')
   return encodeIntoCompressedBase64(histogram)
 }
 
 /**
- * Adds a histogram that came as text.
+ * Adds an encoded histogram to another one.
  *
  * @example
  * await mergeHistogram(total, series.histogram)
--- a/packages/node/src/lib/observe/log.ts
+++ b/packages/node/src/lib/observe/log.ts
@@ -4,31 +4,32 @@
  * SPDX-License-Identifier: BSD-3-Clause
  */
 /**
- * Logs: one line of key=value pairs for each event, with stable event names (docs/OPERATIONS.md lists them). A line
- * that repeats is held back and counted, so that a storm of one event cannot fill the log. Lines about single requests
- * have a rate of their own, so that each request of an ordinary load can be followed.
+ * Writes the log: one line of key=value pairs for each event, with stable event names (listed in docs/OPERATIONS.md).
+ * Repeated lines of one event are suppressed and counted, so that one event cannot flood the log. Lines about single
+ * requests have a rate limit of their own, so that every request can be traced under normal load.
  */
 import { createLogger, format, transports, type Logger } from 'winston'
 import { TokenBucket } from '@drumdrift/core'
 import { BoundedOutput, WRITE_PAUSE } from './bounded-output.js'
 
-/** Values of a log line. */
+/** The fields of a log line. */
 export type LogFields = Readonly<Record<string, string | number | boolean | undefined>>
 
-/** Severities, the least severe first. */
+/** Log levels, in order of increasing severity. */
 export type LogLevel = 'debug' | 'info' | 'warn' | 'error'
 
-/** Lines of one event that are written within a window; more are counted. */
+/** Maximum number of lines of one event in a window; further lines are only counted. */
 const LINES_PER_WINDOW = 20
+/** Length of a window, in milliseconds. */
 const WINDOW = 10_000
-/** Lines about requests in a second: four for each of a hundred requests. Beyond that they are counted. */
+/** Rate limit of lines about requests: four lines for each of 100 requests per second. Further lines are only counted. */
 const REQUEST_LINES_PER_SECOND = 400
 const REQUEST_LINES_BURST = 800
-/** Lines that were left out are told this often, in milliseconds. */
+/** Minimum interval between reports of dropped lines, in milliseconds. */
 const DROP_REPORT_PAUSE = 1_000
 const STANDARD_OUTPUT = 1
 
-/** Writes log lines of one process. */
+/** Writes the log lines of one process. */
 export class Log {
   private readonly _logger: Logger
   private readonly _written = new Map<string, { since: number, lines: number }>()
@@ -44,10 +45,10 @@
     })
   }
 
-  /** Sets the least severe level that is written. */
+  /** Sets the minimum level of the lines that are written. */
   setLevel (level: LogLevel): void { this._logger.level = level }
 
-  /** Writes a line about one request. Under more load than can be written, lines are left out and counted. */
+  /** Writes a line about one request. Lines above the rate limit are dropped and counted. */
   request (event: string, fields: LogFields): void {
     const now = performance.now()
     this._reportLeftOut(now)
@@ -58,7 +59,7 @@
     this._logger.info(formatLine('info', event, { ...this._common, ...fields }))
   }
 
-  /** Waits until what was logged is written, for `patience` milliseconds at most. */
+  /** Waits until all logged lines are written, for at most `patience` milliseconds. */
   async flush (patience: number): Promise<void> {
     this._reportLeftOut(Infinity)
     await this._output.flush(patience)
@@ -99,7 +100,7 @@
 }
 
 /**
- * One line of key=value pairs; values with spaces are quoted.
+ * Formats one line of key=value pairs. Empty values and values with spaces, quotes or equals signs are quoted.
  *
  * @example
  * formatPairs({ event: 'bench', ratio: 1.2 }) // 'event=bench ratio=1.2'
--- a/packages/node/src/lib/observe/metrics-server.ts
+++ b/packages/node/src/lib/observe/metrics-server.ts
@@ -3,13 +3,13 @@
  * Copyright 2026 the drumdrift contributors
  * SPDX-License-Identifier: BSD-3-Clause
  */
-/** Serves metrics over HTTP for a process that has no other HTTP side. */
+/** Serves metrics over HTTP for a process that has no other HTTP server. */
 import { createServer, type Server } from 'node:http'
 import { listenAt } from '../listen.js'
 import type { Histograms } from './histograms.js'
 import { metricsText, type Counters } from './metrics.js'
 
-/** A small HTTP server with one path, `/metrics`. */
+/** An HTTP server with the single path `/metrics`. */
 export class MetricsServer {
   private readonly _server: Server
 
--- a/packages/node/src/lib/observe/metrics.ts
+++ b/packages/node/src/lib/observe/metrics.ts
@@ -4,13 +4,13 @@
  * SPDX-License-Identifier: BSD-3-Clause
  */
 /**
- * Serves counters and percentiles in the usual text format. The library is loaded at the first request for it, so
- * that a process that nobody scrapes does not hold it in memory.
+ * Formats counters and percentiles in the Prometheus text format. The library is loaded on the first request, so that it
+ * takes no memory in a process that is not scraped.
  */
 import type { Histograms } from './histograms.js'
 import { percentileOf } from './histograms.js'
 
-/** Counters of one process, by stable names. */
+/** The counters of one process, by their stable names. */
 export class Counters {
   private readonly _counts = new Map<string, number>()
 
@@ -31,7 +31,7 @@
 const PERCENTILES = [50, 95, 99] as const
 
 /**
- * The metrics text of a process.
+ * Returns the metrics of a process in the Prometheus text format.
  *
  * @example
  * response.end(await metricsText(counters, histograms))
@@ -43,7 +43,7 @@
     new Gauge({ name: `drumdrift_${name}`, help: `Count of ${name.replaceAll('_', ' ')}`, registers: [registry] }).set(count)
   }
   const latency = new Gauge({
-    name: 'drumdrift_milliseconds', help: 'Percentiles of what was measured', labelNames: ['measure', 'organisation', 'class', 'percentile'], registers: [registry]
+    name: 'drumdrift_milliseconds', help: 'Percentiles of the measured times', labelNames: ['measure', 'organisation', 'class', 'percentile'], registers: [registry]
   })
   for (const { measure, organisation, requestClass, histogram } of histograms.all()) {
     for (const percentile of PERCENTILES) latency.set({ measure, organisation, class: requestClass, percentile: `${percentile}` }, percentileOf(histogram, percentile))
--- a/packages/node/src/lib/observe/notice-log.ts
+++ b/packages/node/src/lib/observe/notice-log.ts
@@ -3,31 +3,31 @@
  * Copyright 2026 the drumdrift contributors
  * SPDX-License-Identifier: BSD-3-Clause
  */
-/** The log lines and counters of what endpoints say of themselves. */
+/** Logs and counts the notices that endpoints send about themselves. */
 import { endpointOf, type LimitChange, type NoticeChange } from '@drumdrift/core'
 import type { Log } from './log.js'
 import type { Counters } from './metrics.js'
 
-/** Starts of endpoints that are remembered for having said what cannot be meant: each is logged once. */
+/** Maximum number of endpoint starts remembered for an invalid notice. Each is logged once; further ones are only counted. */
 const MOST_UNREADABLE = 1_024
 
 type Handlers = { readonly [Type in NoticeChange['type']]: (change: Extract<NoticeChange, { type: Type }>) => void }
 
-/** Writes one line for each change. */
+/** Writes one log line and increments one counter for each change. */
 export class NoticeLog {
   private readonly _unreadable = new Set<string>()
 
   constructor (private readonly _log: Log, private readonly _counters: Counters) {}
 
   /**
-   * An endpoint's own answer changed something.
+   * Records a change that follows from an endpoint's own answer.
    *
    * @example
    * for (const change of notices.heard(start, notice, sentAt, now)) noticeLog.note(change)
    */
   note (change: NoticeChange): void { this._handlers[change.type](change as never) }
 
-  /** A limit began, changed or ended, as an answer said, or another process told. */
+  /** Records that a limit began, changed or ended, reported by the endpoint's own answer or by another process. */
   limit ({ start, limit, share }: LimitChange, source: 'own' | 'told'): void {
     this._counters.add(limit === undefined ? 'endpoint_limits_ended' : 'endpoint_limits_named')
     if (limit === undefined) this._log.info('endpoint-limit-ended', { endpoint: endpointOf(start), source })
@@ -38,7 +38,7 @@
     limit: ({ change }) => { this.limit(change, 'own') },
     leaving: ({ start }) => {
       this._counters.add('endpoints_leaving')
-      this._log.warn('endpoint-leaving', { endpoint: endpointOf(start), detail: 'it says so in an answer; this start of it is sent nothing any more' })
+      this._log.warn('endpoint-leaving', { endpoint: endpointOf(start), detail: 'announced in an answer; this start of the endpoint receives no further requests' })
     },
     resting: ({ start, rest }) => {
       this._counters.add('endpoint_rests')
@@ -48,7 +48,7 @@
       this._counters.add('endpoint_notices_refused')
       if (this._unreadable.has(start) || this._unreadable.size >= MOST_UNREADABLE) return
       this._unreadable.add(start)
-      this._log.warn('endpoint-notice-refused', { endpoint: endpointOf(start), what, value, detail: 'it cannot be meant; what was known holds on' })
+      this._log.warn('endpoint-notice-refused', { endpoint: endpointOf(start), what, value, detail: 'the value is invalid; the previous state stays in effect' })
     }
   }
 }
--- a/packages/node/src/test/lib/bounded-output_test.ts
+++ b/packages/node/src/test/lib/bounded-output_test.ts
@@ -8,13 +8,13 @@
 import { BoundedOutput, type DescriptorWrite } from '../../lib/observe/bounded-output.js'
 import { Log } from '../../lib/observe/log.js'
 
-/** A reader that takes bytes only when it is told to. */
+/** A reader that consumes bytes only on `readAll`. */
 class Reader {
   text = ''
   private _pending: (() => void) | undefined
 
   /**
-   * @param _most Bytes that one write takes.
+   * @param _most Maximum number of bytes that one write accepts.
    */
   constructor (private readonly _most = Infinity) {}
 
@@ -26,7 +26,7 @@
     }
   }
 
-  /** Takes what is offered, until nothing is. */
+  /** Consumes pending writes until there are none. */
   readAll (): void {
     while (this._pending !== undefined) {
       const take = this._pending
@@ -39,8 +39,8 @@
 describe('BoundedOutput', () => {
   const cases: [name: string, limit: number, most: number, lines: string[], text: string, dropped: number][] = [
     ['writes lines in order', 100, Infinity, ['a\n', 'b\n', 'c\n'], 'a\nb\nc\n', 0],
-    ['goes on after a short write', 100, 1, ['abc\n', 'de\n'], 'abc\nde\n', 0],
-    ['drops what a stalled reader leaves no room for', 4, Infinity, ['aa\n', 'bb\n', 'cc\n'], 'aa\n', 2]
+    ['continues after a partial write', 100, 1, ['abc\n', 'de\n'], 'abc\nde\n', 0],
+    ['drops lines that exceed the buffer of a stalled reader', 4, Infinity, ['aa\n', 'bb\n', 'cc\n'], 'aa\n', 2]
   ]
   for (const [name, limit, most, lines, text, dropped] of cases) {
     it(name, () => {
@@ -52,7 +52,7 @@
     })
   }
 
-  it('takes lines again once the reader has read', () => {
+  it('accepts lines again after the reader has caught up', () => {
     const reader = new Reader()
     const output = new BoundedOutput(1, 4, reader.write)
     output.write('aa\n')
@@ -63,7 +63,7 @@
     assert.equal(reader.text, 'aa\ncc\n')
   })
 
-  it('never waits for a reader that has stalled', async () => {
+  it('does not wait for a stalled reader', async () => {
     const output = new BoundedOutput(1, 1_000, () => {})
     const log = new Log('info', {}, output)
     for (let count = 0; count < 5_000; count += 1) log.request('request-sent', { id: count })
@@ -73,15 +73,15 @@
 })
 
 /*
- * An entry at 8 requests a second wrote some 30 lines a second, each with a write of its own: 132 of 1,040 ms that its main thread
- * was busy went into starting them, and another thread was woken for each.
+ * An entry at 8 requests per second logs about 30 lines per second. With one write per line, starting the writes took 132 of
+ * the 1,040 ms for which the main thread was busy, and each write woke another thread.
  */
-describe('BoundedOutput with a pause', () => {
+describe('BoundedOutput with a minimum time between writes', () => {
   const cases: [name: string, lines: number, bytes: number, after: number, writes: number][] = [
-    ['writes the first line at once', 1, 10, 0, 1],
-    ['keeps those that follow', 5, 10, 0, 1],
-    ['writes those together after the pause', 5, 10, 100, 2],
-    ['does not wait with much', 3, 20_000, 0, 3]
+    ['writes the first line immediately', 1, 10, 0, 1],
+    ['buffers the lines that follow', 5, 10, 0, 1],
+    ['writes the buffered lines together after the interval', 5, 10, 100, 2],
+    ['writes large amounts without delay', 3, 20_000, 0, 3]
   ]
   for (const [name, lines, bytes, after, writes] of cases) {
     it(name, context => {
@@ -97,7 +97,7 @@
     })
   }
 
-  it('waits for nothing when it is flushed', async () => {
+  it('writes immediately when it is flushed', async () => {
     let text = ''
     const output = new BoundedOutput(1, 1_000_000, (_descriptor, written, callback) => {
       text += written.toString('utf8')
@@ -110,7 +110,7 @@
 })
 
 describe('Log.request', () => {
-  it('leaves lines out beyond its rate', () => {
+  it('drops lines above its rate limit', () => {
     const reader = new Reader()
     const log = new Log('info', {}, new BoundedOutput(1, 10_000_000, reader.write))
     for (let count = 0; count < 3_000; count += 1) log.request('request-sent', { id: count })
--- a/packages/node/src/test/lib/histograms_test.ts
+++ b/packages/node/src/test/lib/histograms_test.ts
@@ -11,25 +11,25 @@
 const name = { measure: 'first-token', organisation: 'hall-1', requestClass: 'interactive' } as const
 
 describe('Histograms', () => {
-  it('keeps percentiles for each organisation and class, to two digits', () => {
+  it('keeps percentiles by organisation and class, with two significant digits', () => {
     const histograms = new Histograms()
     for (let value = 1; value <= 1_000; value += 1) histograms.record(name, value)
     const median = histograms.percentile(name, 50) ?? 0
     assert.ok(Math.abs(median - 500) <= 10, `${median}`)
     assert.equal(histograms.percentile({ ...name, organisation: 'hall-2' }, 50), undefined)
   })
-  it('is bounded: beyond, organisations share one', () => {
+  it('limits the number of histograms: further organisations share one', () => {
     const histograms = new Histograms()
     for (let index = 0; index < 1_000; index += 1) histograms.record({ ...name, organisation: `o-${index}` }, 1)
     assert.ok(histograms.all().length <= 257)
     assert.ok(histograms.all().some(series => series.organisation === 'other'))
   })
-  it('takes the oddest values', () => {
+  it('accepts values out of range', () => {
     const histograms = new Histograms()
     for (const value of [-5, 0, 1e12, 0.04]) histograms.record(name, value)
     assert.equal(histograms.all()[0]?.histogram.totalCount, 4)
   })
-  it('is merged from text', async () => {
+  it('merges encoded histograms', async () => {
     const histograms = new Histograms()
     histograms.record(name, 20)
     const merged = newHistogram()
@@ -39,7 +39,7 @@
     assert.equal(merged.totalCount, 2)
     assert.ok(Math.abs(percentileOf(merged, 50) - 20) < 0.5)
   })
-  it('is shown in the usual text format', async () => {
+  it('is exported in the Prometheus text format', async () => {
     const histograms = new Histograms()
     const counters = new Counters()
     histograms.record(name, 20)
