--- a/packages/node/src/lib/observe/bounded-output.ts
+++ b/packages/node/src/lib/observe/bounded-output.ts
@@ -11,16 +11,16 @@
 import { Writable } from 'node:stream'
 
 /** Maximum number of buffered bytes: the output of a busy process over a few seconds. */
-const LARGEST_BACKLOG = 256 * 1024
+const MAX_BUFFERED_BYTES = 256 * 1024
 /** Delay before a write is retried if the descriptor accepts no data, in milliseconds. */
-const RETRY_PAUSE = 20
+const RETRY_DELAY_MILLISECONDS = 20
 /**
  * Lines within this time are written together, in milliseconds. Each write costs a thread switch: with one write per line,
  * writes took an eighth of an entry's processor time at 8 requests per second. A killed process loses this much of its log.
  */
-export const WRITE_PAUSE = 100
+export const WRITE_INTERVAL_MILLISECONDS = 100
 /** Once this many bytes are buffered, they are written without further delay. */
-const FULL_BATCH = 16 * 1024
+const FULL_BATCH_BYTES = 16 * 1024
 
 /** Writes bytes to a file descriptor; compatible with `fs.write`. */
 export type DescriptorWrite = (descriptor: number, bytes: Buffer, callback: (error: NodeJS.ErrnoException | null, written: number) => void) => void
@@ -28,20 +28,20 @@
 /** A stream that writes lines to a file descriptor. */
 export class BoundedOutput extends Writable {
   private _lines: Buffer[] = []
-  private _waiting = 0
+  private _bufferedBytes = 0
   private _writing = false
   private _dropped = 0
-  private _wroteAt = -Infinity
+  private _lastWriteAt = -Infinity
   private _timer: NodeJS.Timeout | undefined
-  private readonly _flushed = new Set<() => void>()
+  private readonly _flushListeners = new Set<() => void>()
 
   /**
-   * @param _pause Minimum time between writes while little is buffered, in milliseconds.
+   * @param _writeIntervalMilliseconds Minimum time between writes while little is buffered, in milliseconds.
    * @example
    * const output = new BoundedOutput(1)
    * output.write('event=started\n')
    */
-  constructor (private readonly _descriptor: number, private readonly _limit = LARGEST_BACKLOG, private readonly _writeTo: DescriptorWrite = write, private readonly _pause = 0) {
+  constructor (private readonly _descriptor: number, private readonly _maxBufferedBytes = MAX_BUFFERED_BYTES, private readonly _writeTo: DescriptorWrite = write, private readonly _writeIntervalMilliseconds = 0) {
     super({ decodeStrings: true })
   }
 
@@ -52,69 +52,69 @@
     return dropped
   }
 
-  /** Waits until all lines are written, for at most `patience` milliseconds. */
-  async flush (patience: number): Promise<void> {
-    if (this._waiting === 0) return
+  /** Waits until all lines are written, for at most `timeout` milliseconds. */
+  async flush (timeout: number): Promise<void> {
+    if (this._bufferedBytes === 0) return
     await new Promise<void>(resolve => {
-      const timer = setTimeout(resolve, patience)
-      this._flushed.add(() => {
+      const timer = setTimeout(resolve, timeout)
+      this._flushListeners.add(() => {
         clearTimeout(timer)
         resolve()
       })
-      this._pump()
+      this._scheduleWrite()
     })
   }
 
   override _write (line: Buffer, _encoding: BufferEncoding, callback: () => void): void {
-    if (this._waiting + line.length > this._limit) this._dropped += 1
+    if (this._bufferedBytes + line.length > this._maxBufferedBytes) this._dropped += 1
     else {
       this._lines.push(line)
-      this._waiting += line.length
-      this._pump()
+      this._bufferedBytes += line.length
+      this._scheduleWrite()
     }
     callback()
   }
 
-  private _pump (): void {
-    const wait = this._wroteAt + this._pause - performance.now()
-    if (wait > 0 && this._waiting < FULL_BATCH && this._flushed.size === 0) this._writeIn(wait)
-    else this._writeWaiting()
+  private _scheduleWrite (): void {
+    const delay = this._lastWriteAt + this._writeIntervalMilliseconds - performance.now()
+    if (delay > 0 && this._bufferedBytes < FULL_BATCH_BYTES && this._flushListeners.size === 0) this._writeAfter(delay)
+    else this._writeBuffered()
   }
 
-  private _writeIn (milliseconds: number): void {
+  private _writeAfter (milliseconds: number): void {
     this._timer ??= setTimeout(() => {
       this._timer = undefined
-      this._writeWaiting()
+      this._writeBuffered()
     }, milliseconds).unref()
   }
 
-  private _writeWaiting (): void {
+  private _writeBuffered (): void {
     if (this._writing || this._lines.length === 0) return
     const bytes = this._lines.length === 1 ? this._lines[0] as Buffer : Buffer.concat(this._lines)
     this._lines = []
-    this._send(bytes)
+    this._writeBytes(bytes)
   }
 
-  private _send (bytes: Buffer): void {
+  private _writeBytes (bytes: Buffer): void {
     this._writing = true
-    this._wroteAt = performance.now()
+    this._lastWriteAt = performance.now()
     this._writeTo(this._descriptor, bytes, (error, written) => {
       if (error !== null && error.code === 'EAGAIN') {
-        setTimeout(() => this._send(bytes), RETRY_PAUSE).unref()
+        setTimeout(() => this._writeBytes(bytes), RETRY_DELAY_MILLISECONDS).unref()
         return
       }
       // After any other error the bytes are discarded: the reader is gone, so the error cannot be logged either.
-      const done = error === null ? written : bytes.length
-      this._waiting -= done
-      if (done < bytes.length) return this._send(bytes.subarray(done))
+      const settledBytes = error === null ? written : bytes.length
+      this._bufferedBytes -= settledBytes
+      if (settledBytes < bytes.length) return this._writeBytes(bytes.subarray(settledBytes))
       this._writing = false
-      this._pump()
-      if (this._waiting === 0) this._tellFlushed()
+      this._scheduleWrite()
+      if (this._bufferedBytes === 0) this._notifyFlushed()
     })
   }
 
-  private _tellFlushed (): void {
-    for (const listener of this._flushed) listener()
-    this._flushed.clear()
+  private _notifyFlushed (): void {
+    for (const listener of this._flushListeners) listener()
+    this._flushListeners.clear()
   }
 }
--- a/packages/node/src/lib/observe/cost.ts
+++ b/packages/node/src/lib/observe/cost.ts
@@ -7,7 +7,7 @@
 import type { ProcessCost } from '@drumdrift/core'
 import type { Traffic } from '../peer/connection.js'
 
-const MICROSECONDS = 1_000
+const MICROSECONDS_PER_MILLISECOND = 1_000
 
 /**
  * Returns the processor time, memory and control traffic of this process.
@@ -18,5 +18,5 @@
 export function readCost (traffic: Traffic): ProcessCost {
   const { user, system } = process.cpuUsage()
   const { rss, heapUsed } = process.memoryUsage()
-  return { processorMilliseconds: Math.round((user + system) / MICROSECONDS), residentBytes: rss, heapBytes: heapUsed, controlBytes: traffic.sent + traffic.received }
+  return { processorMilliseconds: Math.round((user + system) / MICROSECONDS_PER_MILLISECOND), residentBytes: rss, heapBytes: heapUsed, controlBytes: traffic.sent + traffic.received }
 }
--- a/packages/node/src/lib/observe/histograms.ts
+++ b/packages/node/src/lib/observe/histograms.ts
@@ -26,11 +26,11 @@
   readonly histogram: Histogram
 }
 
-const MOST_SERIES = 256
+const MAX_SERIES = 256
 /** Values are recorded in tenths of a millisecond, up to one hour, with two significant digits. */
 const UNITS_PER_MILLISECOND = 10
-const HIGHEST = 36_000_000
-const DIGITS = 2
+const MAX_VALUE = 36_000_000
+const SIGNIFICANT_DIGITS = 2
 
 /** The histograms of one process. */
 export class Histograms {
@@ -44,8 +44,8 @@
    * histograms.record({ measure: 'first-token', organisation: 'hall-1', requestClass: 'interactive' }, 42.5)
    */
   record (name: SeriesName, milliseconds: number): void {
-    const value = Math.min(HIGHEST, Math.max(0, Math.round(milliseconds * UNITS_PER_MILLISECOND)))
-    this._get(name).histogram.recordValue(value)
+    const value = Math.min(MAX_VALUE, Math.max(0, Math.round(milliseconds * UNITS_PER_MILLISECOND)))
+    this._seriesFor(name).histogram.recordValue(value)
   }
 
   /** Returns all histograms. */
@@ -57,13 +57,13 @@
     return series === undefined ? undefined : series.histogram.getValueAtPercentile(percentile) / UNITS_PER_MILLISECOND
   }
 
-  private _get (name: SeriesName): Series {
+  private _seriesFor (name: SeriesName): Series {
     const known = this._series.get(keyOf(name))
     if (known !== undefined) return known
     const other = { ...name, organisation: 'other' }
-    const kept = this._series.size >= MOST_SERIES ? other : name
-    const series = this._series.get(keyOf(kept)) ?? { ...kept, histogram: newHistogram() }
-    this._series.set(keyOf(kept), series)
+    const seriesName = this._series.size >= MAX_SERIES ? other : name
+    const series = this._series.get(keyOf(seriesName)) ?? { ...seriesName, histogram: newHistogram() }
+    this._series.set(keyOf(seriesName), series)
     return series
   }
 }
@@ -71,7 +71,7 @@
 /** Creates an empty histogram. All have the same parameters, so that any two can be merged. */
 export function newHistogram (): Histogram {
   const Constructor = constructorFromBucketSize(32)
-  return new Constructor(1, HIGHEST, DIGITS)
+  return new Constructor(1, MAX_VALUE, SIGNIFICANT_DIGITS)
 }
 
 /** Returns a percentile of a histogram in milliseconds. */
--- a/packages/node/src/lib/observe/log.ts
+++ b/packages/node/src/lib/observe/log.ts
@@ -10,7 +10,7 @@
  */
 import { createLogger, format, transports, type Logger } from 'winston'
 import { TokenBucket } from '@drumdrift/core'
-import { BoundedOutput, WRITE_PAUSE } from './bounded-output.js'
+import { BoundedOutput, WRITE_INTERVAL_MILLISECONDS } from './bounded-output.js'
 
 /** The fields of a log line. */
 export type LogFields = Readonly<Record<string, string | number | boolean | undefined>>
@@ -21,23 +21,23 @@
 /** Maximum number of lines of one event in a window; further lines are only counted. */
 const LINES_PER_WINDOW = 20
 /** Length of a window, in milliseconds. */
-const WINDOW = 10_000
+const WINDOW_MILLISECONDS = 10_000
 /** Rate limit of lines about requests: four lines for each of 100 requests per second. Further lines are only counted. */
 const REQUEST_LINES_PER_SECOND = 400
 const REQUEST_LINES_BURST = 800
 /** Minimum interval between reports of dropped lines, in milliseconds. */
-const DROP_REPORT_PAUSE = 1_000
+const DROP_REPORT_INTERVAL_MILLISECONDS = 1_000
 const STANDARD_OUTPUT = 1
 
 /** Writes the log lines of one process. */
 export class Log {
   private readonly _logger: Logger
-  private readonly _written = new Map<string, { since: number, lines: number }>()
-  private readonly _requestLines = new TokenBucket(REQUEST_LINES_PER_SECOND, REQUEST_LINES_BURST, performance.now())
-  private _requestsLeftOut = 0
+  private readonly _windows = new Map<string, { since: number, lines: number }>()
+  private readonly _requestLineBudget = new TokenBucket(REQUEST_LINES_PER_SECOND, REQUEST_LINES_BURST, performance.now())
+  private _droppedRequestLines = 0
   private _reportedAt = performance.now()
 
-  constructor (level: LogLevel, private readonly _common: LogFields, private readonly _output = new BoundedOutput(STANDARD_OUTPUT, undefined, undefined, WRITE_PAUSE)) {
+  constructor (level: LogLevel, private readonly _commonFields: LogFields, private readonly _output = new BoundedOutput(STANDARD_OUTPUT, undefined, undefined, WRITE_INTERVAL_MILLISECONDS)) {
     this._logger = createLogger({
       level,
       format: format.printf(info => String(info.message)),
@@ -51,27 +51,27 @@
   /** Writes a line about one request. Lines above the rate limit are dropped and counted. */
   request (event: string, fields: LogFields): void {
     const now = performance.now()
-    this._reportLeftOut(now)
-    if (!this._requestLines.trySpend(1, now)) {
-      this._requestsLeftOut += 1
+    this._reportDroppedLines(now)
+    if (!this._requestLineBudget.trySpend(1, now)) {
+      this._droppedRequestLines += 1
       return
     }
-    this._logger.info(formatLine('info', event, { ...this._common, ...fields }))
+    this._logger.info(formatLine('info', event, { ...this._commonFields, ...fields }))
   }
 
-  /** Waits until all logged lines are written, for at most `patience` milliseconds. */
-  async flush (patience: number): Promise<void> {
-    this._reportLeftOut(Infinity)
-    await this._output.flush(patience)
+  /** Waits until all logged lines are written, for at most `timeout` milliseconds. */
+  async flush (timeout: number): Promise<void> {
+    this._reportDroppedLines(Infinity)
+    await this._output.flush(timeout)
   }
 
-  private _reportLeftOut (now: number): void {
-    if (now - this._reportedAt < DROP_REPORT_PAUSE) return
+  private _reportDroppedLines (now: number): void {
+    if (now - this._reportedAt < DROP_REPORT_INTERVAL_MILLISECONDS) return
     this._reportedAt = now
     const dropped = this._output.takeDropped()
-    if (dropped === 0 && this._requestsLeftOut === 0) return
-    this._logger.warn(formatLine('warn', 'log-lines-left-out', { ...this._common, requests: this._requestsLeftOut, unread: dropped }))
-    this._requestsLeftOut = 0
+    if (dropped === 0 && this._droppedRequestLines === 0) return
+    this._logger.warn(formatLine('warn', 'log-lines-left-out', { ...this._commonFields, requests: this._droppedRequestLines, unread: dropped }))
+    this._droppedRequestLines = 0
   }
 
   /**
@@ -87,15 +87,15 @@
 
   private _write (level: LogLevel, event: string, fields: LogFields): void {
     const now = performance.now()
-    const written = this._written.get(event)
-    if (written === undefined || now - written.since > WINDOW) {
-      const suppressed = Math.max(0, (written?.lines ?? 0) - LINES_PER_WINDOW)
-      this._written.set(event, { since: now, lines: 1 })
-      this._logger.log(level, formatLine(level, event, { ...this._common, ...fields, suppressed: suppressed > 0 ? suppressed : undefined }))
+    const window = this._windows.get(event)
+    if (window === undefined || now - window.since > WINDOW_MILLISECONDS) {
+      const suppressed = Math.max(0, (window?.lines ?? 0) - LINES_PER_WINDOW)
+      this._windows.set(event, { since: now, lines: 1 })
+      this._logger.log(level, formatLine(level, event, { ...this._commonFields, ...fields, suppressed: suppressed > 0 ? suppressed : undefined }))
       return
     }
-    written.lines += 1
-    if (written.lines <= LINES_PER_WINDOW) this._logger.log(level, formatLine(level, event, { ...this._common, ...fields }))
+    window.lines += 1
+    if (window.lines <= LINES_PER_WINDOW) this._logger.log(level, formatLine(level, event, { ...this._commonFields, ...fields }))
   }
 }
 
--- a/packages/node/src/lib/observe/notice-log.ts
+++ b/packages/node/src/lib/observe/notice-log.ts
@@ -9,13 +9,13 @@
 import type { Counters } from './metrics.js'
 
 /** Maximum number of endpoint starts remembered for an invalid notice. Each is logged once; further ones are only counted. */
-const MOST_UNREADABLE = 1_024
+const MAX_REFUSED_STARTS = 1_024
 
 type Handlers = { readonly [Type in NoticeChange['type']]: (change: Extract<NoticeChange, { type: Type }>) => void }
 
 /** Writes one log line and increments one counter for each change. */
 export class NoticeLog {
-  private readonly _unreadable = new Set<string>()
+  private readonly _refusedStarts = new Set<string>()
 
   constructor (private readonly _log: Log, private readonly _counters: Counters) {}
 
@@ -23,7 +23,7 @@
    * Records a change that follows from an endpoint's own answer.
    *
    * @example
-   * for (const change of notices.heard(start, notice, sentAt, now)) noticeLog.note(change)
+   * noticeLog.note({ type: 'leaving', start })
    */
   note (change: NoticeChange): void { this._handlers[change.type](change as never) }
 
@@ -31,7 +31,7 @@
   limit ({ start, limit, share }: LimitChange, source: 'own' | 'told'): void {
     this._counters.add(limit === undefined ? 'endpoint_limits_ended' : 'endpoint_limits_named')
     if (limit === undefined) this._log.info('endpoint-limit-ended', { endpoint: endpointOf(start), source })
-    else this._log.warn('endpoint-limited', { endpoint: endpointOf(start), source, limit, share: rounded(share) })
+    else this._log.warn('endpoint-limited', { endpoint: endpointOf(start), source, limit, share: roundShare(share) })
   }
 
   private readonly _handlers: Handlers = {
@@ -46,11 +46,11 @@
     },
     refused: ({ start, what, value }) => {
       this._counters.add('endpoint_notices_refused')
-      if (this._unreadable.has(start) || this._unreadable.size >= MOST_UNREADABLE) return
-      this._unreadable.add(start)
+      if (this._refusedStarts.has(start) || this._refusedStarts.size >= MAX_REFUSED_STARTS) return
+      this._refusedStarts.add(start)
       this._log.warn('endpoint-notice-refused', { endpoint: endpointOf(start), what, value, detail: 'the value is invalid; the previous state stays in effect' })
     }
   }
 }
 
-function rounded (share: number | undefined): number { return Math.round((share ?? 0) * 1_000) / 1_000 }
+function roundShare (share: number | undefined): number { return Math.round((share ?? 0) * 1_000) / 1_000 }
--- a/packages/node/src/lib/operator/explain.ts
+++ b/packages/node/src/lib/operator/explain.ts
@@ -35,19 +35,19 @@
 }
 
 /** Lines around a request are collected from this long before its first line until its last line, in milliseconds. */
-const AROUND_BEFORE = 3_000
+const CONTEXT_LEAD_MILLISECONDS = 3_000
 /** An answer that took more than this multiple of the expected time was delayed by something that the estimate did not include. */
 const SLOWER_FACTOR = 1.5
 /** Events that change the state by which a process routes, independent of an endpoint. */
-const beliefs = new Set(['store-lost', 'store-regained', 'epoch-began', 'history-lost', 'configuration-older', 'configuration-adopted', 'version-wanted', 'published-from-peer', 'entry-started', 'entry-ready', 'entry-stopping'])
+const routingStateEvents = new Set(['store-lost', 'store-regained', 'epoch-began', 'history-lost', 'configuration-older', 'configuration-adopted', 'version-wanted', 'published-from-peer', 'entry-started', 'entry-ready', 'entry-stopping'])
 /** Events whose state holds until the next event of the same name, however long ago they were logged. */
-const standingEvents: ReadonlySet<string> = new Set(['epoch-began', 'configuration-adopted'])
+const persistentEvents: ReadonlySet<string> = new Set(['epoch-began', 'configuration-adopted'])
 /** Events about one endpoint or its agent. */
 const endpointEvents = new Set(['endpoint-listed', 'endpoint-gone', 'agent-lost', 'agent-regained'])
 /** Notices that endpoints sent about themselves. They hold for a long time and reduce or stop the requests to those endpoints. */
 const noticeEvents = new Set(['endpoint-limited', 'endpoint-limit-ended', 'endpoint-leaving', 'endpoint-resting'])
 
-const pair = /(\w+)=("(?:[^"\\]|\\.)*"|\S*)/g
+const pairPattern = /(\w+)=("(?:[^"\\]|\\.)*"|\S*)/g
 
 /**
  * Parses a log line. Text before the time is skipped, since log collectors add prefixes of their own.
@@ -57,13 +57,13 @@
  * parseLogLine('time=2026-12-02T05:30:00.000Z level=info event=entry-ready')?.event // 'entry-ready'
  */
 export function parseLogLine (text: string): LogLine | undefined {
-  const begin = text.indexOf('time=')
-  if (begin < 0) return undefined
+  const timeOffset = text.indexOf('time=')
+  if (timeOffset < 0) return undefined
   const fields: Record<string, string> = {}
-  for (const [, name = '', value = ''] of text.slice(begin).matchAll(pair)) fields[name] = unquoted(value)
+  for (const [, name = '', value = ''] of text.slice(timeOffset).matchAll(pairPattern)) fields[name] = unquote(value)
   const time = Date.parse(fields['time'] ?? '')
   const { event } = fields
-  return event === undefined || Number.isNaN(time) ? undefined : { time, event, fields, text: text.slice(begin) }
+  return event === undefined || Number.isNaN(time) ? undefined : { time, event, fields, text: text.slice(timeOffset) }
 }
 
 /**
@@ -80,25 +80,25 @@
   const first = request[0]
   const last = request.at(-1)
   if (first === undefined || last === undefined) return undefined
-  const about = new Set(request.flatMap(({ fields }) => fields['endpoint'] ?? []))
-  const hosts = new Set(lines.filter(({ event, fields }) => event === 'endpoint-listed' && about.has(fields['endpoint'] ?? '')).map(({ fields }) => hostOf(fields['address'])))
+  const requestEndpoints = new Set(request.flatMap(({ fields }) => fields['endpoint'] ?? []))
+  const hosts = new Set(lines.filter(({ event, fields }) => event === 'endpoint-listed' && requestEndpoints.has(fields['endpoint'] ?? '')).map(({ fields }) => hostOf(fields['address'])))
   const instances = new Set(request.map(({ fields }) => fields['instance']))
-  const spared = request.some(({ fields }) => fields['spared'] !== undefined || fields['code'] === 'endpoints-spared')
+  const avoidedEndpoints = request.some(({ fields }) => fields['spared'] !== undefined || fields['code'] === 'endpoints-spared')
   const isAround = ({ time, event, fields }: LogLine): boolean => {
-    if (spared && noticeEvents.has(event)) return true
-    if (time < first.time - AROUND_BEFORE) return false
-    const ofEndpoint = endpointEvents.has(event) || noticeEvents.has(event)
-    return beliefs.has(event) || (ofEndpoint && (about.has(fields['endpoint'] ?? '') || hosts.has(hostOf(fields['agent']))))
+    if (avoidedEndpoints && noticeEvents.has(event)) return true
+    if (time < first.time - CONTEXT_LEAD_MILLISECONDS) return false
+    const aboutEndpoint = endpointEvents.has(event) || noticeEvents.has(event)
+    return routingStateEvents.has(event) || (aboutEndpoint && (requestEndpoints.has(fields['endpoint'] ?? '') || hosts.has(hostOf(fields['agent']))))
   }
   const before = lines.filter(({ time, fields }) => time <= last.time && instances.has(fields['instance']))
-  const standing = lastOfEach(before.filter(({ event, time }) => standingEvents.has(event) && time < first.time))
-  const around = before.filter(line => standing.has(line) || isAround(line))
+  const persistentLines = latestLines(before.filter(({ event, time }) => persistentEvents.has(event) && time < first.time))
+  const around = before.filter(line => persistentLines.has(line) || isAround(line))
   const cause = causeOf(request)
-  return { cause, advice: advices[cause], request, around: around.sort((left, right) => left.time - right.time) }
+  return { cause, advice: adviceByCause[cause], request, around: around.sort((left, right) => left.time - right.time) }
 }
 
 /** Returns the latest line for each pair of instance and event. */
-function lastOfEach (lines: readonly LogLine[]): ReadonlySet<LogLine> {
+function latestLines (lines: readonly LogLine[]): ReadonlySet<LogLine> {
   const last = new Map<string, LogLine>()
   for (const line of lines) {
     const key = `${line.fields['instance']} ${line.event}`
@@ -112,7 +112,7 @@
   return { event: 'explained', id: request[0]?.fields['id'], cause, lines: request.length, advice }
 }
 
-const advices: Record<RequestCause, string> = {
+const adviceByCause: Record<RequestCause, string> = {
   'in-time': 'this request was answered in time; ask the caller for the ids of its other attempts',
   'pool-busy': 'the answer was late, as the entry expected, since the pool had no better endpoint: check the load of the pool and switches of versions',
   'endpoint-slower-than-expected': 'the endpoint or the network path to it was slower than estimated: check load_age, round_trip and the log of its agent',
@@ -129,14 +129,14 @@
   unfinished: 'the final line is missing: the process ended, or log lines were dropped (see log-lines-left-out)'
 }
 
-const refusals: Readonly<Record<string, RequestCause>> = { overloaded: 'overloaded', 'no-endpoint': 'no-endpoint', 'ends-endpoints': 'ends-endpoints', 'endpoints-spared': 'endpoints-spared', 'no-configuration': 'no-configuration', 'deadline-passed': 'time-over' }
+const causeByRefusalCode: Readonly<Record<string, RequestCause>> = { overloaded: 'overloaded', 'no-endpoint': 'no-endpoint', 'ends-endpoints': 'ends-endpoints', 'endpoints-spared': 'endpoints-spared', 'no-configuration': 'no-configuration', 'deadline-passed': 'time-over' }
 
 /** Determines the cause of a request's result from its own lines, oldest first. */
 export function causeOf (request: readonly LogLine[]): RequestCause {
   const end = request.find(({ event }) => event === 'request-ended')?.fields
   if (end === undefined) return 'unfinished'
-  const handler = lookUp(results, end['result'])
-  return handler === undefined ? 'unfinished' : handler(end, request)
+  const findCause = lookUp(causeByResult, end['result'])
+  return findCause === undefined ? 'unfinished' : findCause(end, request)
 }
 
 /** Looks up a name from a log file. Only own keys count, since the file may contain any word, such as `constructor`. */
@@ -144,7 +144,7 @@
   return name !== undefined && Object.hasOwn(table, name) ? table[name] : undefined
 }
 
-const results: Readonly<Record<string, (end: LogLine['fields'], request: readonly LogLine[]) => RequestCause>> = {
+const causeByResult: Readonly<Record<string, (end: LogLine['fields'], request: readonly LogLine[]) => RequestCause>> = {
   answered: (end, request) => {
     if (Number(end['status']) >= 500) return 'endpoint-failed'
     const time = Number(end['first'] ?? end['took'])
@@ -156,12 +156,12 @@
     }
     return Number(end['gap']) > Number(end['objective']) ? 'stream-paused' : 'in-time'
   },
-  refused: end => lookUp(refusals, end['code']) ?? 'not-allowed',
+  refused: end => lookUp(causeByRefusalCode, end['code']) ?? 'not-allowed',
   failed: end => end['code'] === 'timed-out' ? 'time-over' : 'endpoint-failed',
   abandoned: () => 'caller-left'
 }
 
-function unquoted (value: string): string {
+function unquote (value: string): string {
   if (!value.startsWith('"')) return value
   try {
     return String(JSON.parse(value))
--- a/packages/node/src/lib/operator/language.ts
+++ b/packages/node/src/lib/operator/language.ts
@@ -26,7 +26,7 @@
   | { readonly type: 'help' }
 
 /** A syntax error in a command. */
-export interface LanguageMistake {
+export interface CommandSyntaxError {
   readonly type: 'language-mistake'
   /** The position in the text, counted from 1. */
   readonly position: number
@@ -34,11 +34,11 @@
   readonly nearby: string | undefined
 }
 
-const words = ['show', 'rollout', 'drain', 'stop', 'help', 'instances', 'entries', 'agents', 'revisions', 'where', 'and', 'zone', 'pool', 'version', 'state', 'lifecycle', 'instance', 'incarnation', 'lasting', 'to', 'by', 'waves', 'copies']
-const FARTHEST = 2
+const keywords = ['show', 'rollout', 'drain', 'stop', 'help', 'instances', 'entries', 'agents', 'revisions', 'where', 'and', 'zone', 'pool', 'version', 'state', 'lifecycle', 'instance', 'incarnation', 'lasting', 'to', 'by', 'waves', 'copies']
+const MAX_EDIT_DISTANCE = 2
 
 /** The answer to the command `help`. */
-export const languageHelp = [
+export const commandHelp = [
   'show instances|entries|agents|revisions [where FIELD = VALUE [and ...]]   fields: zone pool version state lifecycle instance',
   'rollout POOL to VERSION [by 2026-12-24T05:30Z] [waves 25%] [copies 2]     prints the next configuration document, for you to publish',
   'drain INSTANCE [incarnation NAME]                                        accepts no new requests; running requests continue',
@@ -54,21 +54,21 @@
  * parseCommand('show agents where zone = bagmati')
  * parseCommand('shwo agents') // { type: 'language-mistake', position: 1, nearby: 'show', ... }
  */
-export function parseCommand (text: string): Command | LanguageMistake {
+export function parseCommand (text: string): Command | CommandSyntaxError {
   try {
     return parse(text) as Command
   } catch (error) {
     if (!(error instanceof GrammarError)) throw error
-    return mistakeOf(text, error)
+    return syntaxErrorOf(text, error)
   }
 }
 
-function mistakeOf (text: string, error: GrammarError): LanguageMistake {
+function syntaxErrorOf (text: string, error: GrammarError): CommandSyntaxError {
   const offset = wordStart(text, error.location.start.offset)
   const found = /^[a-z]+/i.exec(text.slice(offset))?.[0] ?? ''
-  const described: string[] = [...new Set<string>((error.expected ?? []).map(describe))]
+  const described: string[] = [...new Set<string>((error.expected ?? []).map(describeExpectation))]
   const expected = described.filter(part => part !== 'space').join(', ')
-  return { type: 'language-mistake', position: offset + 1, expected: expected === '' ? 'a space and more words' : expected, nearby: nearbyWord(found) }
+  return { type: 'language-mistake', position: offset + 1, expected: expected === '' ? 'a space and more words' : expected, nearby: nearestKeyword(found) }
 }
 
 /** Moves an error inside a word to the start of the word. At the end of the text input is missing, so the offset stays. */
@@ -79,12 +79,12 @@
   return start
 }
 
-function nearbyWord (found: string): string | undefined {
+function nearestKeyword (found: string): string | undefined {
   if (found === '') return undefined
-  const candidate = closest(found.toLowerCase(), words)
-  return distance(found.toLowerCase(), candidate) <= FARTHEST ? candidate : undefined
+  const candidate = closest(found.toLowerCase(), keywords)
+  return distance(found.toLowerCase(), candidate) <= MAX_EDIT_DISTANCE ? candidate : undefined
 }
 
-function describe (expectation: { type: string, text?: string, description?: string }): string {
+function describeExpectation (expectation: { type: string, text?: string, description?: string }): string {
   return expectation.description ?? expectation.text ?? expectation.type
 }
--- a/packages/node/src/lib/operator/losses-files.ts
+++ b/packages/node/src/lib/operator/losses-files.ts
@@ -6,10 +6,10 @@
 /** Implements the `losses` command. */
 import { formatPairs } from '../observe/log.js'
 import { EXIT_UNREADABLE, logFileFailureLine, readLogFiles } from './log-files.js'
-import { lossLines, tallyLosses } from './losses.js'
+import { countLosses, lossLines } from './losses.js'
 
 /** Exit code if the files contain no request. */
-const EXIT_NOTHING = 1
+const EXIT_NO_REQUESTS = 1
 /** Exit code for an invalid option. */
 const EXIT_WRONG_OPTION = 2
 
@@ -22,8 +22,8 @@
  * process.exitCode = await lossesOfFiles(['entry-1.log'], '2', text => process.stdout.write(text))
  */
 export async function lossesOfFiles (files: readonly string[], seconds: string, print: (text: string) => void): Promise<number> {
-  const span = Number(seconds) * 1000
-  if (!(span > 0) || !Number.isFinite(span)) {
+  const spanMilliseconds = Number(seconds) * 1000
+  if (!(spanMilliseconds > 0) || !Number.isFinite(spanMilliseconds)) {
     print(`${formatPairs({ event: 'option-wrong', option: 'span', value: seconds, expected: 'seconds above 0' })}\n`)
     return EXIT_WRONG_OPTION
   }
@@ -32,10 +32,10 @@
     print(logFileFailureLine(lines))
     return EXIT_UNREADABLE
   }
-  const table = tallyLosses(lines, span)
+  const table = countLosses(lines, spanMilliseconds)
   if (table.all.size === 0) {
     print(`${formatPairs({ event: 'not-found', files: files.length, lines: lines.length })}\n`)
-    return EXIT_NOTHING
+    return EXIT_NO_REQUESTS
   }
   for (const fields of lossLines(table)) print(`${formatPairs(fields)}\n`)
   return 0
--- a/packages/node/src/lib/operator/losses.ts
+++ b/packages/node/src/lib/operator/losses.ts
@@ -23,7 +23,7 @@
 }
 
 /** Causes that are not losses: the request was served in time or was not allowed, or its caller left. */
-const notLost: ReadonlySet<RequestCause> = new Set<RequestCause>(['in-time', 'not-allowed', 'caller-left'])
+const notLossCauses: ReadonlySet<RequestCause> = new Set<RequestCause>(['in-time', 'not-allowed', 'caller-left'])
 
 /**
  * Counts requests by cause. Each attempt of a caller is one request.
@@ -32,34 +32,34 @@
  * @example
  * const { all } = tallyLosses(lines, 2_000)
  */
-export function tallyLosses (lines: readonly LogLine[], span: number): LossTable {
+export function countLosses (lines: readonly LogLine[], span: number): LossTable {
   const all = new Map<RequestCause, number>()
   const byEntry = new Map<string, Map<RequestCause, number>>()
   const bySpan = new Map<number, Map<RequestCause, number>>()
-  for (const request of requestsOf(lines)) {
+  for (const request of groupByRequest(lines)) {
     const [first] = request
     if (first === undefined) continue
     const cause = causeOf(request)
-    add(all, cause)
-    add(groupOf(byEntry, first.fields['instance'] ?? 'unknown'), cause)
-    add(groupOf(bySpan, Math.floor(first.time / span) * span), cause)
+    increment(all, cause)
+    increment(groupOf(byEntry, first.fields['instance'] ?? 'unknown'), cause)
+    increment(groupOf(bySpan, Math.floor(first.time / span) * span), cause)
   }
-  return { all, byEntry: sorted(byEntry), bySpan: sorted(bySpan) }
+  return { all, byEntry: sortGroups(byEntry), bySpan: sortGroups(bySpan) }
 }
 
 /** Returns the fields of the output lines. Causes are sorted by the number of requests, the most frequent first. */
 export function lossLines ({ all, byEntry, bySpan }: LossTable): LogFields[] {
-  const causes = [...all].filter(([cause]) => !notLost.has(cause)).sort(([, left], [, right]) => right - left)
+  const causes = [...all].filter(([cause]) => !notLossCauses.has(cause)).sort(([, left], [, right]) => right - left)
   return [
-    { event: 'losses', ...summary(all) },
+    { event: 'losses', ...summarise(all) },
     ...causes.map(([cause, requests]) => ({ event: 'losses-cause', cause, requests })),
-    ...[...byEntry].map(([entry, counts]) => ({ event: 'losses-entry', entry, ...summary(counts), ...named(counts) })),
-    ...[...bySpan].map(([from, counts]) => ({ event: 'losses-span', from: new Date(from).toISOString(), ...summary(counts), ...named(counts) }))
+    ...[...byEntry].map(([entry, counts]) => ({ event: 'losses-entry', entry, ...summarise(counts), ...lossFields(counts) })),
+    ...[...bySpan].map(([from, counts]) => ({ event: 'losses-span', from: new Date(from).toISOString(), ...summarise(counts), ...lossFields(counts) }))
   ]
 }
 
 /** Groups lines by request, each group oldest first. */
-function requestsOf (lines: readonly LogLine[]): Iterable<readonly LogLine[]> {
+function groupByRequest (lines: readonly LogLine[]): Iterable<readonly LogLine[]> {
   const requests = new Map<string, LogLine[]>()
   for (const line of lines) {
     const { id } = line.fields
@@ -72,17 +72,17 @@
   return requests.values()
 }
 
-function summary (counts: CauseCounts): { requests: number, lost: number } {
+function summarise (counts: CauseCounts): { requests: number, lost: number } {
   let [requests, lost] = [0, 0]
   for (const [cause, count] of counts) {
     requests += count
-    if (!notLost.has(cause)) lost += count
+    if (!notLossCauses.has(cause)) lost += count
   }
   return { requests, lost }
 }
 
-function named (counts: CauseCounts): LogFields {
-  return Object.fromEntries([...counts].filter(([cause]) => !notLost.has(cause)).map(([cause, count]) => [cause.replaceAll('-', '_'), count]))
+function lossFields (counts: CauseCounts): LogFields {
+  return Object.fromEntries([...counts].filter(([cause]) => !notLossCauses.has(cause)).map(([cause, count]) => [cause.replaceAll('-', '_'), count]))
 }
 
 function groupOf<Key> (groups: Map<Key, Map<RequestCause, number>>, key: Key): Map<RequestCause, number> {
@@ -91,10 +91,10 @@
   return group
 }
 
-function add (counts: Map<RequestCause, number>, cause: RequestCause): void {
+function increment (counts: Map<RequestCause, number>, cause: RequestCause): void {
   counts.set(cause, (counts.get(cause) ?? 0) + 1)
 }
 
-function sorted<Key extends string | number> (groups: ReadonlyMap<Key, CauseCounts>): ReadonlyMap<Key, CauseCounts> {
+function sortGroups<Key extends string | number> (groups: ReadonlyMap<Key, CauseCounts>): ReadonlyMap<Key, CauseCounts> {
   return new Map([...groups].sort(([left], [right]) => left < right ? -1 : 1))
 }
--- a/packages/node/src/lib/operator/plot.ts
+++ b/packages/node/src/lib/operator/plot.ts
@@ -15,7 +15,7 @@
 }
 
 /** Smaller values are plotted as this one, since a logarithmic axis has no zero. */
-const LEAST_MILLISECONDS = 0.1
+const MIN_MILLISECONDS = 0.1
 
 /**
  * Plots percentiles on a logarithmic time axis, with one panel for each measure.
@@ -26,7 +26,7 @@
  */
 export async function plotPercentiles (series: readonly PlotSeries[]): Promise<string> {
   const values = series.flatMap(({ measure, name, points }) => points.map(({ percentile, milliseconds }) => ({
-    measure, series: name, percentile: String(percentile), milliseconds: Math.max(LEAST_MILLISECONDS, milliseconds)
+    measure, series: name, percentile: String(percentile), milliseconds: Math.max(MIN_MILLISECONDS, milliseconds)
   })))
   const specification: TopLevelSpec = {
     $schema: 'https://vega.github.io/schema/vega-lite/v6.json',
--- a/packages/node/src/lib/operator/render.ts
+++ b/packages/node/src/lib/operator/render.ts
@@ -12,7 +12,7 @@
 /** Output formats of an answer. */
 export type AnswerFormat = 'table' | 'pairs' | 'json'
 
-const DIGEST_SHOWN = 12
+const SHOWN_DIGEST_LENGTH = 12
 
 /** Converts a status into one flat row. */
 export function rowOf (status: ProcessStatus): LogFields {
@@ -24,8 +24,8 @@
     lifecycle: status.lifecycle,
     state: status.state,
     percent: Math.floor(status.progress * 100),
-    version: short(status.version),
-    wanted: short(status.wanted),
+    version: shortDigest(status.version),
+    wanted: shortDigest(status.wanted),
     running: status.running,
     revision: status.revisions.configuration,
     age_seconds: Math.round(Math.min(status.ages.configuration, 1e9) / 1000),
@@ -57,6 +57,6 @@
   return [line(columns), ...rows.map(row => line(columns.map(column => String(row[column]))))].join('\n')
 }
 
-function short (digest: string): string {
-  return digest === '' ? '-' : digest.slice(0, DIGEST_SHOWN)
+function shortDigest (digest: string): string {
+  return digest === '' ? '-' : digest.slice(0, SHOWN_DIGEST_LENGTH)
 }
--- a/packages/node/src/lib/operator/report.ts
+++ b/packages/node/src/lib/operator/report.ts
@@ -23,7 +23,7 @@
 
 const PERCENTILES = [50, 95, 99, 100] as const
 /** Percentiles of a plotted curve, from the median to the slowest one in ten thousand. */
-const PLOTTED = [50, 75, 90, 95, 98, 99, 99.5, 99.9, 99.99] as const
+const PLOTTED_PERCENTILES = [50, 75, 90, 95, 98, 99, 99.5, 99.9, 99.99] as const
 
 /**
  * Prints the report, and writes the plot if a file is given.
@@ -35,18 +35,18 @@
   const key = readFileSync(options.keyFile, 'utf8').trim()
   const merged = new Map<string, { series: EncodedSeries, histogram: Histogram }>()
   for (const entry of options.entries.split(',')) {
-    for (const series of await histogramsOf(entry.trim(), key)) {
+    for (const series of await fetchHistograms(entry.trim(), key)) {
       const name = `${series.measure} ${series.organisation} ${series.requestClass}`
       const known = merged.get(name) ?? { series, histogram: newHistogram() }
       merged.set(name, known)
       await mergeHistogram(known.histogram, series.histogram)
     }
   }
-  for (const { series, histogram } of merged.values()) process.stdout.write(`${line(series, histogram)}\n`)
+  for (const { series, histogram } of merged.values()) process.stdout.write(`${formatSeries(series, histogram)}\n`)
   if (options.plot !== undefined) await writePlot(options.plot, [...merged.values()])
 }
 
-async function histogramsOf (entry: string, key: string): Promise<EncodedSeries[]> {
+async function fetchHistograms (entry: string, key: string): Promise<EncodedSeries[]> {
   const answer = await askHttp(entry, { path: '/operator/histograms', headers: { authorization: `Bearer ${key}` } })
   if (answer.status !== 200) {
     process.stdout.write(`${formatPairs({ event: 'unseen', entry, status: answer.status })}\n`)
@@ -55,7 +55,7 @@
   return JSON.parse(answer.body.toString('utf8')) as EncodedSeries[]
 }
 
-function line ({ measure, organisation, requestClass }: EncodedSeries, histogram: Histogram): string {
+function formatSeries ({ measure, organisation, requestClass }: EncodedSeries, histogram: Histogram): string {
   const percentiles = Object.fromEntries(PERCENTILES.map(percentile => [`p${percentile}_milliseconds`, percentileOf(histogram, percentile)]))
   return formatPairs({ event: 'report', measure, organisation, class: requestClass, count: histogram.totalCount, ...percentiles })
 }
@@ -66,7 +66,7 @@
     .map(({ series, histogram }) => ({
       measure: series.measure,
       name: `${series.organisation} ${series.requestClass}`,
-      points: PLOTTED.map(percentile => ({ percentile, milliseconds: percentileOf(histogram, percentile) }))
+      points: PLOTTED_PERCENTILES.map(percentile => ({ percentile, milliseconds: percentileOf(histogram, percentile) }))
     }))
   writeFileSync(file, await plotPercentiles(plotted))
 }
--- a/packages/node/src/lib/operator/watch.ts
+++ b/packages/node/src/lib/operator/watch.ts
@@ -12,9 +12,9 @@
 import { formatPairs } from '../observe/log.js'
 import { askHttp } from '../platform/http-client.js'
 
-const POLL = 500
+const POLL_INTERVAL_MILLISECONDS = 500
 /** A rollout without progress for this long is reported as stuck, in milliseconds. */
-const STUCK_AFTER = 15_000
+const STUCK_AFTER_MILLISECONDS = 15_000
 
 interface Row {
   readonly instance: string
@@ -35,23 +35,23 @@
 export async function watchRollout (pool: string, options: { entry: string, keyFile: string, seconds: string }): Promise<number> {
   const key = readFileSync(options.keyFile, 'utf8').trim()
   const startedAt = performance.now()
-  let best = 0
-  let movedAt = startedAt
+  let highestProgress = 0
+  let progressedAt = startedAt
   while (performance.now() - startedAt < Number(options.seconds) * 1000) {
-    const rows = (await agents(pool, options.entry, key)).filter(row => row.lifecycle === 'serving')
-    const done = rows.reduce((sum, row) => sum + shareOf(row), 0) / Math.max(1, rows.length)
+    const rows = (await fetchAgents(pool, options.entry, key)).filter(row => row.lifecycle === 'serving')
+    const progress = rows.reduce((sum, row) => sum + progressOf(row), 0) / Math.max(1, rows.length)
     const now = performance.now()
-    if (done > best) movedAt = now
-    best = Math.max(best, done)
-    printProgress(rows, done, now - startedAt)
+    if (progress > highestProgress) progressedAt = now
+    highestProgress = Math.max(highestProgress, progress)
+    printProgress(rows, progress, now - startedAt)
     if (rows.length > 0 && rows.every(row => row.state === 'serving')) return 0
-    if (now - movedAt > STUCK_AFTER) printStuck(rows, now - movedAt)
-    await pause(POLL)
+    if (now - progressedAt > STUCK_AFTER_MILLISECONDS) printStuck(rows, now - progressedAt)
+    await pause(POLL_INTERVAL_MILLISECONDS)
   }
   return 1
 }
 
-async function agents (pool: string, entry: string, key: string): Promise<Row[]> {
+async function fetchAgents (pool: string, entry: string, key: string): Promise<Row[]> {
   const answer = await askHttp(entry, {
     method: 'POST', path: '/operator/ask?format=json', body: `show agents where pool = ${pool}`, headers: { authorization: `Bearer ${key}` }, timeout: 5_000
   })
@@ -60,26 +60,26 @@
 }
 
 /** Estimates an agent's share of the rollout: fetching is nine tenths of it, the switch is the last tenth. */
-function shareOf (row: Row): number {
+function progressOf (row: Row): number {
   if (row.state === 'serving') return 1
   return 0.9 * row.percent / 100
 }
 
-function printProgress (rows: readonly Row[], done: number, elapsed: number): void {
+function printProgress (rows: readonly Row[], progress: number, elapsed: number): void {
   const zones = [...new Set(rows.map(row => row.zone))].sort()
   for (const zone of zones) {
-    const members = rows.filter(row => row.zone === zone)
-    const serving = members.filter(row => row.state === 'serving').length
-    const percent = Math.round(members.reduce((sum, row) => sum + row.percent, 0) / members.length)
-    print({ event: 'rollout', zone, serving, of: members.length, fetched_percent: percent })
+    const zoneRows = rows.filter(row => row.zone === zone)
+    const serving = zoneRows.filter(row => row.state === 'serving').length
+    const percent = Math.round(zoneRows.reduce((sum, row) => sum + row.percent, 0) / zoneRows.length)
+    print({ event: 'rollout', zone, serving, of: zoneRows.length, fetched_percent: percent })
   }
-  const left = done > 0 && done < 1 ? Math.round(elapsed * (1 - done) / done) : 0
-  print({ event: 'rollout', zone: 'all', serving: rows.filter(row => row.state === 'serving').length, of: rows.length, forecast_milliseconds: done > 0 ? left : 'unknown' })
+  const remaining = progress > 0 && progress < 1 ? Math.round(elapsed * (1 - progress) / progress) : 0
+  print({ event: 'rollout', zone: 'all', serving: rows.filter(row => row.state === 'serving').length, of: rows.length, forecast_milliseconds: progress > 0 ? remaining : 'unknown' })
 }
 
-function printStuck (rows: readonly Row[], since: number): void {
+function printStuck (rows: readonly Row[], stalledMilliseconds: number): void {
   for (const row of rows.filter(candidate => candidate.state !== 'serving')) {
-    print({ event: 'stuck', instance: row.instance, zone: row.zone, state: row.state, percent: row.percent, on: row.detail, since_milliseconds: Math.round(since) })
+    print({ event: 'stuck', instance: row.instance, zone: row.zone, state: row.state, percent: row.percent, on: row.detail, since_milliseconds: Math.round(stalledMilliseconds) })
   }
 }
 
--- a/packages/node/src/lib/settings/or-exit.ts
+++ b/packages/node/src/lib/settings/or-exit.ts
@@ -23,11 +23,11 @@
     return read()
   } catch (error) {
     if (!(error instanceof DrumdriftError) || error.failure.type !== 'settings-failure') throw error
-    process.stderr.write(`${settingsLine(error.failure)}\n`)
+    process.stderr.write(`${formatFailure(error.failure)}\n`)
     process.exit(EXIT_WRONG_INPUT)
   }
 }
 
-function settingsLine ({ file, section, key, expected }: SettingsFailure): string {
+function formatFailure ({ file, section, key, expected }: SettingsFailure): string {
   return formatPairs({ event: 'settings-wrong', file, section, key, expected })
 }
--- a/packages/node/src/lib/settings/page.ts
+++ b/packages/node/src/lib/settings/page.ts
@@ -20,19 +20,19 @@
       section = specification.section
       lines.push(`## [${section}]`, '', '| key | read by | value | default | meaning |', '|---|---|---|---|---|')
     }
-    lines.push(row(specification))
+    lines.push(formatRow(specification))
     if (settingSpecifications[settingSpecifications.indexOf(specification) + 1]?.section !== section) lines.push('')
   }
   return lines.join('\n')
 }
 
-function row ({ key, roles, fallback, meaning, ...specification }: SettingSpecification): string {
-  const shown = fallback === undefined ? 'required' : fallback === '' ? 'empty' : `\`${fallback}\``
-  return `| \`${key}\` | ${roles.join(', ')} | ${valueText({ key, roles, meaning, ...specification })} | ${shown} | ${meaning} |`
+function formatRow ({ key, roles, defaultValue, meaning, ...specification }: SettingSpecification): string {
+  const defaultText = defaultValue === undefined ? 'required' : defaultValue === '' ? 'empty' : `\`${defaultValue}\``
+  return `| \`${key}\` | ${roles.join(', ')} | ${formatValue({ key, roles, meaning, ...specification })} | ${defaultText} | ${meaning} |`
 }
 
-function valueText ({ type, unit, least, most, choices, secret }: SettingSpecification): string {
-  if (type === 'number') return `${unit ?? ''}, ${least} to ${most}`
+function formatValue ({ type, unit, minimum, maximum, choices, secret }: SettingSpecification): string {
+  if (type === 'number') return `${unit ?? ''}, ${minimum} to ${maximum}`
   if (type === 'choice') return (choices ?? []).join(', ')
   return secret === true ? `${type}, secret` : type
 }
--- a/packages/node/src/lib/settings/schema.ts
+++ b/packages/node/src/lib/settings/schema.ts
@@ -23,9 +23,9 @@
   readonly type: SettingType
   readonly unit?: string
   /** The default value; `undefined` if the key is required. */
-  readonly fallback?: string
-  readonly least?: number
-  readonly most?: number
+  readonly defaultValue?: string
+  readonly minimum?: number
+  readonly maximum?: number
   readonly choices?: readonly string[]
   /** The daemons that read the key. */
   readonly roles: readonly Role[]
@@ -34,63 +34,63 @@
   readonly secret?: boolean
 }
 
-const all: readonly Role[] = ['entry', 'agent', 'route-entry', 'weights-agent']
-const both: readonly Role[] = ['entry', 'agent']
-const adapted: readonly Role[] = ['route-entry', 'weights-agent']
-const agent: readonly Role[] = ['agent']
-const agents: readonly Role[] = ['agent', 'weights-agent']
-const entry: readonly Role[] = ['entry']
-const entries: readonly Role[] = ['entry', 'route-entry']
-const routeEntry: readonly Role[] = ['route-entry']
-const weightsAgent: readonly Role[] = ['weights-agent']
+const allRoles: readonly Role[] = ['entry', 'agent', 'route-entry', 'weights-agent']
+const ownRoles: readonly Role[] = ['entry', 'agent']
+const adapterRoles: readonly Role[] = ['route-entry', 'weights-agent']
+const agentOnly: readonly Role[] = ['agent']
+const agentRoles: readonly Role[] = ['agent', 'weights-agent']
+const entryOnly: readonly Role[] = ['entry']
+const entryRoles: readonly Role[] = ['entry', 'route-entry']
+const routeEntryOnly: readonly Role[] = ['route-entry']
+const weightsAgentOnly: readonly Role[] = ['weights-agent']
 
 /** The specifications of all keys, in the order of the page. */
 export const settingSpecifications: readonly SettingSpecification[] = [
-  { section: 'process', key: 'instance', type: 'name', roles: all, meaning: 'Name of this instance, as in the platform\'s instance list.' },
-  { section: 'process', key: 'availability-zone', type: 'name', roles: all, meaning: 'Availability zone of this instance; must be one of [platform] availability-zones.' },
-  { section: 'process', key: 'address', type: 'address', roles: all, meaning: 'Address at which other processes of the system reach this one (TCP).' },
-  { section: 'process', key: 'http-address', type: 'address', roles: entries, meaning: 'Address at which callers and operators reach this entry (HTTP).' },
-  { section: 'process', key: 'readiness-address', type: 'address', roles: routeEntry, meaning: 'Address at which the load balancer checks whether this entry accepts callers (HTTP).' },
-  { section: 'process', key: 'metrics-address', type: 'address', fallback: '', roles: ['agent', 'route-entry', 'weights-agent'], meaning: 'Address at which metrics are served over HTTP; if empty, they are not served.' },
-  { section: 'process', key: 'log-level', type: 'choice', choices: ['debug', 'info', 'warn', 'error'], fallback: 'info', roles: all, meaning: 'Minimum severity of the log lines that are written.' },
-  { section: 'process', key: 'stop-patience-seconds', type: 'number', unit: 'seconds', fallback: '120', least: 0, most: 3600, roles: all, meaning: 'After SIGTERM, how long requests in progress may continue before they are aborted and logged.' },
-  { section: 'platform', key: 'availability-zones', type: 'text', roles: all, meaning: 'All availability zones, separated by commas.' },
-  { section: 'platform', key: 'source', type: 'name', roles: both, meaning: 'Identity of the configuration service; documents from any other source are refused.' },
-  { section: 'platform', key: 'configuration', type: 'address', roles: both, meaning: 'Address of the configuration service.' },
-  { section: 'platform', key: 'instances', type: 'address', roles: both, meaning: 'Address of the service with the instance list.' },
-  { section: 'platform', key: 'store', type: 'address', roles: agent, meaning: 'Address of the weight store.' },
-  { section: 'platform', key: 'origin', type: 'address', roles: agent, meaning: 'Address of the origin of weights.' },
-  { section: 'platform', key: 'regions', type: 'text', fallback: '', roles: adapted, meaning: 'The region of each availability zone, as zone:region separated by commas. A zone that is not listed forms its own region.' },
-  { section: 'platform', key: 'store-address', type: 'address', roles: adapted, meaning: 'Address of the platform\'s store of published state.' },
-  { section: 'platform', key: 'watch-seconds', type: 'number', unit: 'seconds', fallback: '3', least: 0.1, most: 30, roles: routeEntry, meaning: 'How long the store may hold a watch open. A store that stops responding is detected after this time plus half a second. Each watch is one call.' },
-  { section: 'platform', key: 'apply-bound-milliseconds', type: 'number', unit: 'ms', fallback: '2000', least: 100, most: 60_000, roles: routeEntry, meaning: 'Time within which an accepted configuration, or the departure of an endpoint, must take effect. Changes are requested in batches, at most a quarter of this time apart.' },
-  { section: 'platform', key: 'version-bound-milliseconds', type: 'number', unit: 'ms', fallback: '8000', least: 100, most: 3_600_000, roles: adapted, meaning: 'Time after a version is named beyond which no request may start on an older version.' },
-  { section: 'peers', key: 'seeds', type: 'addresses', fallback: '', roles: all, meaning: 'Peers to query for the settings if the platform is down at startup. A route-entry that is one of its own seeds is a relay: it forwards what it reads from the store. List one in each region.' },
-  { section: 'peers', key: 'key', type: 'text', roles: all, secret: true, meaning: 'Secret shared by all processes of the system.' },
-  { section: 'peers', key: 'agent-port', type: 'number', unit: 'port', least: 1, most: 65_535, roles: adapted, meaning: 'Port on which the agent beside each engine listens; the same on all instances.' },
-  { section: 'endpoint', key: 'name', type: 'name', roles: agents, meaning: 'Pool or service to which the endpoint beside this agent belongs.' },
-  { section: 'endpoint', key: 'kind', type: 'choice', choices: ['model', 'plain'], roles: agent, meaning: 'Kind of the endpoint: a model engine, or a plain service without weights.' },
-  { section: 'endpoint', key: 'address', type: 'address', roles: agents, meaning: 'Address of the endpoint beside this agent (HTTP).' },
-  { section: 'weights', key: 'link-megabytes-per-second', type: 'number', unit: 'MiB/s', fallback: '1000', least: 0.01, most: 100_000, roles: agent, meaning: 'Bandwidth of this instance\'s link in each direction. Transfers stay below it and yield to live answers.' },
-  { section: 'weights', key: 'link-megabits-per-second', type: 'number', unit: 'Mbit/s', fallback: '8000', least: 0.1, most: 800_000, roles: weightsAgent, meaning: 'Bandwidth of this instance\'s link in each direction, shared with the answers of the engine.' },
-  { section: 'weights', key: 'link-percent', type: 'number', unit: 'percent', fallback: '80', least: 1, most: 100, roles: weightsAgent, meaning: 'Share of the link that transfers may use; the rest is reserved for answers.' },
-  { section: 'weights', key: 'memory-megabytes', type: 'number', unit: 'MiB', fallback: '16', least: 1, most: 4096, roles: agents, meaning: 'Memory for chunks that this process holds for peers; older chunks are read back from the engine.' },
-  { section: 'weights', key: 'window', type: 'number', unit: 'chunks', fallback: '32', least: 1, most: 256, roles: agents, meaning: 'Maximum number of chunks in flight.' },
-  { section: 'weights', key: 'largest-gigabytes', type: 'number', unit: 'GiB', fallback: '2048', least: 0.001, most: 65_536, roles: agents, meaning: 'Maximum size of a version that is accepted.' },
-  { section: 'weights', key: 'strategy', type: 'choice', choices: ['rotation', 'rendezvous', 'tree', 'origin'], fallback: 'rotation', roles: agent, meaning: 'How chunks are distributed; all strategies but rotation are for comparison.' },
-  { section: 'requests', key: 'largest-body-kilobytes', type: 'number', unit: 'KiB', fallback: '1024', least: 1, most: 32_768, roles: entry, meaning: 'Maximum size of a request body.' },
-  { section: 'requests', key: 'deadline-seconds', type: 'number', unit: 'seconds', fallback: '120', least: 0.1, most: 3600, roles: entry, meaning: 'Deadline of requests that specify none, and the longest deadline that a request may specify.' },
-  { section: 'requests', key: 'queue-seconds', type: 'number', unit: 'seconds', fallback: '2', least: 0, most: 60, roles: entry, meaning: 'Maximum time in the queue; a request that would wait longer is refused immediately.' },
-  { section: 'requests', key: 'queue-length', type: 'number', unit: 'requests', fallback: '512', least: 1, most: 100_000, roles: entry, meaning: 'Maximum number of requests that wait in one entry for one pool or service.' },
-  { section: 'requests', key: 'first-answer-seconds', type: 'number', unit: 'seconds', fallback: '5', least: 0.05, most: 600, roles: entry, meaning: 'An endpoint without any sign of an answer for this time is considered failed; repeatable requests are retried on another endpoint.' },
-  { section: 'requests', key: 'silence-seconds', type: 'number', unit: 'seconds', fallback: '10', least: 0.05, most: 600, roles: entry, meaning: 'An answer that has started and then makes no progress for this time is considered broken.' },
-  { section: 'requests', key: 'choice', type: 'choice', choices: ['affinity', 'two-choices', 'least-reported', 'round-robin', 'random'], fallback: 'affinity', roles: entry, meaning: 'How endpoints are chosen; all choices but affinity are for comparison.' },
-  { section: 'requests', key: 'queueing', type: 'choice', choices: ['fair', 'first-in-first-out'], fallback: 'fair', roles: entry, meaning: 'How waiting requests are ordered; first-in-first-out is for comparison.' },
-  { section: 'requests', key: 'retry-percent', type: 'number', unit: 'percent of first attempts', fallback: '10', least: 0, most: 1000, roles: entry, meaning: 'Additional load that retries may cause.' },
-  { section: 'requests', key: 'retry-ratio', type: 'number', unit: 'share of requests', least: 0, most: 10, roles: routeEntry, meaning: 'Additional load that further attempts of all entries together may cause on a service.' },
-  { section: 'requests', key: 'retry-slack', type: 'number', unit: 'attempts', least: 0, most: 1_000_000, roles: routeEntry, meaning: 'Further attempts that all entries together may make beyond that share within one window. The entries divide them by the number of entries that agents report as followers.' },
-  { section: 'requests', key: 'retry-window-seconds', type: 'number', unit: 'seconds', least: 0.1, most: 3600, roles: routeEntry, meaning: 'Length of the window to which the limit on further attempts applies.' },
-  { section: 'requests', key: 'repeat-window-seconds', type: 'number', unit: 'seconds', fallback: '600', least: 1, most: 86_400, roles: agent, meaning: 'How long the ids of non-repeatable requests are remembered. A caller must not repeat an id after that.' },
-  { section: 'requests', key: 'records-per-organisation', type: 'number', unit: 'records', fallback: '4096', least: 16, most: 1_000_000, roles: agent, meaning: 'Maximum number of such ids that one agent remembers for one organisation; beyond it, new ones are refused.' },
-  { section: 'operators', key: 'keys', type: 'text', fallback: '', roles: entry, secret: true, meaning: 'Operators and their keys, as name:key separated by commas. If empty, all operators are refused.' }
+  { section: 'process', key: 'instance', type: 'name', roles: allRoles, meaning: 'Name of this instance, as in the platform\'s instance list.' },
+  { section: 'process', key: 'availability-zone', type: 'name', roles: allRoles, meaning: 'Availability zone of this instance; must be one of [platform] availability-zones.' },
+  { section: 'process', key: 'address', type: 'address', roles: allRoles, meaning: 'Address at which other processes of the system reach this one (TCP).' },
+  { section: 'process', key: 'http-address', type: 'address', roles: entryRoles, meaning: 'Address at which callers and operators reach this entry (HTTP).' },
+  { section: 'process', key: 'readiness-address', type: 'address', roles: routeEntryOnly, meaning: 'Address at which the load balancer checks whether this entry accepts callers (HTTP).' },
+  { section: 'process', key: 'metrics-address', type: 'address', defaultValue: '', roles: ['agent', 'route-entry', 'weights-agent'], meaning: 'Address at which metrics are served over HTTP; if empty, they are not served.' },
+  { section: 'process', key: 'log-level', type: 'choice', choices: ['debug', 'info', 'warn', 'error'], defaultValue: 'info', roles: allRoles, meaning: 'Minimum severity of the log lines that are written.' },
+  { section: 'process', key: 'stop-patience-seconds', type: 'number', unit: 'seconds', defaultValue: '120', minimum: 0, maximum: 3600, roles: allRoles, meaning: 'After SIGTERM, how long requests in progress may continue before they are aborted and logged.' },
+  { section: 'platform', key: 'availability-zones', type: 'text', roles: allRoles, meaning: 'All availability zones, separated by commas.' },
+  { section: 'platform', key: 'source', type: 'name', roles: ownRoles, meaning: 'Identity of the configuration service; documents from any other source are refused.' },
+  { section: 'platform', key: 'configuration', type: 'address', roles: ownRoles, meaning: 'Address of the configuration service.' },
+  { section: 'platform', key: 'instances', type: 'address', roles: ownRoles, meaning: 'Address of the service with the instance list.' },
+  { section: 'platform', key: 'store', type: 'address', roles: agentOnly, meaning: 'Address of the weight store.' },
+  { section: 'platform', key: 'origin', type: 'address', roles: agentOnly, meaning: 'Address of the origin of weights.' },
+  { section: 'platform', key: 'regions', type: 'text', defaultValue: '', roles: adapterRoles, meaning: 'The region of each availability zone, as zone:region separated by commas. A zone that is not listed forms its own region.' },
+  { section: 'platform', key: 'store-address', type: 'address', roles: adapterRoles, meaning: 'Address of the platform\'s store of published state.' },
+  { section: 'platform', key: 'watch-seconds', type: 'number', unit: 'seconds', defaultValue: '3', minimum: 0.1, maximum: 30, roles: routeEntryOnly, meaning: 'How long the store may hold a watch open. A store that stops responding is detected after this time plus half a second. Each watch is one call.' },
+  { section: 'platform', key: 'apply-bound-milliseconds', type: 'number', unit: 'ms', defaultValue: '2000', minimum: 100, maximum: 60_000, roles: routeEntryOnly, meaning: 'Time within which an accepted configuration, or the departure of an endpoint, must take effect. Changes are requested in batches, at most a quarter of this time apart.' },
+  { section: 'platform', key: 'version-bound-milliseconds', type: 'number', unit: 'ms', defaultValue: '8000', minimum: 100, maximum: 3_600_000, roles: adapterRoles, meaning: 'Time after a version is named beyond which no request may start on an older version.' },
+  { section: 'peers', key: 'seeds', type: 'addresses', defaultValue: '', roles: allRoles, meaning: 'Peers to query for the settings if the platform is down at startup. A route-entry that is one of its own seeds is a relay: it forwards what it reads from the store. List one in each region.' },
+  { section: 'peers', key: 'key', type: 'text', roles: allRoles, secret: true, meaning: 'Secret shared by all processes of the system.' },
+  { section: 'peers', key: 'agent-port', type: 'number', unit: 'port', minimum: 1, maximum: 65_535, roles: adapterRoles, meaning: 'Port on which the agent beside each engine listens; the same on all instances.' },
+  { section: 'endpoint', key: 'name', type: 'name', roles: agentRoles, meaning: 'Pool or service to which the endpoint beside this agent belongs.' },
+  { section: 'endpoint', key: 'kind', type: 'choice', choices: ['model', 'plain'], roles: agentOnly, meaning: 'Kind of the endpoint: a model engine, or a plain service without weights.' },
+  { section: 'endpoint', key: 'address', type: 'address', roles: agentRoles, meaning: 'Address of the endpoint beside this agent (HTTP).' },
+  { section: 'weights', key: 'link-megabytes-per-second', type: 'number', unit: 'MiB/s', defaultValue: '1000', minimum: 0.01, maximum: 100_000, roles: agentOnly, meaning: 'Bandwidth of this instance\'s link in each direction. Transfers stay below it and yield to live answers.' },
+  { section: 'weights', key: 'link-megabits-per-second', type: 'number', unit: 'Mbit/s', defaultValue: '8000', minimum: 0.1, maximum: 800_000, roles: weightsAgentOnly, meaning: 'Bandwidth of this instance\'s link in each direction, shared with the answers of the engine.' },
+  { section: 'weights', key: 'link-percent', type: 'number', unit: 'percent', defaultValue: '80', minimum: 1, maximum: 100, roles: weightsAgentOnly, meaning: 'Share of the link that transfers may use; the rest is reserved for answers.' },
+  { section: 'weights', key: 'memory-megabytes', type: 'number', unit: 'MiB', defaultValue: '16', minimum: 1, maximum: 4096, roles: agentRoles, meaning: 'Memory for chunks that this process holds for peers; older chunks are read back from the engine.' },
+  { section: 'weights', key: 'window', type: 'number', unit: 'chunks', defaultValue: '32', minimum: 1, maximum: 256, roles: agentRoles, meaning: 'Maximum number of chunks in flight.' },
+  { section: 'weights', key: 'largest-gigabytes', type: 'number', unit: 'GiB', defaultValue: '2048', minimum: 0.001, maximum: 65_536, roles: agentRoles, meaning: 'Maximum size of a version that is accepted.' },
+  { section: 'weights', key: 'strategy', type: 'choice', choices: ['rotation', 'rendezvous', 'tree', 'origin'], defaultValue: 'rotation', roles: agentOnly, meaning: 'How chunks are distributed; all strategies but rotation are for comparison.' },
+  { section: 'requests', key: 'largest-body-kilobytes', type: 'number', unit: 'KiB', defaultValue: '1024', minimum: 1, maximum: 32_768, roles: entryOnly, meaning: 'Maximum size of a request body.' },
+  { section: 'requests', key: 'deadline-seconds', type: 'number', unit: 'seconds', defaultValue: '120', minimum: 0.1, maximum: 3600, roles: entryOnly, meaning: 'Deadline of requests that specify none, and the longest deadline that a request may specify.' },
+  { section: 'requests', key: 'queue-seconds', type: 'number', unit: 'seconds', defaultValue: '2', minimum: 0, maximum: 60, roles: entryOnly, meaning: 'Maximum time in the queue; a request that would wait longer is refused immediately.' },
+  { section: 'requests', key: 'queue-length', type: 'number', unit: 'requests', defaultValue: '512', minimum: 1, maximum: 100_000, roles: entryOnly, meaning: 'Maximum number of requests that wait in one entry for one pool or service.' },
+  { section: 'requests', key: 'first-answer-seconds', type: 'number', unit: 'seconds', defaultValue: '5', minimum: 0.05, maximum: 600, roles: entryOnly, meaning: 'An endpoint without any sign of an answer for this time is considered failed; repeatable requests are retried on another endpoint.' },
+  { section: 'requests', key: 'silence-seconds', type: 'number', unit: 'seconds', defaultValue: '10', minimum: 0.05, maximum: 600, roles: entryOnly, meaning: 'An answer that has started and then makes no progress for this time is considered broken.' },
+  { section: 'requests', key: 'choice', type: 'choice', choices: ['affinity', 'two-choices', 'least-reported', 'round-robin', 'random'], defaultValue: 'affinity', roles: entryOnly, meaning: 'How endpoints are chosen; all choices but affinity are for comparison.' },
+  { section: 'requests', key: 'queueing', type: 'choice', choices: ['fair', 'first-in-first-out'], defaultValue: 'fair', roles: entryOnly, meaning: 'How waiting requests are ordered; first-in-first-out is for comparison.' },
+  { section: 'requests', key: 'retry-percent', type: 'number', unit: 'percent of first attempts', defaultValue: '10', minimum: 0, maximum: 1000, roles: entryOnly, meaning: 'Additional load that retries may cause.' },
+  { section: 'requests', key: 'retry-ratio', type: 'number', unit: 'share of requests', minimum: 0, maximum: 10, roles: routeEntryOnly, meaning: 'Additional load that further attempts of all entries together may cause on a service.' },
+  { section: 'requests', key: 'retry-slack', type: 'number', unit: 'attempts', minimum: 0, maximum: 1_000_000, roles: routeEntryOnly, meaning: 'Further attempts that all entries together may make beyond that share within one window. The entries divide them by the number of entries that agents report as followers.' },
+  { section: 'requests', key: 'retry-window-seconds', type: 'number', unit: 'seconds', minimum: 0.1, maximum: 3600, roles: routeEntryOnly, meaning: 'Length of the window to which the limit on further attempts applies.' },
+  { section: 'requests', key: 'repeat-window-seconds', type: 'number', unit: 'seconds', defaultValue: '600', minimum: 1, maximum: 86_400, roles: agentOnly, meaning: 'How long the ids of non-repeatable requests are remembered. A caller must not repeat an id after that.' },
+  { section: 'requests', key: 'records-per-organisation', type: 'number', unit: 'records', defaultValue: '4096', minimum: 16, maximum: 1_000_000, roles: agentOnly, meaning: 'Maximum number of such ids that one agent remembers for one organisation; beyond it, new ones are refused.' },
+  { section: 'operators', key: 'keys', type: 'text', defaultValue: '', roles: entryOnly, secret: true, meaning: 'Operators and their keys, as name:key separated by commas. If empty, all operators are refused.' }
 ]
--- a/packages/node/src/lib/settings/settings.ts
+++ b/packages/node/src/lib/settings/settings.ts
@@ -92,12 +92,12 @@
  * checkSettings('[process]\ninstance = entry-1', 'entry.ini', 'entry')
  */
 export function checkSettings (text: string, file: string, role: Role): Settings {
-  refuseDuplicates(text, file)
-  const given = flatten(parse(text), file)
+  rejectDuplicates(text, file)
+  const given = flattenSections(parse(text), file)
   const known = settingSpecifications.filter(specification => specification.roles.includes(role))
-  refuseUnknown(given, known, file, role)
+  rejectUnknownKeys(given, known, file, role)
   const values = new Map<string, string>()
-  for (const specification of known) values.set(`${specification.section}.${specification.key}`, valueOf(given, specification, file))
+  for (const specification of known) values.set(`${specification.section}.${specification.key}`, checkValue(given, specification, file))
   const settings = new Settings(role, values)
   checkZone(settings, file)
   return settings
@@ -108,21 +108,21 @@
   return /^\s*\[endpoint\]/m.test(readFileSync(file, 'utf8')) ? 'agent' : 'entry'
 }
 
-function valueOf (given: ReadonlyMap<string, string>, specification: SettingSpecification, file: string): string {
-  const { section, key, type, fallback } = specification
+function checkValue (given: ReadonlyMap<string, string>, specification: SettingSpecification, file: string): string {
+  const { section, key, type, defaultValue } = specification
   const value = given.get(`${section}.${key}`)
-  if (value === undefined && fallback === undefined) throw settingsError(file, section, key, `a value, because the key is required: ${specification.meaning}`)
-  if (value === undefined || value === fallback) return fallback ?? ''
+  if (value === undefined && defaultValue === undefined) throw settingsError(file, section, key, `a value, because the key is required: ${specification.meaning}`)
+  if (value === undefined || value === defaultValue) return defaultValue ?? ''
   const expected = checks[type](value, specification)
   if (expected !== undefined) throw settingsError(file, section, key, expected)
   return value
 }
 
-function checkNumber (value: string, { unit, least = -Infinity, most = Infinity }: SettingSpecification): string | undefined {
-  const expected = `a number of ${unit ?? 'units'} from ${least} to ${most}, without a unit`
+function checkNumber (value: string, { unit, minimum = -Infinity, maximum = Infinity }: SettingSpecification): string | undefined {
+  const expected = `a number of ${unit ?? 'units'} from ${minimum} to ${maximum}, without a unit`
   if (!/^-?\d+(\.\d+)?$/.test(value)) return expected
   const number = Number(value)
-  return number >= least && number <= most ? undefined : expected
+  return number >= minimum && number <= maximum ? undefined : expected
 }
 
 function checkZone (settings: Settings, file: string): void {
@@ -131,7 +131,7 @@
   throw settingsError(file, 'process', 'availability-zone', `one of [platform] availability-zones: ${zones.join(', ')}`)
 }
 
-function refuseDuplicates (text: string, file: string): void {
+function rejectDuplicates (text: string, file: string): void {
   const seen = new Set<string>()
   let section = ''
   for (const line of text.split(/\r?\n/)) {
@@ -146,7 +146,7 @@
   }
 }
 
-function refuseUnknown (given: ReadonlyMap<string, string>, known: readonly SettingSpecification[], file: string, role: Role): void {
+function rejectUnknownKeys (given: ReadonlyMap<string, string>, known: readonly SettingSpecification[], file: string, role: Role): void {
   const names = new Set(known.map(({ section, key }) => `${section}.${key}`))
   for (const name of given.keys()) {
     if (names.has(name)) continue
@@ -158,7 +158,7 @@
   }
 }
 
-function flatten (parsed: Record<string, unknown>, file: string): Map<string, string> {
+function flattenSections (parsed: Record<string, unknown>, file: string): Map<string, string> {
   const values = new Map<string, string>()
   for (const [section, entries] of Object.entries(parsed)) {
     if (typeof entries !== 'object' || entries === null) throw settingsError(file, '', section, 'to be in a section')
--- a/packages/node/src/test/lib/bounded-output_test.ts
+++ b/packages/node/src/test/lib/bounded-output_test.ts
@@ -14,37 +14,37 @@
   private _pending: (() => void) | undefined
 
   /**
-   * @param _most Maximum number of bytes that one write accepts.
+   * @param _maxBytes Maximum number of bytes that one write accepts.
    */
-  constructor (private readonly _most = Infinity) {}
+  constructor (private readonly _maxBytes = Infinity) {}
 
   readonly write: DescriptorWrite = (_descriptor, bytes, callback) => {
     this._pending = () => {
-      const taken = bytes.subarray(0, this._most)
-      this.text += taken.toString('utf8')
-      callback(null, taken.length)
+      const accepted = bytes.subarray(0, this._maxBytes)
+      this.text += accepted.toString('utf8')
+      callback(null, accepted.length)
     }
   }
 
   /** Consumes pending writes until there are none. */
   readAll (): void {
     while (this._pending !== undefined) {
-      const take = this._pending
+      const consume = this._pending
       this._pending = undefined
-      take()
+      consume()
     }
   }
 }
 
 describe('BoundedOutput', () => {
-  const cases: [name: string, limit: number, most: number, lines: string[], text: string, dropped: number][] = [
+  const cases: [name: string, limit: number, maxBytes: number, lines: string[], text: string, dropped: number][] = [
     ['writes lines in order', 100, Infinity, ['a\n', 'b\n', 'c\n'], 'a\nb\nc\n', 0],
     ['continues after a partial write', 100, 1, ['abc\n', 'de\n'], 'abc\nde\n', 0],
     ['drops lines that exceed the buffer of a stalled reader', 4, Infinity, ['aa\n', 'bb\n', 'cc\n'], 'aa\n', 2]
   ]
-  for (const [name, limit, most, lines, text, dropped] of cases) {
+  for (const [name, limit, maxBytes, lines, text, dropped] of cases) {
     it(name, () => {
-      const reader = new Reader(most)
+      const reader = new Reader(maxBytes)
       const output = new BoundedOutput(1, limit, reader.write)
       for (const line of lines) output.write(line)
       reader.readAll()
--- a/packages/node/src/test/lib/language_test.ts
+++ b/packages/node/src/test/lib/language_test.ts
@@ -8,7 +8,7 @@
 import { parseCommand } from '../../lib/operator/language.js'
 
 describe('parseCommand', () => {
-  const good: [text: string, command: object][] = [
+  const validCommands: [text: string, command: object][] = [
     ['show agents', { type: 'show', what: 'agents', filters: [] }],
     ['  show  instances where zone = koshi and state=fetching ', { type: 'show', what: 'instances', filters: [{ field: 'zone', value: 'koshi' }, { field: 'state', value: 'fetching' }] }],
     ['rollout drafting to v2', { type: 'rollout', pool: 'drafting', version: 'v2' }],
@@ -18,9 +18,9 @@
     ['stop agent-3 incarnation agent-3.ab12', { type: 'leave', lifecycle: 'stopped', instance: 'agent-3', incarnation: 'agent-3.ab12', lasting: false }],
     ['help', { type: 'help' }]
   ]
-  for (const [text, command] of good) it(`parses "${text.trim()}"`, () => assert.deepEqual(parseCommand(text), command))
+  for (const [text, command] of validCommands) it(`parses "${text.trim()}"`, () => assert.deepEqual(parseCommand(text), command))
 
-  const wrong: [text: string, position: number, nearby: string | undefined][] = [
+  const invalidCommands: [text: string, position: number, nearby: string | undefined][] = [
     ['shwo agents', 1, 'show'],
     ['show agnets', 6, 'agents'],
     ['show agents were zone = x', 13, 'where'],
@@ -30,7 +30,7 @@
     ['', 1, undefined],
     ['drain', 6, undefined]
   ]
-  for (const [text, position, nearby] of wrong) {
+  for (const [text, position, nearby] of invalidCommands) {
     it(`reports the position of the error in "${text}"`, () => {
       const mistake = parseCommand(text)
       assert.ok(mistake.type === 'language-mistake')
--- a/packages/node/src/test/lib/operator/explain_test.ts
+++ b/packages/node/src/test/lib/operator/explain_test.ts
@@ -21,7 +21,7 @@
   return `time=${new Date(second * 1_000).toISOString()} level=info event=${text}${instance}`
 }
 
-const sent = [1, 'request-sent id=r1 endpoint=e1 expected=120'] as const
+const sentLine = [1, 'request-sent id=r1 endpoint=e1 expected=120'] as const
 
 describe('parseLogLine', () => {
   const cases: [name: string, text: string, event: string | undefined, detail: string | undefined][] = [
@@ -43,28 +43,28 @@
 
 describe('explainRequest', () => {
   const cases: [name: string, lines: LogLine[], cause: RequestCause][] = [
-    ['an answer in time', lines(sent, [2, 'request-ended id=r1 result=answered status=200 first=130 objective=400 gap=60']), 'in-time'],
+    ['an answer in time', lines(sentLine, [2, 'request-ended id=r1 result=answered status=200 first=130 objective=400 gap=60']), 'in-time'],
     ['a late answer that was expected late', lines([1, 'request-sent id=r1 endpoint=e1 expected=480'], [2, 'request-ended id=r1 result=answered status=200 first=500 objective=400']), 'pool-busy'],
     ['a late answer that was expected late, while endpoints limited their requests', lines([1, 'request-sent id=r1 endpoint=e1 expected=480 spared=limited:1'], [2, 'request-ended id=r1 result=answered status=200 first=500 objective=400']), 'endpoints-spared'],
-    ['a late answer that was expected in time', lines(sent, [2, 'request-ended id=r1 result=answered status=200 first=900 objective=400']), 'endpoint-slower-than-expected'],
-    ['a late plain answer', lines(sent, [2, 'request-ended id=r1 result=answered status=200 took=900 objective=400']), 'endpoint-slower-than-expected'],
-    ['a pause in a stream', lines(sent, [2, 'request-ended id=r1 result=answered status=200 first=130 objective=400 gap=700']), 'stream-paused'],
-    ['an error status from the endpoint', lines(sent, [2, 'request-ended id=r1 result=answered status=500 took=30 objective=400']), 'endpoint-failed'],
+    ['a late answer that was expected in time', lines(sentLine, [2, 'request-ended id=r1 result=answered status=200 first=900 objective=400']), 'endpoint-slower-than-expected'],
+    ['a late plain answer', lines(sentLine, [2, 'request-ended id=r1 result=answered status=200 took=900 objective=400']), 'endpoint-slower-than-expected'],
+    ['a pause in a stream', lines(sentLine, [2, 'request-ended id=r1 result=answered status=200 first=130 objective=400 gap=700']), 'stream-paused'],
+    ['an error status from the endpoint', lines(sentLine, [2, 'request-ended id=r1 result=answered status=500 took=30 objective=400']), 'endpoint-failed'],
     ['a refusal because of overload', lines([1, 'request-ended id=r1 result=refused code=overloaded']), 'overloaded'],
     ['a refusal without endpoints', lines([1, 'request-ended id=r1 result=refused code=no-endpoint']), 'no-endpoint'],
     ['a refusal while all endpoints limit their requests', lines([1, 'request-ended id=r1 result=refused code=endpoints-spared detail="no endpoint of r can take it (pool expected, spared resting:3)"']), 'endpoints-spared'],
     ['a refusal before the first configuration', lines([1, 'request-ended id=r1 result=refused code=no-configuration']), 'no-configuration'],
     ['an unknown key', lines([1, 'request-ended id=r1 result=refused code=unknown-organisation']), 'not-allowed'],
-    ['an incomplete answer', lines(sent, [2, 'request-ended id=r1 result=failed code=answer-cut']), 'endpoint-failed'],
-    ['a timeout', lines(sent, [2, 'request-ended id=r1 result=failed code=timed-out']), 'time-over'],
-    ['a caller that disconnected', lines(sent, [2, 'request-ended id=r1 result=abandoned']), 'caller-left'],
-    ['an unknown result', lines(sent, [2, 'request-ended id=r1 result=constructor']), 'unfinished'],
+    ['an incomplete answer', lines(sentLine, [2, 'request-ended id=r1 result=failed code=answer-cut']), 'endpoint-failed'],
+    ['a timeout', lines(sentLine, [2, 'request-ended id=r1 result=failed code=timed-out']), 'time-over'],
+    ['a caller that disconnected', lines(sentLine, [2, 'request-ended id=r1 result=abandoned']), 'caller-left'],
+    ['an unknown result', lines(sentLine, [2, 'request-ended id=r1 result=constructor']), 'unfinished'],
     ['a refusal with an unknown code', lines([1, 'request-ended id=r1 result=refused code=constructor']), 'not-allowed'],
-    ['a request without a final line', lines(sent), 'unfinished']
+    ['a request without a final line', lines(sentLine), 'unfinished']
   ]
   for (const [name, given, cause] of cases) it(`finds ${name}`, () => assert.equal(explainRequest('r1', given)?.cause, cause))
 
-  it('returns undefined for an unknown id', () => assert.equal(explainRequest('r2', lines(sent)), undefined))
+  it('returns undefined for an unknown id', () => assert.equal(explainRequest('r2', lines(sentLine)), undefined))
 
   const aroundCases: [name: string, second: number, text: string, shown: boolean][] = [
     ['the loss of the store just before', 0, 'store-lost scope=operator', true],
@@ -81,13 +81,13 @@
   ]
   for (const [name, second, text, shown] of aroundCases) {
     it(`${shown ? 'shows' : 'leaves out'} ${name}`, () => {
-      const given = lines([-90, 'endpoint-listed endpoint=e1 address=10.0.0.1:8080'], sent, [second, text], [2, 'request-ended id=r1 result=abandoned'])
+      const given = lines([-90, 'endpoint-listed endpoint=e1 address=10.0.0.1:8080'], sentLine, [second, text], [2, 'request-ended id=r1 result=abandoned'])
       assert.equal(explainRequest('r1', given)?.around.length, shown ? 1 : 0)
     })
   }
 
   it('leaves out configurations before the one in force', () => {
-    const given = lines([-90, 'configuration-adopted version=18'], [-60, 'configuration-adopted version=20'], sent)
+    const given = lines([-90, 'configuration-adopted version=18'], [-60, 'configuration-adopted version=20'], sentLine)
     assert.deepEqual(explainRequest('r1', given)?.around.map(({ fields }) => fields['version']), ['20'])
   })
 
@@ -109,18 +109,18 @@
   const folder = mkdtempSync(join(tmpdir(), 'drumdrift-'))
   after(() => rmSync(folder, { recursive: true }))
   const log = join(folder, 'entry.log')
-  writeFileSync(log, `${lineAt(1, sent[1])}\nsomething else\n${lineAt(2, 'request-ended id=r1 result=abandoned')}\n`)
+  writeFileSync(log, `${lineAt(1, sentLine[1])}\nsomething else\n${lineAt(2, 'request-ended id=r1 result=abandoned')}\n`)
 
-  const cases: [name: string, id: string, files: string[], code: number, last: RegExp][] = [
+  const cases: [name: string, id: string, files: string[], code: number, lastLine: RegExp][] = [
     ['the lines of a request and its cause', 'r1', [log], 0, /event=explained id=r1 cause=caller-left lines=2 /],
     ['that no line has the id', 'r2', [log], 1, /event=not-found id=r2 files=1 lines=2/],
     ['that a file cannot be read', 'r1', [log, join(folder, 'missing.log')], 2, /event=file-unreadable file=\S+missing\.log /]
   ]
-  for (const [name, id, files, code, last] of cases) {
+  for (const [name, id, files, code, lastLine] of cases) {
     it(`prints ${name}`, async () => {
       const printed: string[] = []
       assert.equal(await explainFiles(id, files, text => { printed.push(text) }), code)
-      assert.match(printed.at(-1) ?? '', last)
+      assert.match(printed.at(-1) ?? '', lastLine)
     })
   }
 })
--- a/packages/node/src/test/lib/operator/losses_test.ts
+++ b/packages/node/src/test/lib/operator/losses_test.ts
@@ -10,7 +10,7 @@
 import { after, describe, it } from 'node:test'
 import { parseLogLine, type RequestCause } from '../../../lib/operator/explain.js'
 import { lossesOfFiles } from '../../../lib/operator/losses-files.js'
-import { tallyLosses } from '../../../lib/operator/losses.js'
+import { countLosses } from '../../../lib/operator/losses.js'
 
 function lineAt (second: number, text: string): string {
   return `time=${new Date(second * 1_000).toISOString()} level=info event=${text}`
@@ -31,7 +31,7 @@
 function counts (map: ReadonlyMap<RequestCause, number> | undefined): Record<string, number> { return Object.fromEntries(map ?? []) }
 
 describe('tallyLosses', () => {
-  const table = tallyLosses(lines, 2_000)
+  const table = countLosses(lines, 2_000)
   const groups: [name: string, found: Record<string, number>, expected: Record<string, number>][] = [
     ['all requests', counts(table.all), { 'in-time': 1, overloaded: 2, 'stream-paused': 1, 'not-allowed': 1 }],
     ['requests of one entry', counts(table.byEntry.get('entry-1')), { 'in-time': 1, overloaded: 1 }],
@@ -49,7 +49,7 @@
     return join(folder, name)
   }
 
-  const cases: [name: string, file: string, span: string, code: number, says: RegExp][] = [
+  const cases: [name: string, file: string, span: string, code: number, output: RegExp][] = [
     ['prints the lost requests', file('good.log', texts.join('\n')), '2', 0, /^event=losses requests=5 lost=3\nevent=losses-cause cause=overloaded requests=2\nevent=losses-cause cause=stream-paused requests=1\n/],
     ['reads files with truncated and foreign lines', file('mixed.log', `noise\n${texts.join('\n')}\ntime=2026-12-02T05:30:00.000Z event=requ`), '2', 0, /requests=5 lost=3/],
     ['reports files without requests', file('empty.log', 'a line from another program'), '2', 1, /event=not-found files=1 lines=0/],
@@ -57,11 +57,11 @@
     ['rejects a span that is not a number', file('span.log', ''), 'two', 2, /event=option-wrong option=span value=two/],
     ['rejects a span of zero', file('zero.log', ''), '0', 2, /event=option-wrong/]
   ]
-  for (const [name, path, span, code, says] of cases) {
+  for (const [name, path, span, code, output] of cases) {
     it(name, async () => {
       let printed = ''
       assert.equal(await lossesOfFiles([path], span, text => { printed += text }), code)
-      assert.match(printed, says)
+      assert.match(printed, output)
     })
   }
 })
--- a/packages/node/src/test/lib/settings_test.ts
+++ b/packages/node/src/test/lib/settings_test.ts
@@ -12,7 +12,7 @@
 import { checkSettings, guessRole, readSettings } from '../../lib/settings/settings.js'
 
 const root = new URL('../../../../../', import.meta.url)
-const good = `
+const validFile = `
 [process]
 instance = agent-1
 availability-zone = koshi
@@ -34,13 +34,13 @@
 
 describe('checkSettings', () => {
   it('accepts a valid file and fills in defaults', () => {
-    const settings = checkSettings(good, 'agent.ini', 'agent')
+    const settings = checkSettings(validFile, 'agent.ini', 'agent')
     assert.equal(settings.text('process', 'instance'), 'agent-1')
     assert.equal(settings.number('weights', 'window'), 32)
     assert.deepEqual(settings.list('platform', 'availability-zones'), ['bagmati', 'gandaki', 'koshi'])
   })
 
-  const wrong: [name: string, change: (text: string) => string, section: string, key: string, expected: RegExp][] = [
+  const invalidFiles: [name: string, change: (text: string) => string, section: string, key: string, expected: RegExp][] = [
     ['an unknown key', text => `${text}colour = red\n`, 'endpoint', 'colour', /one of the keys name/],
     ['an unknown section', text => `${text}[paint]\ncolour = red\n`, 'paint', 'colour', /one of the sections/],
     ['a duplicate key', text => `${text}name = other\n`, 'endpoint', 'name', /only once/],
@@ -56,9 +56,9 @@
     ['a key outside a section', text => `lonely = 1\n${text}`, '', 'lonely', /in a section/],
     ['a key of another role', text => `${text}[requests]\nqueue-seconds = 1\n`, 'requests', 'queue-seconds', /role agent/]
   ]
-  for (const [name, change, section, key, expected] of wrong) {
+  for (const [name, change, section, key, expected] of invalidFiles) {
     it(`refuses ${name}`, () => {
-      assert.throws(() => checkSettings(change(good), 'agent.ini', 'agent'), (error: unknown) => {
+      assert.throws(() => checkSettings(change(validFile), 'agent.ini', 'agent'), (error: unknown) => {
         assert.ok(error instanceof DrumdriftError && error.failure.type === 'settings-failure')
         const { failure } = error
         assert.deepEqual([failure.file, failure.section, failure.key], ['agent.ini', section, key])
