--- a/packages/node/src/lib/operator/explain.ts
+++ b/packages/node/src/lib/operator/explain.ts
@@ -34,7 +34,10 @@
   readonly around: readonly LogLine[]
 }
 
-/** Lines around a request are collected from this long before its first line until its last line, in milliseconds. */
+/**
+ * Lines around a request are collected from this long before its first line until its last line, in milliseconds. They show
+ * the state by which the request was routed.
+ */
 const CONTEXT_LEAD_MILLISECONDS = 3_000
 /** An answer that took more than this multiple of the expected time was delayed by something that the estimate did not include. */
 const SLOWER_FACTOR = 1.5
--- a/packages/node/src/lib/operator/losses.ts
+++ b/packages/node/src/lib/operator/losses.ts
@@ -30,7 +30,7 @@
  *
  * @param span The length of a span, in milliseconds.
  * @example
- * const { all } = tallyLosses(lines, 2_000)
+ * const { all } = countLosses(lines, 2_000)
  */
 export function countLosses (lines: readonly LogLine[], span: number): LossTable {
   const all = new Map<RequestCause, number>()
--- a/packages/node/src/lib/settings/settings.ts
+++ b/packages/node/src/lib/settings/settings.ts
@@ -60,8 +60,8 @@
 const checks: Record<SettingType, Check> = {
   name: value => namePattern.test(value) ? undefined : 'a name of at most 63 letters, digits, dots, dashes and underscores',
   text: value => value === '' ? 'a non-empty value' : undefined,
-  address: value => isAddress(value) ? undefined : 'an IPv4 address and a port, such as 10.0.0.7:7400',
-  addresses: value => splitList(value).every(isAddress) ? undefined : 'IPv4 addresses with ports, separated by commas',
+  address: value => isAddress(value) ? undefined : 'an IP number and a port, such as 10.0.0.7:7400',
+  addresses: value => splitList(value).every(isAddress) ? undefined : 'IP numbers with ports, separated by commas',
   number: checkNumber,
   choice: (value, { choices = [] }) => choices.includes(value) ? undefined : `one of ${choices.join(', ')}`
 }
@@ -111,7 +111,7 @@
 function checkValue (given: ReadonlyMap<string, string>, specification: SettingSpecification, file: string): string {
   const { section, key, type, defaultValue } = specification
   const value = given.get(`${section}.${key}`)
-  if (value === undefined && defaultValue === undefined) throw settingsError(file, section, key, `a value, because the key is required: ${specification.meaning}`)
+  if (value === undefined && defaultValue === undefined) throw settingsError(file, section, key, `a value, which has to be given: ${specification.meaning}`)
   if (value === undefined || value === defaultValue) return defaultValue ?? ''
   const expected = checks[type](value, specification)
   if (expected !== undefined) throw settingsError(file, section, key, expected)
--- a/packages/node/src/test/lib/operator/losses_test.ts
+++ b/packages/node/src/test/lib/operator/losses_test.ts
@@ -30,7 +30,7 @@
 
 function counts (map: ReadonlyMap<RequestCause, number> | undefined): Record<string, number> { return Object.fromEntries(map ?? []) }
 
-describe('tallyLosses', () => {
+describe('countLosses', () => {
   const table = countLosses(lines, 2_000)
   const groups: [name: string, found: Record<string, number>, expected: Record<string, number>][] = [
     ['all requests', counts(table.all), { 'in-time': 1, overloaded: 2, 'stream-paused': 1, 'not-allowed': 1 }],
