--- a/packages/node/src/lib/settings/settings.ts
+++ b/packages/node/src/lib/settings/settings.ts
@@ -5,7 +5,7 @@
  */
 /**
  * Reads a settings file in INI format and validates it against the schema. Duplicates are rejected too; the INI parser
- * accepts them silently. The first invalid setting raises a typed failure with file, section, key and the expected value.
+ * accepts them silently. The first invalid setting throws a typed failure with file, section, key and the expected value.
  */
 import { readFileSync } from 'node:fs'
 import { parse } from 'ini'
