--- a/packages/node/src/lib/observe/bounded-output.ts
+++ b/packages/node/src/lib/observe/bounded-output.ts
@@ -4,117 +4,117 @@
  * SPDX-License-Identifier: BSD-3-Clause
  */
 /**
- * Writes lines to a descriptor without ever blocking the process. Node writes to a pipe synchronously, so a reader that
- * stalls would stall the process; here lines wait in a bounded buffer, and what does not fit is dropped and counted.
+ * Writes lines to a file descriptor without blocking the process. Node writes to a pipe synchronously, so a stalled reader
+ * would block the process. Here lines are kept in a bounded buffer; lines that do not fit are dropped and counted.
  */
 import { write } from 'node:fs'
 import { Writable } from 'node:stream'
 
-/** Bytes that may wait for a reader: some seconds of a busy process. */
-const LARGEST_BACKLOG = 256 * 1024
-/** Before a descriptor that takes nothing is tried again, in milliseconds. */
-const RETRY_PAUSE = 20
+/** Maximum number of buffered bytes: the output of a busy process over a few seconds. */
+const MAX_BUFFERED_BYTES = 256 * 1024
+/** Delay before a write is retried if the descriptor accepts no data, in milliseconds. */
+const RETRY_DELAY_MILLISECONDS = 20
 /**
- * Lines that come within this time are written together, in milliseconds: each write costs a change of threads, and a line for
- * each was an eighth of what an entry's processor did at 8 requests a second. A process that is killed loses as much of its log.
+ * Lines within this time are written together, in milliseconds. Each write costs a thread switch: with one write per line,
+ * writes took an eighth of an entry's processor time at 8 requests per second. A killed process loses this much of its log.
  */
-export const WRITE_PAUSE = 100
-/** So many bytes are written at once, without waiting for more. */
-const FULL_BATCH = 16 * 1024
+export const WRITE_INTERVAL_MILLISECONDS = 100
+/** Once this many bytes are buffered, they are written without further delay. */
+const FULL_BATCH_BYTES = 16 * 1024
 
-/** Writes bytes to a descriptor; the same shape as `fs.write`. */
+/** Writes bytes to a file descriptor; compatible with `fs.write`. */
 export type DescriptorWrite = (descriptor: number, bytes: Buffer, callback: (error: NodeJS.ErrnoException | null, written: number) => void) => void
 
-/** A stream of lines into a descriptor. */
+/** A stream that writes lines to a file descriptor. */
 export class BoundedOutput extends Writable {
   private _lines: Buffer[] = []
-  private _waiting = 0
+  private _bufferedBytes = 0
   private _writing = false
   private _dropped = 0
-  private _wroteAt = -Infinity
+  private _lastWriteAt = -Infinity
   private _timer: NodeJS.Timeout | undefined
-  private readonly _flushed = new Set<() => void>()
+  private readonly _flushListeners = new Set<() => void>()
 
   /**
-   * @param _pause Milliseconds between writes, while little waits.
+   * @param _writeIntervalMilliseconds Minimum time between writes while little is buffered, in milliseconds.
    * @example
    * const output = new BoundedOutput(1)
    * output.write('event=started\n')
    */
-  constructor (private readonly _descriptor: number, private readonly _limit = LARGEST_BACKLOG, private readonly _writeTo: DescriptorWrite = write, private readonly _pause = 0) {
+  constructor (private readonly _descriptor: number, private readonly _maxBufferedBytes = MAX_BUFFERED_BYTES, private readonly _writeTo: DescriptorWrite = write, private readonly _writeIntervalMilliseconds = 0) {
     super({ decodeStrings: true })
   }
 
-  /** Lines dropped since the last call. */
+  /** Returns the number of lines dropped since the last call. */
   takeDropped (): number {
     const dropped = this._dropped
     this._dropped = 0
     return dropped
   }
 
-  /** Waits until everything is written, for `patience` milliseconds at most. */
-  async flush (patience: number): Promise<void> {
-    if (this._waiting === 0) return
+  /** Waits until all lines are written, for at most `timeout` milliseconds. */
+  async flush (timeout: number): Promise<void> {
+    if (this._bufferedBytes === 0) return
     await new Promise<void>(resolve => {
-      const timer = setTimeout(resolve, patience)
-      this._flushed.add(() => {
+      const timer = setTimeout(resolve, timeout)
+      this._flushListeners.add(() => {
         clearTimeout(timer)
         resolve()
       })
-      this._pump()
+      this._scheduleWrite()
     })
   }
 
   override _write (line: Buffer, _encoding: BufferEncoding, callback: () => void): void {
-    if (this._waiting + line.length > this._limit) this._dropped += 1
+    if (this._bufferedBytes + line.length > this._maxBufferedBytes) this._dropped += 1
     else {
       this._lines.push(line)
-      this._waiting += line.length
-      this._pump()
+      this._bufferedBytes += line.length
+      this._scheduleWrite()
     }
     callback()
   }
 
-  private _pump (): void {
-    const wait = this._wroteAt + this._pause - performance.now()
-    if (wait > 0 && this._waiting < FULL_BATCH && this._flushed.size === 0) this._writeIn(wait)
-    else this._writeWaiting()
+  private _scheduleWrite (): void {
+    const delay = this._lastWriteAt + this._writeIntervalMilliseconds - performance.now()
+    if (delay > 0 && this._bufferedBytes < FULL_BATCH_BYTES && this._flushListeners.size === 0) this._writeAfter(delay)
+    else this._writeBuffered()
   }
 
-  private _writeIn (milliseconds: number): void {
+  private _writeAfter (milliseconds: number): void {
     this._timer ??= setTimeout(() => {
       this._timer = undefined
-      this._writeWaiting()
+      this._writeBuffered()
     }, milliseconds).unref()
   }
 
-  private _writeWaiting (): void {
+  private _writeBuffered (): void {
     if (this._writing || this._lines.length === 0) return
     const bytes = this._lines.length === 1 ? this._lines[0] as Buffer : Buffer.concat(this._lines)
     this._lines = []
-    this._send(bytes)
+    this._writeBytes(bytes)
   }
 
-  private _send (bytes: Buffer): void {
+  private _writeBytes (bytes: Buffer): void {
     this._writing = true
-    this._wroteAt = performance.now()
+    this._lastWriteAt = performance.now()
     this._writeTo(this._descriptor, bytes, (error, written) => {
       if (error !== null && error.code === 'EAGAIN') {
-        setTimeout(() => this._send(bytes), RETRY_PAUSE).unref()
+        setTimeout(() => this._writeBytes(bytes), RETRY_DELAY_MILLISECONDS).unref()
         return
       }
-      // Nobody reads any more: there is nowhere to say so.
-      const done = error === null ? written : bytes.length
-      this._waiting -= done
-      if (done < bytes.length) return this._send(bytes.subarray(done))
+      // After any other error the bytes are discarded: the reader is gone, so the error cannot be logged either.
+      const settledBytes = error === null ? written : bytes.length
+      this._bufferedBytes -= settledBytes
+      if (settledBytes < bytes.length) return this._writeBytes(bytes.subarray(settledBytes))
       this._writing = false
-      this._pump()
-      if (this._waiting === 0) this._tellFlushed()
+      this._scheduleWrite()
+      if (this._bufferedBytes === 0) this._notifyFlushed()
     })
   }
 
-  private _tellFlushed (): void {
-    for (const listener of this._flushed) listener()
-    this._flushed.clear()
+  private _notifyFlushed (): void {
+    for (const listener of this._flushListeners) listener()
+    this._flushListeners.clear()
   }
 }
--- a/packages/node/src/lib/observe/histograms.ts
+++ b/packages/node/src/lib/observe/histograms.ts
@@ -4,17 +4,17 @@
  * SPDX-License-Identifier: BSD-3-Clause
  */
 /**
- * Histograms for each organisation and class, in milliseconds. Their number is bounded: beyond it, new organisations
- * share one called "other", so that callers cannot make a process grow.
+ * Histograms by organisation and request class, in milliseconds. Their number is bounded: beyond the limit, new
+ * organisations share a histogram called "other", so that callers cannot increase the memory of a process.
  */
 import type { Histogram } from 'hdr-histogram-js'
-// The library's main module brings its second, compiled implementation: 9 MB more in every daemon, unused here.
+// The library's main module also loads a WebAssembly implementation, which is not used here and takes 9 MB in every daemon.
 import { constructorFromBucketSize } from 'hdr-histogram-js/dist/JsHistogramFactory.js'
 
-/** What is measured. */
+/** The measured quantities. */
 export type Measure = 'queueing' | 'first-token' | 'between-tokens' | 'whole-answer' | 'refusal' | 'transfer' | 'time-to-serve'
 
-/** Names one histogram. */
+/** Identifies one histogram. */
 export interface SeriesName {
   readonly measure: Measure
   readonly organisation: string
@@ -26,11 +26,11 @@
   readonly histogram: Histogram
 }
 
-const MOST_SERIES = 256
-/** Values are kept in tenths of a millisecond, up to an hour, to two significant digits. */
+const MAX_SERIES = 256
+/** Values are recorded in tenths of a millisecond, up to one hour, with two significant digits. */
 const UNITS_PER_MILLISECOND = 10
-const HIGHEST = 36_000_000
-const DIGITS = 2
+const MAX_VALUE = 36_000_000
+const SIGNIFICANT_DIGITS = 2
 
 /** The histograms of one process. */
 export class Histograms {
@@ -39,54 +39,54 @@
   /**
    * Records one measurement.
    *
-   * @param milliseconds Zero or more.
+   * @param milliseconds Negative values are recorded as zero, values above one hour as one hour.
    * @example
    * histograms.record({ measure: 'first-token', organisation: 'hall-1', requestClass: 'interactive' }, 42.5)
    */
   record (name: SeriesName, milliseconds: number): void {
-    const value = Math.min(HIGHEST, Math.max(0, Math.round(milliseconds * UNITS_PER_MILLISECOND)))
-    this._get(name).histogram.recordValue(value)
+    const value = Math.min(MAX_VALUE, Math.max(0, Math.round(milliseconds * UNITS_PER_MILLISECOND)))
+    this._seriesFor(name).histogram.recordValue(value)
   }
 
-  /** All histograms. */
+  /** Returns all histograms. */
   all (): Series[] { return [...this._series.values()] }
 
-  /** A percentile in milliseconds, or nothing when nothing was recorded. */
+  /** Returns a percentile in milliseconds, or `undefined` if nothing was recorded. */
   percentile (name: SeriesName, percentile: number): number | undefined {
     const series = this._series.get(keyOf(name))
     return series === undefined ? undefined : series.histogram.getValueAtPercentile(percentile) / UNITS_PER_MILLISECOND
   }
 
-  private _get (name: SeriesName): Series {
+  private _seriesFor (name: SeriesName): Series {
     const known = this._series.get(keyOf(name))
     if (known !== undefined) return known
     const other = { ...name, organisation: 'other' }
-    const kept = this._series.size >= MOST_SERIES ? other : name
-    const series = this._series.get(keyOf(kept)) ?? { ...kept, histogram: newHistogram() }
-    this._series.set(keyOf(kept), series)
+    const seriesName = this._series.size >= MAX_SERIES ? other : name
+    const series = this._series.get(keyOf(seriesName)) ?? { ...seriesName, histogram: newHistogram() }
+    this._series.set(keyOf(seriesName), series)
     return series
   }
 }
 
-/** An empty histogram of the common shape, so that any two can be merged. */
+/** Creates an empty histogram. All have the same parameters, so that any two can be merged. */
 export function newHistogram (): Histogram {
   const Constructor = constructorFromBucketSize(32)
-  return new Constructor(1, HIGHEST, DIGITS)
+  return new Constructor(1, MAX_VALUE, SIGNIFICANT_DIGITS)
 }
 
-/** Milliseconds at a percentile. */
+/** Returns a percentile of a histogram in milliseconds. */
 export function percentileOf (histogram: Histogram, percentile: number): number {
   return histogram.getValueAtPercentile(percentile) / UNITS_PER_MILLISECOND
 }
 
-/** A histogram as text, to be merged elsewhere. The codec is loaded when an operator first asks. */
+/** Encodes a histogram as text, to be merged by another process. The codec is loaded on the first request of an operator. */
 export async function encodeHistogram (histogram: Histogram): Promise<string> {
   const { encodeIntoCompressedBase64 } = await import('hdr-histogram-js')
   return encodeIntoCompressedBase64(histogram)
 }
 
 /**
- * Adds a histogram that came as text.
+ * Adds an encoded histogram to another one.
  *
  * @example
  * await mergeHistogram(total, series.histogram)
--- a/packages/node/src/lib/observe/log.ts
+++ b/packages/node/src/lib/observe/log.ts
@@ -4,39 +4,40 @@
  * SPDX-License-Identifier: BSD-3-Clause
  */
 /**
- * Logs: one line of key=value pairs for each event, with stable event names (docs/OPERATIONS.md lists them). A line
- * that repeats is held back and counted, so that a storm of one event cannot fill the log. Lines about single requests
- * have a rate of their own, so that each request of an ordinary load can be followed.
+ * Writes the log: one line of key=value pairs for each event, with stable event names (listed in docs/OPERATIONS.md).
+ * Repeated lines of one event are suppressed and counted, so that one event cannot flood the log. Lines about single
+ * requests have a rate limit of their own, so that every request can be traced under normal load.
  */
 import { createLogger, format, transports, type Logger } from 'winston'
 import { TokenBucket } from '@drumdrift/core'
-import { BoundedOutput, WRITE_PAUSE } from './bounded-output.js'
+import { BoundedOutput, WRITE_INTERVAL_MILLISECONDS } from './bounded-output.js'
 
-/** Values of a log line. */
+/** The fields of a log line. */
 export type LogFields = Readonly<Record<string, string | number | boolean | undefined>>
 
-/** Severities, the least severe first. */
+/** Log levels, in order of increasing severity. */
 export type LogLevel = 'debug' | 'info' | 'warn' | 'error'
 
-/** Lines of one event that are written within a window; more are counted. */
+/** Maximum number of lines of one event in a window; further lines are only counted. */
 const LINES_PER_WINDOW = 20
-const WINDOW = 10_000
-/** Lines about requests in a second: four for each of a hundred requests. Beyond that they are counted. */
+/** Length of a window, in milliseconds. */
+const WINDOW_MILLISECONDS = 10_000
+/** Rate limit of lines about requests: four lines for each of 100 requests per second. Further lines are only counted. */
 const REQUEST_LINES_PER_SECOND = 400
 const REQUEST_LINES_BURST = 800
-/** Lines that were left out are told this often, in milliseconds. */
-const DROP_REPORT_PAUSE = 1_000
+/** Minimum interval between reports of dropped lines, in milliseconds. */
+const DROP_REPORT_INTERVAL_MILLISECONDS = 1_000
 const STANDARD_OUTPUT = 1
 
-/** Writes log lines of one process. */
+/** Writes the log lines of one process. */
 export class Log {
   private readonly _logger: Logger
-  private readonly _written = new Map<string, { since: number, lines: number }>()
-  private readonly _requestLines = new TokenBucket(REQUEST_LINES_PER_SECOND, REQUEST_LINES_BURST, performance.now())
-  private _requestsLeftOut = 0
+  private readonly _windows = new Map<string, { since: number, lines: number }>()
+  private readonly _requestLineBudget = new TokenBucket(REQUEST_LINES_PER_SECOND, REQUEST_LINES_BURST, performance.now())
+  private _droppedRequestLines = 0
   private _reportedAt = performance.now()
 
-  constructor (level: LogLevel, private readonly _common: LogFields, private readonly _output = new BoundedOutput(STANDARD_OUTPUT, undefined, undefined, WRITE_PAUSE)) {
+  constructor (level: LogLevel, private readonly _commonFields: LogFields, private readonly _output = new BoundedOutput(STANDARD_OUTPUT, undefined, undefined, WRITE_INTERVAL_MILLISECONDS)) {
     this._logger = createLogger({
       level,
       format: format.printf(info => String(info.message)),
@@ -44,33 +45,33 @@
     })
   }
 
-  /** Sets the least severe level that is written. */
+  /** Sets the minimum level of the lines that are written. */
   setLevel (level: LogLevel): void { this._logger.level = level }
 
-  /** Writes a line about one request. Under more load than can be written, lines are left out and counted. */
+  /** Writes a line about one request. Lines above the rate limit are dropped and counted. */
   request (event: string, fields: LogFields): void {
     const now = performance.now()
-    this._reportLeftOut(now)
-    if (!this._requestLines.trySpend(1, now)) {
-      this._requestsLeftOut += 1
+    this._reportDroppedLines(now)
+    if (!this._requestLineBudget.trySpend(1, now)) {
+      this._droppedRequestLines += 1
       return
     }
-    this._logger.info(formatLine('info', event, { ...this._common, ...fields }))
+    this._logger.info(formatLine('info', event, { ...this._commonFields, ...fields }))
   }
 
-  /** Waits until what was logged is written, for `patience` milliseconds at most. */
-  async flush (patience: number): Promise<void> {
-    this._reportLeftOut(Infinity)
-    await this._output.flush(patience)
+  /** Waits until all logged lines are written, for at most `timeout` milliseconds. */
+  async flush (timeout: number): Promise<void> {
+    this._reportDroppedLines(Infinity)
+    await this._output.flush(timeout)
   }
 
-  private _reportLeftOut (now: number): void {
-    if (now - this._reportedAt < DROP_REPORT_PAUSE) return
+  private _reportDroppedLines (now: number): void {
+    if (now - this._reportedAt < DROP_REPORT_INTERVAL_MILLISECONDS) return
     this._reportedAt = now
     const dropped = this._output.takeDropped()
-    if (dropped === 0 && this._requestsLeftOut === 0) return
-    this._logger.warn(formatLine('warn', 'log-lines-left-out', { ...this._common, requests: this._requestsLeftOut, unread: dropped }))
-    this._requestsLeftOut = 0
+    if (dropped === 0 && this._droppedRequestLines === 0) return
+    this._logger.warn(formatLine('warn', 'log-lines-left-out', { ...this._commonFields, requests: this._droppedRequestLines, unread: dropped }))
+    this._droppedRequestLines = 0
   }
 
   /**
@@ -86,20 +87,20 @@
 
   private _write (level: LogLevel, event: string, fields: LogFields): void {
     const now = performance.now()
-    const written = this._written.get(event)
-    if (written === undefined || now - written.since > WINDOW) {
-      const suppressed = Math.max(0, (written?.lines ?? 0) - LINES_PER_WINDOW)
-      this._written.set(event, { since: now, lines: 1 })
-      this._logger.log(level, formatLine(level, event, { ...this._common, ...fields, suppressed: suppressed > 0 ? suppressed : undefined }))
+    const window = this._windows.get(event)
+    if (window === undefined || now - window.since > WINDOW_MILLISECONDS) {
+      const suppressed = Math.max(0, (window?.lines ?? 0) - LINES_PER_WINDOW)
+      this._windows.set(event, { since: now, lines: 1 })
+      this._logger.log(level, formatLine(level, event, { ...this._commonFields, ...fields, suppressed: suppressed > 0 ? suppressed : undefined }))
       return
     }
-    written.lines += 1
-    if (written.lines <= LINES_PER_WINDOW) this._logger.log(level, formatLine(level, event, { ...this._common, ...fields }))
+    window.lines += 1
+    if (window.lines <= LINES_PER_WINDOW) this._logger.log(level, formatLine(level, event, { ...this._commonFields, ...fields }))
   }
 }
 
 /**
- * One line of key=value pairs; values with spaces are quoted.
+ * Formats one line of key=value pairs. Empty values and values with spaces, quotes or equals signs are quoted.
  *
  * @example
  * formatPairs({ event: 'bench', ratio: 1.2 }) // 'event=bench ratio=1.2'
--- a/packages/node/src/lib/operator/render.ts
+++ b/packages/node/src/lib/operator/render.ts
@@ -4,17 +4,17 @@
  * SPDX-License-Identifier: BSD-3-Clause
  */
 /**
- * Shows statuses to people as a table and to programs as key=value or JSON lines.
+ * Formats process statuses as a table for people, and as key=value or JSON lines for programs.
  */
 import type { ProcessStatus } from '@drumdrift/core'
 import { formatPairs, type LogFields } from '../observe/log.js'
 
-/** Forms of an answer. */
+/** Output formats of an answer. */
 export type AnswerFormat = 'table' | 'pairs' | 'json'
 
-const DIGEST_SHOWN = 12
+const SHOWN_DIGEST_LENGTH = 12
 
-/** A status as one flat row. */
+/** Converts a status into one flat row. */
 export function rowOf (status: ProcessStatus): LogFields {
   return {
     instance: status.instance,
@@ -24,8 +24,8 @@
     lifecycle: status.lifecycle,
     state: status.state,
     percent: Math.floor(status.progress * 100),
-    version: short(status.version),
-    wanted: short(status.wanted),
+    version: shortDigest(status.version),
+    wanted: shortDigest(status.wanted),
     running: status.running,
     revision: status.revisions.configuration,
     age_seconds: Math.round(Math.min(status.ages.configuration, 1e9) / 1000),
@@ -41,7 +41,7 @@
 }
 
 /**
- * Renders rows.
+ * Formats rows.
  *
  * @example
  * renderRows(statuses.map(rowOf), 'table')
@@ -57,6 +57,6 @@
   return [line(columns), ...rows.map(row => line(columns.map(column => String(row[column]))))].join('\n')
 }
 
-function short (digest: string): string {
-  return digest === '' ? '-' : digest.slice(0, DIGEST_SHOWN)
+function shortDigest (digest: string): string {
+  return digest === '' ? '-' : digest.slice(0, SHOWN_DIGEST_LENGTH)
 }
