--- a/packages/node/src/index.ts
+++ b/packages/node/src/index.ts
@@ -4,7 +4,7 @@
  * SPDX-License-Identifier: BSD-3-Clause
  */
 /**
- * drumdrift as a library: settings, the two processes, and the parts that tools build on.
+ * drumdrift as a library: settings, the two processes, and the modules that tools build on.
  *
  * @packageDocumentation
  */
--- a/packages/node/src/lib/agent/agent-requests.ts
+++ b/packages/node/src/lib/agent/agent-requests.ts
@@ -4,7 +4,7 @@
  * SPDX-License-Identifier: BSD-3-Clause
  */
 /**
- * Answers what peers ask of an agent: a table of handlers, one for each message.
+ * Handles the messages that peers send to an agent: a table with one handler for each message type.
  */
 import type { AdmissionDoor, ClaimKeeper, EndpointStatus, PeerRequest, ProcessStatus } from '@drumdrift/core'
 import type { Log } from '../observe/log.js'
@@ -15,7 +15,7 @@
 import type { Switcher } from './switcher.js'
 import type { WeightsKeeper } from './weights-keeper.js'
 
-/** What the handlers work with. */
+/** What the handlers use. */
 export interface AgentRequestsParts {
   readonly instance: string
   readonly endpoint: string
@@ -33,29 +33,29 @@
 
 type Handlers = { readonly [Type in PeerRequest['type']]: (request: Extract<PeerRequest, { type: Type }>, payload: Buffer, responder: Responder) => void }
 
-/** The messages of one agent. */
+/** Handles the messages that one agent receives. */
 export class AgentRequests {
   constructor (private readonly _parts: AgentRequestsParts) {}
 
-  /** Answers one message; one of an unknown type is refused. */
+  /** Answers a message. Refuses a message of an unknown type. */
   handle (request: PeerRequest, payload: Buffer, responder: Responder): void {
     const handler = Object.hasOwn(this._handlers, request.type) && this._handlers[request.type] as ((request: PeerRequest, payload: Buffer, responder: Responder) => void) | undefined
     if (!handler) {
-      responder.send({ type: 'refused', reason: 'not-supported', detail: `unknown message ${String(request.type)}` })
+      responder.send({ type: 'refused', reason: 'not-supported', detail: `unknown message type ${String(request.type)}` })
       return
     }
     handler(request, payload, responder)
   }
 
   private readonly _handlers: Handlers = {
-    hello: (_request, _payload, responder) => responder.send({ type: 'refused', reason: 'malformed', detail: 'hello was said before' }),
-    news: (_request, _payload, responder) => responder.send({ type: 'refused', reason: 'not-supported', detail: 'this agent holds documents, not news' }),
-    'follow-news': (_request, _payload, responder) => responder.send({ type: 'refused', reason: 'not-supported', detail: 'this agent holds documents, not news' }),
-    'follow-load': (_request, _payload, responder) => responder.send({ type: 'refused', reason: 'not-supported', detail: 'this agent tells its load with each answer' }),
-    suspects: (_request, _payload, responder) => responder.send({ type: 'refused', reason: 'not-supported', detail: 'entries that ask this agent keep what they saw' }),
-    limits: (_request, _payload, responder) => responder.send({ type: 'refused', reason: 'not-supported', detail: 'this agent keeps the limit of its endpoint itself' }),
+    hello: (_request, _payload, responder) => responder.send({ type: 'refused', reason: 'malformed', detail: 'hello was already received on this connection' }),
+    news: (_request, _payload, responder) => responder.send({ type: 'refused', reason: 'not-supported', detail: 'this agent exchanges complete documents, not deltas' }),
+    'follow-news': (_request, _payload, responder) => responder.send({ type: 'refused', reason: 'not-supported', detail: 'this agent exchanges complete documents, not deltas' }),
+    'follow-load': (_request, _payload, responder) => responder.send({ type: 'refused', reason: 'not-supported', detail: 'this agent reports its load with each answer' }),
+    suspects: (_request, _payload, responder) => responder.send({ type: 'refused', reason: 'not-supported', detail: 'entries that use this agent keep their own reports of suspect requests' }),
+    limits: (_request, _payload, responder) => responder.send({ type: 'refused', reason: 'not-supported', detail: 'this agent enforces the limit of its endpoint itself' }),
     ping: (_request, _payload, responder) => responder.send({ type: 'done' }),
-    'follow-chunks': (_request, _payload, responder) => responder.send({ type: 'refused', reason: 'not-supported', detail: 'chunks of this agent are awaited, not followed' }),
+    'follow-chunks': (_request, _payload, responder) => responder.send({ type: 'refused', reason: 'not-supported', detail: 'this agent has no subscriptions to chunks; request a chunk with a wait' }),
     compare: (request, _payload, responder) => this._parts.spread.compared(request, responder),
     push: (request, _payload, responder) => this._parts.spread.pushed(request, responder),
     chunk: ({ digest, wait }, _payload, responder) => { this._parts.chunks.serve(String(digest), Number(wait) || 0, responder) },
@@ -101,7 +101,10 @@
     responder.send({ type: 'offered', reply, status })
   }
 
-  /** An agent whose address now belongs to another pool, or whose version is not the wanted one, runs nothing. */
+  /**
+   * Refuses a request for another endpoint, since the agent's address may have moved to another pool, and a request for a
+   * version that the engine does not serve.
+   */
   private _run ({ endpoint, request }: Extract<PeerRequest, { type: 'run' }>, payload: Buffer, responder: Responder): void {
     const status = this._parts.endpointStatus()
     const fits = endpoint === this._parts.endpoint && (request.version === '' || request.version === status.version)
@@ -110,11 +113,11 @@
     if (admission.type === 'admitted') this._parts.runner.start(admission.run, request, payload, responder)
   }
 
-  /** Orders go to the incarnation named: a late one does not hit the replacement. */
+  /** Refuses an order to another incarnation, so that a late order does not affect the replacement process. */
   private _leave ({ incarnation, lifecycle, operator }: Extract<PeerRequest, { type: 'leave' }>, responder: Responder): void {
     const { door, log } = this._parts
     if (incarnation !== door.incarnation) {
-      responder.send({ type: 'refused', reason: 'wrong-incarnation', detail: `this is ${door.incarnation}` })
+      responder.send({ type: 'refused', reason: 'wrong-incarnation', detail: `the incarnation of this process is ${door.incarnation}` })
       return
     }
     const moved = door.leave(lifecycle)
--- a/packages/node/src/lib/agent/agent.ts
+++ b/packages/node/src/lib/agent/agent.ts
@@ -4,8 +4,8 @@
  * SPDX-License-Identifier: BSD-3-Clause
  */
 /**
- * The agent: one small process beside each endpoint. It brings the wanted version to its engine, serves chunks to
- * peers, admits and runs requests, and keeps records of ids that may not repeat.
+ * The agent: a small process beside each endpoint. It transfers the desired version to its engine, serves chunks to
+ * peers, admits and runs requests, and keeps records of request ids that must not be repeated.
  */
 import { randomBytes } from 'node:crypto'
 import {
@@ -36,7 +36,7 @@
 const MEBIBYTE = 1024 * 1024
 const GIBIBYTE = 1024 * MEBIBYTE
 const DEFAULT_SLOTS = 8
-/** Time for the last frames to leave before the process ends, in milliseconds. */
+/** Time to send the last frames before the process ends, in milliseconds. */
 const FLUSH_PAUSE = 100
 
 /** An agent process. */
@@ -66,7 +66,7 @@
   private _wantedSince = performance.now()
 
   /**
-   * @param _onReplaced Called when another agent has taken the engine over: the process is to stop.
+   * @param _onReplaced Called when another agent has taken the engine over; this process must then stop.
    */
   constructor (private readonly _settings: Settings, private readonly _log: Log, private readonly _onReplaced: () => void = () => {}) {
     this._name = this._text('process', 'instance')
@@ -107,7 +107,7 @@
     this._metrics = metricsAddress === '' ? undefined : new MetricsServer(metricsAddress, this._counters, this._histograms)
   }
 
-  /** Starts to listen. */
+  /** Reads which chunks the engine has staged and starts to listen. */
   async start (): Promise<void> {
     if (this._model) await this._store.recover()
     await this._server.listen()
@@ -116,9 +116,9 @@
   }
 
   /**
-   * Takes nothing new, lets what runs end, then stops.
+   * Drains and stops: admits no new requests and waits for running ones, up to `stop-patience-seconds`.
    *
-   * @returns Requests that were cut off because the patience of the settings ran out.
+   * @returns The number of requests that were still running after that time and were cut off.
    */
   async stop (): Promise<number> {
     this._door.leave('draining')
@@ -133,7 +133,7 @@
     return cut
   }
 
-  /** This agent's account of itself. */
+  /** The status that this agent reports. */
   status (): ProcessStatus {
     const now = performance.now()
     const { spread } = this._spread
@@ -249,7 +249,7 @@
     this._metrics?.close()
   }
 
-  /** A new revision is in force: everything that depends on it follows at once. */
+  /** Applies a newly adopted revision to everything that depends on it. */
   private _apply (): void {
     const { configuration, instances } = this._spread.spread
     this._addresses = new Map(instances.map(record => [record.instance, record.address]))
--- a/packages/node/src/lib/agent/arrivals.ts
+++ b/packages/node/src/lib/agent/arrivals.ts
@@ -3,14 +3,14 @@
  * Copyright 2026 the drumdrift contributors
  * SPDX-License-Identifier: BSD-3-Clause
  */
-/** Lets requests wait for something that is on its way, by digest, for a bounded time. */
+/** Lets requests wait for a bounded time until the chunk or manifest with a digest arrives. */
 export class Arrivals {
   private readonly _waiters = new Map<string, Set<() => void>>()
 
   /**
-   * Waits until a digest has arrived, or until the time is up.
+   * Resolves when the digest arrives or the timeout expires, whichever comes first.
    *
-   * @param wait Milliseconds.
+   * @param wait The timeout in milliseconds.
    * @example
    * await arrivals.waitFor(digest, 1_000)
    */
@@ -29,7 +29,7 @@
     })
   }
 
-  /** Wakes everyone who waits for a digest. */
+  /** Resolves all waits for a digest. */
   arrived (digest: string): void {
     for (const done of [...this._waiters.get(digest) ?? []]) done()
   }
--- a/packages/node/src/lib/agent/chunk-fetch.ts
+++ b/packages/node/src/lib/agent/chunk-fetch.ts
@@ -3,29 +3,29 @@
  * Copyright 2026 the drumdrift contributors
  * SPDX-License-Identifier: BSD-3-Clause
  */
-/** Fetches one chunk from a peer: any number of signs that it waits in the peer's queue, then the bytes or a refusal. */
+/** Fetches one chunk from a peer. The peer may send keepalives while the chunk is queued, then sends the bytes or a refusal. */
 import type { PeerReply } from '@drumdrift/core'
 import type { PeerConnection } from '../peer/connection.js'
 import type { PeerPool } from '../peer/pool.js'
 
-/** What a peer gave. */
+/** The bytes of a chunk, or the reason why a peer did not send them. */
 export type PeerChunk = Buffer | 'unreachable' | 'not-yet' | 'not-held' | 'timed-out'
 
-/** What to fetch. */
+/** A request for one chunk. */
 export interface ChunkRequest {
   readonly address: string
   readonly digest: string
-  /** Milliseconds that the peer may wait for the chunk to reach itself. */
+  /** Milliseconds that the peer may wait until it receives the chunk itself. */
   readonly wait: number
   readonly signal: AbortSignal
-  /** The peer will send the chunk, now or later. */
+  /** Called for each keepalive: the peer has the chunk queued or waits for it. */
   readonly onComing: () => void
-  /** Told of the connection that the chunk is to come over. */
+  /** Called with the connection that the chunk is requested over. */
   readonly onConnection: (connection: PeerConnection) => void
 }
 
 /**
- * Fetches a chunk. It has no time limit of its own: the transfer abandons it by the signal.
+ * Fetches a chunk. Has no timeout of its own: the transfer aborts it by the signal.
  *
  * @example
  * const chunk = await fetchChunk(pool, { address, digest, wait: 1_000, signal, onComing: () => {}, onConnection: () => {} })
--- a/packages/node/src/lib/agent/chunk-server.ts
+++ b/packages/node/src/lib/agent/chunk-server.ts
@@ -4,21 +4,21 @@
  * SPDX-License-Identifier: BSD-3-Clause
  */
 /**
- * Serves chunks and manifests to peers, in the order they were asked for, within the link's pace.
+ * Sends chunks to peers in the order of their requests, at the rate that the link's pacer allows.
  */
 import { setTimeout as pause } from 'node:timers/promises'
 import type { LinkPacer } from '@drumdrift/core'
 import type { Responder } from '../peer/connection.js'
 import type { ChunkStore } from './chunk-store.js'
 
-/** Chunks that may wait to be sent; more are refused as busy, so that memory stays bounded. */
+/** The most chunks that may be queued. Further requests are refused as busy, so that memory stays bounded. */
 const MOST_QUEUED = 1_024
-/** The longest that a peer may wait for a chunk that is on its way here, in milliseconds. */
+/** The longest wait of a peer for a chunk that this process is still to receive, in milliseconds. */
 const LONGEST_WAIT = 10_000
-/** Peers that wait hear that they are not forgotten this often, in milliseconds. */
+/** The interval of keepalives to peers whose request is pending, in milliseconds. */
 const REASSURE_PAUSE = 300
 
-/** Where the chunks lie that are served. */
+/** The store that chunks are served from. */
 export type ChunkSource = Pick<ChunkStore, 'has' | 'get' | 'waitFor'>
 
 interface Wanted {
@@ -26,7 +26,7 @@
   readonly responder: Responder
 }
 
-/** The uplink side of an agent's transfers. */
+/** The sending side of an agent's transfers. */
 export class ChunkServer {
   private readonly _queue: Wanted[] = []
   private readonly _waiting = new Set<Wanted>()
@@ -34,7 +34,7 @@
   private _sending = false
 
   /**
-   * @param _expects Whether a chunk is, or may be, part of the version being fetched, so that waiting makes sense.
+   * @param _expects Whether a chunk is, or may be, part of the version being fetched; otherwise a peer does not wait for it.
    */
   constructor (private readonly _store: ChunkSource, private readonly _pacer: Pick<LinkPacer, 'upload'>, private readonly _expects: (digest: string) => boolean) {
     this._timer = setInterval(() => this._reassure(), REASSURE_PAUSE)
@@ -55,7 +55,7 @@
     if (!this._sending) await this._drain()
   }
 
-  /** Waits for a chunk that is on its way here; says so if it is not, or does not come. */
+  /** Waits until this process receives the chunk. Refuses the request if the chunk is not expected or does not arrive in time. */
   private async _arrives (wanted: Wanted, wait: number): Promise<boolean> {
     const { digest, responder } = wanted
     if (!this._expects(digest)) {
--- a/packages/node/src/lib/agent/chunk-store.ts
+++ b/packages/node/src/lib/agent/chunk-store.ts
@@ -4,13 +4,13 @@
  * SPDX-License-Identifier: BSD-3-Clause
  */
 /**
- * Where chunks stand while peers still need them. The engine's staging memory holds all chunks of the wanted version,
- * as it must to load it; this process keeps only the latest, up to a limit, and reads older ones back.
+ * Stores chunks while peers may still request them. The engine's staging memory holds all chunks of the desired version,
+ * which it needs to load it. This process caches only the most recent chunks, up to a limit, and reads older ones back.
  */
 import { Arrivals } from './arrivals.js'
 import type { ChunkStaging } from './engine-client.js'
 
-/** Chunks of one agent. */
+/** The chunks that one agent holds. */
 export class ChunkStore {
   private readonly _recent = new Map<string, Buffer>()
   private readonly _staged = new Set<string>()
@@ -18,23 +18,23 @@
   private _bytes = 0
 
   /**
-   * @param _limit Bytes kept in this process.
+   * @param _limit Bytes that this process may cache.
    */
   constructor (private readonly _engine: ChunkStaging, private readonly _limit: number) {}
 
-  /** Digests that the engine holds. */
+  /** Digests of the chunks that the engine holds. */
   get staged (): ReadonlySet<string> { return this._staged }
 
-  /** Learns what the engine holds: at the start, and again before a load, since an earlier agent may have dropped some. */
+  /** Reads which chunks the engine holds, at the start and again before a load, since an earlier agent may have dropped some. */
   async recover (): Promise<void> {
     this._staged.clear()
     for (const digest of await this._engine.staged()) this._staged.add(digest)
   }
 
   /**
-   * Keeps a verified chunk: peers that wait for it are served at once, the engine gets it next.
+   * Stores a verified chunk: serves peers that wait for it at once, then stages it in the engine.
    *
-   * @returns Whether the engine took it.
+   * @returns Whether the engine accepted it.
    */
   async keep (digest: string, bytes: Buffer): Promise<boolean> {
     this._remember(digest, bytes)
@@ -44,7 +44,7 @@
     return staged
   }
 
-  /** A chunk for a peer, or nothing when it is not held. */
+  /** Returns a chunk, or `undefined` if it is not held. */
   async get (digest: string): Promise<Buffer | undefined> {
     const recent = this._recent.get(digest)
     if (recent !== undefined) return recent
@@ -59,14 +59,14 @@
     return this._recent.has(digest) || this._staged.has(digest)
   }
 
-  /** Waits until a chunk is held, for `wait` milliseconds at most. Returns whether it is. */
+  /** Waits up to `wait` milliseconds until a chunk is held. Returns whether it is. */
   async waitFor (digest: string, wait: number): Promise<boolean> {
     if (this.has(digest)) return true
     await this._arrivals.waitFor(digest, wait)
     return this.has(digest)
   }
 
-  /** Drops staged chunks that no wanted version lists. */
+  /** Drops staged chunks that are not among the given digests. */
   async dropExcept (wanted: ReadonlySet<string>, fence: number): Promise<void> {
     for (const digest of [...this._staged]) {
       if (wanted.has(digest)) continue
--- a/packages/node/src/lib/agent/digest.ts
+++ b/packages/node/src/lib/agent/digest.ts
@@ -4,23 +4,23 @@
  * SPDX-License-Identifier: BSD-3-Clause
  */
 /**
- * Digests of chunks and manifests: BLAKE2b cut to 256 bits, twice as fast here as SHA-256 (dev-docs/weights.md). Large
- * buffers are hashed in slices with turns of the loop between them, so that live answers are not held up.
+ * Digests of chunks and manifests: BLAKE2b truncated to 256 bits, twice as fast here as SHA-256 (dev-docs/weights.md).
+ * Large buffers are hashed in slices that yield to the event loop in between, so that live answers are not delayed.
  */
 import { createHash } from 'node:crypto'
 import { setImmediate as nextTurn } from 'node:timers/promises'
 
-/** How chunks are named: the product's own way, or that of a platform which publishes other digests. */
+/** The hash that names chunks: `blake2b` by default, `sha256` for a platform that publishes SHA-256 digests. */
 export type ChunkDigest = 'blake2b' | 'sha256'
 
 const algorithms: Record<ChunkDigest, string> = { blake2b: 'blake2b512', sha256: 'sha256' }
 
-/** Bytes hashed in one turn: about half a millisecond. */
+/** Bytes hashed before yielding to the event loop; this takes about half a millisecond. */
 const SLICE = 256 * 1024
 const DIGEST_CHARACTERS = 64
 
 /**
- * The digest of a buffer, in hexadecimal.
+ * Returns the digest of a buffer in hexadecimal, the first 64 characters.
  *
  * @example
  * const digest = await digestOf(chunk)
@@ -35,7 +35,7 @@
 }
 
 /**
- * The digest of something small, at once.
+ * Returns the BLAKE2b digest of a small input synchronously.
  *
  * @example
  * digestOfText(callerKey)
--- a/packages/node/src/lib/agent/endpoint-words.ts
+++ b/packages/node/src/lib/agent/endpoint-words.ts
@@ -3,7 +3,7 @@
  * Copyright 2026 the drumdrift contributors
  * SPDX-License-Identifier: BSD-3-Clause
  */
-/** The headers in which an endpoint beside an agent says something of itself (docs/PROTOCOLS.md). */
+/** Reads the headers by which an endpoint beside an agent announces its limit or its departure (docs/PROTOCOLS.md). */
 import type { IncomingHttpHeaders } from 'node:http'
 import type { EndpointNotice } from '@drumdrift/core'
 
@@ -14,7 +14,7 @@
 const DECIMAL = /^\d+(\.\d+)?$/
 
 /**
- * Reads a decimal number that is not below nothing.
+ * Reads a non-negative decimal number. Returns `undefined` if the header is absent.
  *
  * @example
  * readDecimal('1.1') // 1.1
@@ -25,7 +25,7 @@
 }
 
 /**
- * Reads seconds as milliseconds.
+ * Reads a number of seconds and returns milliseconds. Returns `undefined` if the header is absent.
  *
  * @example
  * readSeconds('0.25') // 250
@@ -36,7 +36,7 @@
 }
 
 /**
- * What an endpoint says of itself in an answer.
+ * Reads the notice in the status and headers of an endpoint's answer.
  *
  * @example
  * const { limit } = readNotice(200, { 'x-request-limit': '1.1' })
--- a/packages/node/src/lib/agent/engine-client.ts
+++ b/packages/node/src/lib/agent/engine-client.ts
@@ -4,34 +4,35 @@
  * SPDX-License-Identifier: BSD-3-Clause
  */
 /**
- * Speaks to the model engine beside the agent: staging of chunks, fenced load orders and the engine's own account of
- * its state (docs/PROTOCOLS.md). The agent is the only one that gives this engine orders.
+ * The client of the model engine beside the agent: stages chunks, sends fenced load orders and reads the engine's state
+ * (docs/PROTOCOLS.md). No other process sends orders to this engine.
  */
 import type { EngineReport, LoadResult, TakeOverResult } from '@drumdrift/core'
 import { askHttp } from '../platform/http-client.js'
 
-/** The part of an engine that holds chunks until it is ordered to load them. */
+/** The staging memory of an engine, which holds chunks until the engine is ordered to load them. */
 export interface ChunkStaging {
-  /** Digests of the chunks that the engine's staging memory holds. */
+  /** Returns the digests of the staged chunks. */
   staged (): Promise<ReadonlySet<string>>
   stage (kind: 'chunks' | 'manifests', digest: string, bytes: Buffer): Promise<boolean>
   readBack (kind: 'chunks' | 'manifests', digest: string): Promise<Buffer | undefined>
-  /** Drops a staged chunk; refused by the engine when the fence is not the newest. */
+  /** Drops a staged chunk. The engine refuses this if the fence is not the newest. */
   drop (digest: string, fence: number): Promise<void>
 }
 
-/** An engine as the agent sees it. */
+/** A model engine that an agent controls. */
 export interface Engine extends ChunkStaging {
   state (): Promise<EngineReport | undefined>
-  /** Takes the engine over; the fence must be above every earlier one. */
+  /** Takes the engine over. The fence must be greater than every earlier one. */
   takeOver (fence: number): Promise<TakeOverResult>
-  /** Orders a load; the fence must not be below any earlier one. */
+  /** Orders a load. The fence must not be less than any earlier one. */
   load (manifestDigest: string, fence: number): Promise<LoadResult>
 }
 
+/** The timeout of requests other than for the state, in milliseconds. */
 const TIMEOUT = 5_000
 
-/** An engine over HTTP. */
+/** An engine that is controlled over HTTP. */
 export class HttpEngine implements Engine {
   constructor (private readonly _address: string) {}
 
--- a/packages/node/src/lib/agent/manifest-source.ts
+++ b/packages/node/src/lib/agent/manifest-source.ts
@@ -3,53 +3,53 @@
  * Copyright 2026 the drumdrift contributors
  * SPDX-License-Identifier: BSD-3-Clause
  */
-/** Where an agent gets the manifest of a version: from the member before it in a tree over all members, or the platform. */
+/** Fetches the manifest of a version from the member's parent in a tree over all members of the pool, or from the platform. */
 import { failureOf, rendezvousOrder, type ChunkMember, type WeightsFailure } from '@drumdrift/core'
 import type { Log } from '../observe/log.js'
 import type { PeerPool } from '../peer/pool.js'
 import type { WeightsSource } from '../platform/platform-client.js'
 
-/** What the source works with. */
+/** What a manifest source uses. */
 export interface ManifestSourceParts {
   readonly self: ChunkMember
-  /** Members of the same pool. */
+  /** The members of the same pool. */
   readonly members: () => readonly ChunkMember[]
   readonly addressOf: (instance: string) => string | undefined
   readonly pool: PeerPool
   readonly platform: WeightsSource
   readonly log: Log
-  /** Whether bytes are the manifest of that identity. */
+  /** Returns whether bytes are the manifest of an identity. */
   readonly matches: (identity: string, bytes: Buffer) => boolean
-  /** The platform gave none, or a wrong one. */
+  /** Called if the platform returns no manifest, or one that does not match. */
   readonly onProblem: (problem: WeightsFailure) => void
 }
 
-/** Members that take a manifest from one. */
+/** The number of members that request a manifest from the same parent. */
 const FAN_OUT = 8
 /**
- * How long a peer may wait for a manifest itself before it says that it has none, and how long it may take to say so, in
- * milliseconds. A member whose parent cannot be reached asks the platform after that.
+ * How long a peer may wait until it receives the manifest itself, and the timeout of the request to it, in milliseconds.
+ * After the timeout, a member whose parent is unreachable requests the manifest from the platform.
  */
 const PEER_WAIT = 400
 const PEER_TIMEOUT = 700
-/** How long the platform may wait for a manifest itself, in milliseconds. */
+/** The timeout of a request to the platform, in milliseconds. */
 const PLATFORM_WAIT = 1_000
 /**
- * Added wait, for each rank, before the platform is asked for a manifest that peers did not have, and the longest, in
- * milliseconds.
+ * The delay per rank before a member requests a manifest that its parent does not have from the platform, and the longest
+ * such delay, in milliseconds.
  */
 const STAGGER = 20
 const LONGEST_STAGGER = 5_000
 
-/** The sources of manifests for one member. */
+/** Fetches manifests for one member. */
 export class ManifestSource {
   constructor (private readonly _parts: ManifestSourceParts) {}
 
   /**
-   * Asks the member's parent, then, staggered by rank, the platform.
+   * Requests a manifest from the member's parent, then, delayed by rank, from the platform.
    *
-   * @param waited Milliseconds since the manifest was first looked for.
-   * @returns Nothing when none of them gave it; it may be asked for again.
+   * @param waited Milliseconds since the first attempt to fetch this manifest.
+   * @returns `undefined` if neither returned it; the caller may retry.
    * @example
    * const bytes = await source.fetch('drafting@2', 0)
    */
@@ -81,9 +81,9 @@
     for (const upstream of ['origin', 'store'] as const) {
       const bytes = await this._parts.platform.weights(upstream, 'manifests', identity, PLATFORM_WAIT)
       if (bytes !== undefined && this._parts.matches(identity, bytes)) return bytes
-      if (bytes !== undefined) this._parts.onProblem({ type: 'weights-failure', reason: 'digest-mismatch', detail: `manifest from ${upstream}` })
+      if (bytes !== undefined) this._parts.onProblem({ type: 'weights-failure', reason: 'digest-mismatch', detail: `the manifest from the ${upstream} does not match its identity` })
     }
-    this._parts.onProblem({ type: 'weights-failure', reason: 'unavailable', detail: `no one has manifest ${identity.slice(0, 12)}` })
+    this._parts.onProblem({ type: 'weights-failure', reason: 'unavailable', detail: `no source has manifest ${identity.slice(0, 12)}` })
     return undefined
   }
 }
--- a/packages/node/src/lib/agent/request-runner.ts
+++ b/packages/node/src/lib/agent/request-runner.ts
@@ -5,7 +5,7 @@
  */
 /**
  * Runs admitted requests on the endpoint beside the agent and sends the answer back in numbered parts. Event streams
- * are cut only between whole events, so that an answer can be resumed elsewhere at an event's edge.
+ * are split only between events, so that another endpoint can resume an answer after a complete event.
  */
 import type { IncomingMessage } from 'node:http'
 import type { AdmissionDoor, EndpointNotices, EndpointStatus, ForwardedRequest, LinkPacer } from '@drumdrift/core'
@@ -16,30 +16,30 @@
 import { openHttp } from '../platform/http-client.js'
 import { readNotice } from './endpoint-words.js'
 
-/** What the runner works with. */
+/** What a request runner uses. */
 export interface RequestRunnerParts {
   readonly endpointAddress: string
-  /** Names the endpoint in `notices`. */
+  /** The key of the endpoint in `notices`. */
   readonly endpoint: string
-  /** What the endpoint asks of those who send to it; the door keeps to it. */
+  /** The limits and rests that the endpoint has announced; admission enforces them. */
   readonly notices: EndpointNotices
   readonly noticeLog: NoticeLog
   readonly door: AdmissionDoor
   readonly pacer: LinkPacer
   readonly counters: Counters
   readonly status: () => EndpointStatus
-  /** The fence that goes with requests to a model engine; 0 for none. */
+  /** The fence to send with requests to a model engine; 0 for none. */
   readonly fence: () => number
 }
 
-/** Bytes of answers that may wait to be sent before transfers are told to yield. */
+/** The backlog of answers on a connection, in bytes, above which transfers of weights slow down. */
 const CONGESTED_BACKLOG = 65_536
 const END_OF_EVENT = Buffer.from('\n\n')
 
-/** Headers that belong to one hop. */
+/** Headers that are not forwarded, since they apply to a single hop. */
 const hopHeaders = new Set(['connection', 'keep-alive', 'transfer-encoding', 'host', 'content-length', 'upgrade', 'te', 'trailer', 'authorization', 'expect'])
 
-/** Runs requests for one agent. */
+/** Runs the requests of one agent. */
 export class RequestRunner {
   private readonly _runs = new WeakMap<PeerConnection, Map<number, AbortController>>()
   private readonly _idle = new Set<() => void>()
@@ -62,12 +62,12 @@
     })
   }
 
-  /** The caller of a stream has hung up: the endpoint is told by the end of its connection. */
+  /** Aborts a request whose caller has disconnected. The endpoint notices by the closed connection. */
   hangUp (connection: PeerConnection, call: number): void {
     this._callsOf(connection).get(call)?.abort()
   }
 
-  /** Waits until nothing runs. */
+  /** Resolves when no request is running. */
   async idle (): Promise<void> {
     if (this._parts.door.running === 0) return
     await new Promise<void>(resolve => this._idle.add(resolve))
@@ -92,7 +92,7 @@
     }
   }
 
-  /** One that leaves is left by its agent too: both are replaced together. */
+  /** Records the notice in an answer. If the endpoint is leaving, the agent drains too, since both are replaced together. */
   private _hear ({ statusCode = 0, headers }: IncomingMessage, askedAt: number): void {
     const { endpoint, notices, noticeLog, door } = this._parts
     for (const change of notices.heard(endpoint, readNotice(statusCode, headers), askedAt, performance.now())) {
@@ -117,7 +117,7 @@
       send(bytes.subarray(0, cut))
       held = bytes.subarray(cut)
     }
-    if (!response.complete) throw new Error('answer of the endpoint was cut off')
+    if (!response.complete) throw new Error('the connection to the endpoint was lost before the end of the answer')
     send(held)
     return sequence
   }
@@ -158,7 +158,7 @@
   return String(response.headers['x-model-version'] ?? '')
 }
 
-/** The endpoint's port refused the connection, so nothing can have run there. */
+/** Returns whether the endpoint's port refused the connection, so that the request cannot have run there. */
 function neverReached (error: unknown): boolean {
   const failure = failureOf(error)
   return failure.type === 'peer-failure' && failure.detail.includes('ECONNREFUSED')
--- a/packages/node/src/lib/agent/switcher.ts
+++ b/packages/node/src/lib/agent/switcher.ts
@@ -4,14 +4,14 @@
  * SPDX-License-Identifier: BSD-3-Clause
  */
 /**
- * Looks at the engine beside this agent a few times a second and carries out what the switch decides.
+ * Polls the engine beside this agent several times a second and carries out the effects of the engine switch.
  */
 import { EngineSwitch, type AdmissionDoor, type EngineReport, type SwitchEffect, type SwitchProgress, type SwitchSituation } from '@drumdrift/core'
 import type { Log } from '../observe/log.js'
 import type { PeerPool } from '../peer/pool.js'
 import type { Engine } from './engine-client.js'
 
-/** What the switcher works with. */
+/** What a switcher uses. */
 export interface SwitcherParts {
   readonly instance: string
   readonly engine: Engine
@@ -19,17 +19,19 @@
   readonly pool: PeerPool
   readonly log: Log
   readonly situation: () => SwitchSituation
-  /** Another agent has the engine: this process is to end, and the platform to start a new one if the slot is its own. */
+  /** Called if another agent has taken the engine over. This process must end; the platform starts a new one if the slot is its own. */
   readonly onReplaced: () => void
-  /** Whether the engine still holds the whole version; looked at right before a load. */
+  /** Returns whether the engine still holds the complete version; checked right before a load. */
   readonly confirmWhole: () => Promise<boolean>
   readonly onServing: (manifestDigest: string, fence: number) => void
 }
 
+/** The interval of polls, in milliseconds. */
 const POLL = 200
+/** The timeout of a request for a peer's progress, in milliseconds. */
 const ASK_TIMEOUT = 500
 
-/** The switch of one engine, carried out. */
+/** Carries out the switches of one engine. */
 export class Switcher {
   private readonly _switch: EngineSwitch
   private _polling = false
@@ -40,21 +42,21 @@
     this._timer = setInterval(() => { this.poll() }, POLL)
   }
 
-  /** The engine's last report. */
+  /** The engine's latest report. */
   get engine (): EngineReport | undefined { return this._switch.engine }
-  /** The fence of this agent's orders and requests. */
+  /** The fence that this agent sends with orders and requests. */
   get fence (): number { return this._switch.fence }
-  /** Whether the rollout stands still because engines before this one failed to load. */
+  /** Whether the rollout is halted because engines earlier in the order failed to load. */
   get halted (): boolean { return this._switch.halted }
   /** The version that this engine failed to load; empty for none. */
   get failed (): string { return this._switch.failed }
 
   close (): void { clearInterval(this._timer) }
 
-  /** How far this engine is with a version, for the waves after it. */
+  /** Returns the progress of this engine with a version, for the engines of later waves. */
   progress (digest: string): SwitchProgress { return this._switch.progress(digest) }
 
-  /** Looks at the engine and does the next step, if one is due. */
+  /** Reads the state of the engine and carries out the next step, if one is due. */
   async poll (): Promise<void> {
     if (this._polling) return
     this._polling = true
--- a/packages/node/src/lib/agent/weights-keeper.ts
+++ b/packages/node/src/lib/agent/weights-keeper.ts
@@ -4,8 +4,8 @@
  * SPDX-License-Identifier: BSD-3-Clause
  */
 /**
- * Brings the wanted version to this instance: carries out what the transfer decides, verifies every byte before it is
- * kept or passed on, and says when the version is whole.
+ * Transfers the desired version to this instance: carries out the effects of the transfer, verifies every byte before it
+ * is stored or served to peers, and reports when the version is complete.
  */
 import {
   checkManifest, type ChunkMember, type Manifest, type TransferCourse, type TransferEffect, type WeightsFailure
@@ -25,10 +25,10 @@
 
 type Fetch = Extract<TransferEffect, { type: 'fetch' }>
 
-/** What the keeper works with. */
+/** What a weights keeper uses. */
 export interface WeightsKeeperParts {
   readonly self: ChunkMember
-  /** Begins the transfer of a version; `held` are the digests that are staged already. */
+  /** Creates the transfer of a version; `held` are the digests of chunks that are already staged. */
   readonly newTransfer: NewTransfer
   readonly largestBytes: number
   readonly platform: WeightsSource
@@ -37,20 +37,20 @@
   readonly store: ChunkStore
   readonly log: Log
   readonly counters: Counters
-  /** Members of the same pool. */
+  /** The members of the same pool. */
   readonly members: () => readonly ChunkMember[]
   readonly addressOf: (instance: string) => string | undefined
   readonly onWhole: (manifestDigest: string) => void
-  /** How manifests name chunks; the product's own way by default. */
+  /** The hash by which manifests name chunks; `blake2b` by default. */
   readonly chunkDigest?: ChunkDigest
   /**
-   * Whether bytes are the manifest of that identity. By default the identity is their digest; a platform that numbers
-   * its versions cannot know the digest beforehand.
+   * Returns whether bytes are the manifest of an identity. By default, the identity is the digest of the bytes. A platform
+   * that numbers its versions does not know the digest in advance.
    */
   readonly manifestMatches?: (identity: string, bytes: Buffer) => boolean
 }
 
-/** Makes the transfer of one version. */
+/** Creates the transfer of one version. */
 export type NewTransfer = (start: {
   readonly members: readonly ChunkMember[]
   readonly identity: string
@@ -59,37 +59,39 @@
   readonly originCopies: number
 }) => TransferCourse
 
+/** The interval of ticks of a transfer, in milliseconds. */
 const TICK = 50
-/** How long this process waits at most for a manifest that a peer asks for, in milliseconds. */
+/** The longest wait of a peer for a manifest that this process is still to receive, in milliseconds. */
 const LONGEST_MANIFEST_WAIT = 1_000
-/** How long a peer may wait for a chunk itself before it says that it has none, in milliseconds. */
+/** How long a peer may wait until it receives a chunk itself before it refuses the request, in milliseconds. */
 const CHUNK_WAIT = 6_000
-/** A connection that was silent for less is taken for a living one, in milliseconds. */
+/** A connection that received bytes within this time counts as active, in milliseconds. */
 const SIGN_OF_LIFE = 400
+/** The timeout of a chunk request to the platform, in milliseconds. */
 const LONGEST_FETCH = 30_000
-/** Before a manifest that nobody gave is asked for again, in milliseconds. */
+/** The delay before a failed fetch of a manifest is retried, in milliseconds. */
 const MANIFEST_PAUSE = 200
 
-/** The weights of one agent. */
+/** Holds and transfers the weights of one agent. */
 export class WeightsKeeper {
   private _wanted = ''
   private _originCopies = 1
   private _manifest: Manifest | undefined
   private _transfer: TransferCourse | undefined
   private _wholeDigest = ''
-  /** The list that the transfer works with; compared by identity, since a new revision makes a new list. */
+  /** The list that the transfer uses; compared by reference, since a new revision creates a new list. */
   private _members: readonly ChunkMember[] = []
   private _problem: WeightsFailure | undefined
   private _wantedDigests: ReadonlySet<string> = new Set()
   private readonly _fetches = new Map<number, AbortController>()
-  /** Where the chunks under way come from. */
+  /** The connections of chunk requests in flight, by attempt. */
   private readonly _connections = new Map<number, PeerConnection>()
   private readonly _manifests = new Map<string, Buffer>()
   private readonly _arrivals = new Arrivals()
   private readonly _manifestSource: ManifestSource
-  /** Runs while a transfer is under way: a keeper that wants nothing woke its process 20 times a second. */
+  /** Runs only during a transfer; otherwise it would wake an idle process 20 times a second. */
   private _ticker: NodeJS.Timeout | undefined
-  /** What became of the attempts of the transfer under way, for the log: by source, or by what went wrong. */
+  /** The number of attempts of the current transfer by their source or failure, for the log. */
   private readonly _outcomes = new Map<string, number>()
   private _startedAt = 0
 
@@ -99,34 +101,34 @@
     })
   }
 
-  /** The manifest digest that is wanted; empty for none. */
+  /** The manifest digest of the desired version; empty for none. */
   get wanted (): string { return this._wanted }
-  /** The manifest digest that is held whole and verified; empty for none. */
+  /** The manifest digest of the desired version once it is complete and verified; empty before. */
   get wholeDigest (): string { return this._wholeDigest }
-  /** The manifest of the wanted version, once it is held. */
+  /** The manifest of the desired version; `undefined` until it is held. */
   get currentManifest (): Manifest | undefined { return this._manifest }
-  /** The share of the wanted version that is held. */
+  /** The share of the desired version that is held. */
   get progress (): number { return this._transfer?.progress ?? 0 }
-  /** What keeps the wanted version away, if anything. */
+  /** Why the desired version cannot be fetched; `undefined` without a failure. */
   get problem (): WeightsFailure | undefined { return this._problem }
 
   close (): void {
     this._stopTicking()
-    // A manifest that was still looked for would be asked for until the process ends.
+    // Ends the retries of a manifest that is not held yet, which would otherwise go on until the process ends.
     this._wanted = ''
     for (const fetch of this._fetches.values()) fetch.abort()
   }
 
-  /** Whether a chunk belongs to the version being fetched, or may: its manifest may still be on its way. */
+  /** Returns whether a chunk belongs to the desired version, or may belong to it because the manifest is not held yet. */
   expects (digest: string): boolean {
     if (this._wanted !== '' && this._manifest === undefined) return true
     return this._wantedDigests.has(digest)
   }
 
   /**
-   * A manifest for a peer.
+   * Returns a manifest for a peer, or `undefined` if it is not held.
    *
-   * @param wait Milliseconds to wait for one that is on its way here.
+   * @param wait Milliseconds to wait until this process receives the manifest.
    */
   async manifest (digest: string, wait: number): Promise<Buffer | undefined> {
     const held = this._manifests.get(digest) ?? await this._parts.engine.readBack('manifests', digest)
@@ -136,7 +138,7 @@
   }
 
   /**
-   * Sets the wanted version; empty for none. A transfer of another one ends at once; chunks that both share stay.
+   * Sets the desired version; empty for none. Cancels the transfer of another version; chunks that both versions share are kept.
    */
   want (manifestDigest: string, originCopies: number): void {
     this._originCopies = originCopies
@@ -152,12 +154,12 @@
     if (manifestDigest !== '') this._begin(manifestDigest)
   }
 
-  /** Drops chunks that the wanted version does not list; call it once that version is served. */
+  /** Drops chunks that the desired version does not list; call it once that version is served. */
   async dropOthers (fence: number): Promise<void> {
     if (this._manifest !== undefined) await this._parts.store.dropExcept(this._wantedDigests, fence)
   }
 
-  /** The list of members may have changed; a version that is whole hears of it only so. */
+  /** Updates the list of members. Ticks do so during a transfer; once the version is complete, only this call does. */
   membersChanged (): void {
     const members = this._parts.members()
     if (members === this._members) return
@@ -166,8 +168,8 @@
   }
 
   /**
-   * Looks once more whether the engine holds the whole version, as it must right before a load. If chunks are gone they
-   * are fetched again.
+   * Checks whether the engine still holds the complete version, as it must right before a load. Chunks that are missing are
+   * fetched again.
    */
   async confirmWhole (): Promise<boolean> {
     const manifest = this._manifest
@@ -220,7 +222,7 @@
     this._ticker ??= setInterval(() => this._tick(), TICK)
   }
 
-  /** The one that is staged already, or else one from a peer or the platform. */
+  /** Returns the staged manifest if it matches; otherwise fetches it from a peer or the platform. */
   private async _fetchManifest (digest: string, waited: number): Promise<Buffer | undefined> {
     const held = await this.manifest(digest, 0)
     if (held !== undefined && this._matches(digest, held)) return held
@@ -245,7 +247,7 @@
     this._ticker = undefined
   }
 
-  /** A connection over which bytes come is no stalled one, though signs may wait behind other chunks. */
+  /** A connection that receives bytes is not stalled, although keepalives may be queued behind other chunks. */
   private _noteLife (transfer: TransferCourse): void {
     const now = performance.now()
     for (const [attempt, connection] of this._connections) {
@@ -287,7 +289,7 @@
     this._carryOut(problem === undefined ? transfer.arrived(effect.attempt, now) : transfer.failed(effect.attempt, problem, now))
   }
 
-  /** Fetches, checks and keeps one chunk. Returns what went wrong, if anything. */
+  /** Fetches, verifies and stores one chunk. Returns the failure, or `undefined` on success. */
   private async _fetchVerified (effect: Fetch, signal: AbortSignal): Promise<'corrupt' | 'unreachable' | 'not-yet' | 'not-held' | 'timed-out' | undefined> {
     const fetched = await this._bytes(effect, signal)
     if (typeof fetched === 'string') return fetched
@@ -313,7 +315,7 @@
     return await fetchChunk(this._parts.pool, { address, digest: effect.digest, wait: CHUNK_WAIT, signal, onComing, onConnection: connection => this._connections.set(effect.attempt, connection) })
   }
 
-  /** That nobody has a manifest is no news after another problem with it. */
+  /** An unavailable manifest does not replace an earlier problem, which is more specific. */
   private _noteManifestProblem (problem: WeightsFailure): void {
     if (problem.reason === 'unavailable') this._problem ??= problem
     else this._fail(problem)
--- a/packages/node/src/lib/command-line.ts
+++ b/packages/node/src/lib/command-line.ts
@@ -15,10 +15,11 @@
 import { settingsPage } from './settings/page.js'
 import { guessRole, readSettings } from './settings/settings.js'
 
+/** In milliseconds. */
 const ASK_TIMEOUT = 10_000
 
 /**
- * Builds the command.
+ * Builds the parser of the command and its subcommands.
  *
  * @example
  * await commandLine().parseAsync(process.argv)
@@ -26,11 +27,11 @@
 export function commandLine (): Command {
   const program = new Command('drumdrift').description('Weight distribution and request routing for bursts').version('0.1.0')
   for (const role of ['entry', 'agent'] as const) {
-    program.command(role).description(`runs the ${role} daemon`).argument('<file>', 'settings in INI').action(async file => await start(file, role))
+    program.command(role).description(`runs the ${role} daemon`).argument('<file>', 'settings file in INI format').action(async file => await start(file, role))
   }
   program.command('check').description('checks a settings file without starting').argument('<file>').action(check)
   program.command('settings').description('lists every setting with unit, default, range and meaning').action(() => { process.stdout.write(settingsPage()) })
-  program.command('ask').description('asks an entry, or gives it an order').argument('<text>', 'for instance "show agents where zone = bagmati"')
+  program.command('ask').description('sends a query or an order to an entry').argument('<text>', 'for instance "show agents where zone = bagmati"')
     .requiredOption('--entry <address>', 'an entry\'s HTTP address')
     .requiredOption('--key-file <file>', 'a file with the operator\'s key')
     .option('--format <form>', 'table, pairs or json', 'table')
@@ -43,25 +44,25 @@
       const { report } = await import('./operator/report.js')
       await report(options)
     })
-  program.command('watch').description('follows a rollout until every live agent of a pool serves the wanted version')
+  program.command('watch').description('follows a rollout until every live agent of a pool serves the desired version')
     .argument('<pool>')
     .requiredOption('--entry <address>', 'an entry\'s HTTP address')
     .requiredOption('--key-file <file>', 'a file with the operator\'s key')
-    .option('--seconds <number>', 'gives up after so long', '600')
+    .option('--seconds <number>', 'timeout in seconds', '600')
     .action(async (pool, options) => {
       const { watchRollout } = await import('./operator/watch.js')
       process.exitCode = await watchRollout(pool, options)
     })
-  program.command('explain').description('tells from log files what happened to a request, and why')
-    .argument('<id>', 'the caller\'s name for the attempt')
+  program.command('explain').description('explains from log files what happened to a request, and why')
+    .argument('<id>', 'the caller\'s id of the attempt')
     .argument('<files...>', 'logs of entries and agents')
     .action(async (id, files) => {
       const { explainFiles } = await import('./operator/explain-files.js')
       process.exitCode = await explainFiles(id, files, text => { process.stdout.write(text) })
     })
-  program.command('losses').description('counts from log files which requests were not answered in time: why, by which entry, when')
+  program.command('losses').description('counts from log files the requests that were not answered in time, by cause, entry and time interval')
     .argument('<files...>', 'logs of entries')
-    .option('--span <seconds>', 'the length of one span of time', '2')
+    .option('--span <seconds>', 'length of a time interval in seconds', '2')
     .action(async (files, options) => {
       const { lossesOfFiles } = await import('./operator/losses-files.js')
       process.exitCode = await lossesOfFiles(files, options.span, text => { process.stdout.write(text) })
--- a/packages/node/src/lib/listen.ts
+++ b/packages/node/src/lib/listen.ts
@@ -3,12 +3,12 @@
  * Copyright 2026 the drumdrift contributors
  * SPDX-License-Identifier: BSD-3-Clause
  */
-/** Starts a server, HTTP or TCP, at an address of the settings. */
+/** Starts an HTTP or TCP server at an address from the settings. */
 import type { Server } from 'node:net'
 import { parseAddress } from './settings/address.js'
 
 /**
- * Listens at an address; fails when that is not possible.
+ * Listens at an address. Rejects if the server cannot listen there.
  *
  * @example
  * await listenAt(server, '10.0.0.7:7400')
--- a/packages/node/src/lib/own-daemons.ts
+++ b/packages/node/src/lib/own-daemons.ts
@@ -4,14 +4,14 @@
  * SPDX-License-Identifier: BSD-3-Clause
  */
 /**
- * The daemons that speak the product's own interface. They stand apart from what runs a daemon, so that a program for another
- * platform does not load them at its start.
+ * The daemons that use the product's own protocols. They are in a module of their own, separate from the code that runs a
+ * daemon, so that a program for another platform does not load them when it starts.
  */
 import { AgentProcess } from './agent/agent.js'
 import { EntryProcess } from './entry/entry.js'
 import type { DaemonMaker } from './run-daemon.js'
 
-/** How each is made, by its role. */
+/** The factories of the daemons by role. */
 export const ownDaemons: Record<'entry' | 'agent', DaemonMaker> = {
   entry: (settings, log) => new EntryProcess(settings, log),
   agent: (settings, log, stop) => new AgentProcess(settings, log, stop)
--- a/packages/node/src/lib/platform/http-client.ts
+++ b/packages/node/src/lib/platform/http-client.ts
@@ -4,43 +4,45 @@
  * SPDX-License-Identifier: BSD-3-Clause
  */
 /**
- * Small requests to the platform and to endpoints over Node's `http`, with a time limit and a limit on the size of
- * what comes back. Every failure is typed.
+ * Sends requests to the platform and to endpoints with Node's `http`, with a timeout and a limit on the size of the
+ * answer. Every failure is typed.
  */
 import { Agent, request, type IncomingMessage, type OutgoingHttpHeaders } from 'node:http'
 import { DrumdriftError } from '@drumdrift/core'
 import { parseAddress } from '../settings/address.js'
 import type { ReadPacer } from '../peer/connection.js'
 
-/** A whole answer. */
+/** A complete answer. */
 export interface HttpAnswer {
   readonly status: number
   readonly headers: IncomingMessage['headers']
   readonly body: Buffer
 }
 
-/** What to ask. */
+/** A request and its limits. */
 export interface HttpQuestion {
   readonly method?: string
   readonly path: string
   readonly headers?: OutgoingHttpHeaders
   readonly body?: Buffer | string
-  /** Milliseconds without progress after which the request is given up. */
+  /** Milliseconds without activity on the connection after which the request fails. */
   readonly timeout?: number
+  /** The largest body of the answer in bytes. */
   readonly largest?: number
   readonly signal?: AbortSignal
-  /** Whether the connection is kept for the next request; it is unless this says no. */
+  /** Whether the connection is kept open for further requests; `true` by default. */
   readonly keepConnection?: boolean
-  /** Holds back reading, to keep a process to its share of the link. */
+  /** Delays reading, so that the process does not exceed its share of the link. */
   readonly pacer?: ReadPacer
 }
 
 const LARGEST_ANSWER = 64 * 1024 * 1024
+/** In milliseconds. */
 const DEFAULT_TIMEOUT = 2_000
 const connections = new Agent({ keepAlive: true, maxFreeSockets: 16 })
 
 /**
- * Asks and collects the whole answer.
+ * Sends a request and reads the complete answer.
  *
  * @throws DrumdriftError with a peer failure: `connection-lost`, `timed-out` or `oversized`.
  * @example
@@ -53,7 +55,7 @@
 }
 
 /**
- * Asks and returns as soon as the head of the answer is there.
+ * Sends a request and resolves as soon as the head of the answer is received.
  *
  * @throws DrumdriftError with a peer failure.
  */
@@ -74,14 +76,14 @@
     let length = 0
     response.on('data', (piece: Buffer) => {
       length += piece.length
-      if (length > largest) response.destroy(httpError('oversized', `answer of over ${largest} bytes`))
+      if (length > largest) response.destroy(httpError('oversized', `answer exceeds ${largest} bytes`))
       pieces.push(piece)
       const wait = pacer?.received(piece.length) ?? 0
       if (wait > 0) holdBack(response, wait)
     })
     response.on('end', () => resolve(Buffer.concat(pieces, length)))
     response.on('error', error => reject(error instanceof DrumdriftError ? error : httpError('connection-lost', error.message)))
-    response.on('close', () => { if (!response.complete) reject(httpError('connection-lost', 'answer cut off')) })
+    response.on('close', () => { if (!response.complete) reject(httpError('connection-lost', 'connection closed before the end of the answer')) })
   })
 }
 
--- a/packages/node/src/lib/platform/platform-client.ts
+++ b/packages/node/src/lib/platform/platform-client.ts
@@ -4,29 +4,29 @@
  * SPDX-License-Identifier: BSD-3-Clause
  */
 /**
- * Reads what the platform publishes: configuration, instance list, weight store and origin. Nothing is ever written
- * there. The paths are in docs/PROTOCOLS.md.
+ * Reads what the platform publishes: configuration, instance list, weight store and origin. Never writes to it. The paths
+ * are in docs/PROTOCOLS.md.
  */
 import type { Published, Topic } from '@drumdrift/core'
 import type { ReadPacer } from '../peer/connection.js'
 import { askHttp, type HttpAnswer } from './http-client.js'
 
-/** A source of weights on the platform. */
+/** A service of the platform that weights can be fetched from. */
 export type Upstream = 'store' | 'origin'
 
-/** Where weights come from when no peer has them. */
+/** Fetches weights from the platform when no peer has them. */
 export interface WeightsSource {
-  /** A chunk or manifest by digest, or nothing when it could not be had. Not verified. */
+  /** Returns the bytes of a chunk or manifest without verifying them, or `undefined` if they cannot be fetched. */
   weights (upstream: Upstream, kind: 'chunks' | 'manifests', digest: string, timeout: number, signal?: AbortSignal): Promise<Buffer | undefined>
 }
 
-/** Reads of the platform, as the rest of the system sees them. */
+/** The platform that a process reads from. */
 export interface Platform extends WeightsSource {
-  /** The newest document, or `unchanged` when there is none above `after`. */
+  /** Returns the newest document, or `unchanged` if its revision is not above `after`. */
   read (topic: Topic, after: number, watch: boolean): Promise<Published | 'unchanged' | 'unreachable'>
 }
 
-/** Addresses of the platform's services. */
+/** The addresses of the platform's services. */
 export interface PlatformAddresses {
   readonly configuration: string
   readonly instances: string
@@ -34,12 +34,13 @@
   readonly origin: string
 }
 
+/** The timeout of a read, in milliseconds; that of a watch is added to it. */
 const READ_TIMEOUT = 1_500
-/** How long the service may hold a watch, in milliseconds. */
+/** How long the service may hold the request of a watch open, in milliseconds. */
 const WATCH_WAIT = 2_500
 const LARGEST_DOCUMENT = 2 * 1024 * 1024
 
-/** The platform over HTTP. */
+/** A platform that is read over HTTP. */
 export class HttpPlatform implements Platform {
   constructor (private readonly _addresses: PlatformAddresses, private readonly _pacer?: ReadPacer) {}
 
--- a/packages/node/src/lib/request-fingerprint.ts
+++ b/packages/node/src/lib/request-fingerprint.ts
@@ -4,29 +4,29 @@
  * SPDX-License-Identifier: BSD-3-Clause
  */
 /**
- * What tells that two requests are the same though their ids differ: who sent them, where to, and what they hold. Callers name each
- * attempt anew, so without it a request that ends every endpoint looks like as many requests as there were attempts.
+ * Fingerprints identify equal requests whose ids differ by their organisation, method, path and body. Callers use a new id for each
+ * attempt; without fingerprints, a request that crashes every endpoint looks like as many different requests as it has attempts.
  */
 import { createHmac } from 'node:crypto'
 
-/** What a fingerprint is made of. */
+/** The parts of a request that determine its fingerprint. */
 export interface FingerprintParts {
-  /** Empty where callers have none. */
+  /** Empty if callers have no organisation. */
   readonly organisation: string
   readonly method: string
-  /** With the query. */
+  /** Includes the query. */
   readonly path: string
   readonly body: Buffer
 }
 
-/** Characters of a fingerprint: 64 bits, so that among a million requests two differing ones meet once in 37 million such crowds. */
+/** Hexadecimal characters of a fingerprint. With these 64 bits, one in 37 million sets of a million different requests has a collision. */
 const CHARACTERS = 16
 
 /**
- * The fingerprint of a request. It is keyed, since it is logged and told to other processes: without the key nobody can find out a
- * body by trying.
+ * Returns the fingerprint of a request. It is keyed, since it is logged and sent to other processes: without the key, nobody can find
+ * out the body of a request by brute force.
  *
- * @param key What the processes of a deployment share.
+ * @param key The secret that the processes of a deployment share.
  * @example
  * const fingerprint = fingerprintOf('key', { method: 'POST', path: '/draft', body, organisation })
  */
--- a/packages/node/src/lib/run-daemon.ts
+++ b/packages/node/src/lib/run-daemon.ts
@@ -4,37 +4,37 @@
  * SPDX-License-Identifier: BSD-3-Clause
  */
 /**
- * Starts a daemon and stops it in order: SIGTERM and SIGINT end what runs and take nothing new. A fault that nobody
- * caught is logged; it never ends the process, since what was going well should go on.
+ * Starts a daemon and shuts it down gracefully: on SIGTERM and SIGINT, it admits nothing new and running requests finish.
+ * Uncaught errors are logged and never end the process, so that unaffected requests go on.
  */
 import { watchFile, unwatchFile } from 'node:fs'
 import { DrumdriftError } from '@drumdrift/core'
 import { Log, type LogLevel } from './observe/log.js'
 import { readSettings, type Settings } from './settings/settings.js'
 
-/** Exit code when an address cannot be listened on. */
+/** Exit code if the daemon cannot start, for instance because it cannot listen at its address. */
 const EXIT_NOT_STARTED = 3
 
-/** The last lines get so long to be written before the process ends, in milliseconds. */
+/** How long the process waits at most for the last log lines to be written before it ends, in milliseconds. */
 const FLUSH_PATIENCE = 200
 
-/** A settings file that changes without a signal is noticed within this, in milliseconds. */
+/** How often the settings file is checked for changes, in milliseconds. */
 const SETTINGS_PAUSE = 1_000
 
-/** A daemon as the runner sees it. */
+/** A process that can be started and stopped. */
 export interface Daemon {
   start (): Promise<void>
-  /** Stops in order. Returns the number of requests that were cut off. */
+  /** Drains and stops. Returns the number of requests that were cut off. */
   stop (): Promise<number>
 }
 
-/** Makes a daemon from checked settings. The last argument lets the daemon ask to be stopped. */
+/** Creates a daemon from validated settings. The daemon may call `stop` to stop itself. */
 export type DaemonMaker = (settings: Settings, log: Log, stop: () => void) => Daemon
 
 /**
- * Runs a daemon until it is told to stop.
+ * Runs a daemon until it is stopped.
  *
- * @param file Where the settings came from: read again on SIGHUP and when it changes; empty for never.
+ * @param file The settings file, which is read again on SIGHUP and when it changes; empty for never.
  * @example
  * await runDaemon(readSettings('agent.ini', 'agent'), ownDaemons.agent)
  */
@@ -69,7 +69,7 @@
 }
 
 /**
- * Reads a settings file again and takes it if it is right; if not, what is in force stays.
+ * Reads a settings file again and applies it if it is valid. Otherwise, the current settings stay in force.
  *
  * @example
  * process.on('SIGHUP', () => reloadSettings(settings, file, log))
--- a/packages/node/src/lib/spread-runner.ts
+++ b/packages/node/src/lib/spread-runner.ts
@@ -4,7 +4,7 @@
  * SPDX-License-Identifier: BSD-3-Clause
  */
 /**
- * Carries out what the spread of published documents decides, for either role: reads of the platform, comparisons
+ * Carries out the effects of the spread of published documents, for either role: reads from the platform, comparisons
  * with peers and pushes to them.
  */
 import { Spread, type SpreadEffect, type SpreadSelf, type Topic, type PeerRequest } from '@drumdrift/core'
@@ -14,7 +14,7 @@
 import type { PeerPool } from './peer/pool.js'
 import type { Platform } from './platform/platform-client.js'
 
-/** What the runner works with. */
+/** What a spread runner uses. */
 export interface SpreadRunnerParts {
   readonly self: SpreadSelf
   readonly platform: Platform
@@ -24,10 +24,12 @@
   readonly onAdopted: (topic: Topic) => void
 }
 
+/** The interval of ticks, in milliseconds. */
 const TICK = 100
+/** The timeout of comparisons and pushes, in milliseconds. */
 const COMPARE_TIMEOUT = 1_000
 
-/** Published documents as one process holds them. */
+/** Holds the published documents of one process and exchanges them with peers. */
 export class SpreadRunner {
   readonly spread: Spread
   private readonly _timer: NodeJS.Timeout
@@ -39,7 +41,7 @@
 
   close (): void { clearInterval(this._timer) }
 
-  /** Answers a peer's comparison. */
+  /** Answers a peer's comparison. If this process is behind the peer, compares in turn. */
   compared (request: Extract<PeerRequest, { type: 'compare' }>, responder: Responder): void {
     const now = performance.now()
     const { reply, behind } = this.spread.compared(request.note, now)
@@ -47,7 +49,7 @@
     if (behind) this._compare(request.address)
   }
 
-  /** Takes what a peer pushed. */
+  /** Receives the documents that a peer pushed. */
   pushed (request: Extract<PeerRequest, { type: 'push' }>, responder: Responder): void {
     this._carryOut(this.spread.received(request.documents, 'pushed', performance.now()))
     responder.send({ type: 'done' })
--- a/packages/node/src/lib/spread-self.ts
+++ b/packages/node/src/lib/spread-self.ts
@@ -3,12 +3,12 @@
  * Copyright 2026 the drumdrift contributors
  * SPDX-License-Identifier: BSD-3-Clause
  */
-/** Where a process stands, from its settings. */
+/** Derives the identity of a process in the spread of documents from its settings. */
 import type { SpreadSelf } from '@drumdrift/core'
 import type { Settings } from './settings/settings.js'
 
 /**
- * The part of the settings that the spread of documents needs.
+ * Returns the settings that the spread of documents needs.
  *
  * @example
  * const spread = new Spread(spreadSelf(settings), Math.random, performance.now())
--- a/packages/node/src/test/lib/agent/manifest-source_test.ts
+++ b/packages/node/src/test/lib/agent/manifest-source_test.ts
@@ -28,15 +28,15 @@
 
 describe('ManifestSource', () => {
   const cases: [name: string, rank: number, peer: Peer, platform: string | undefined, waited: number, asked: string[], expected: string | undefined, problem: string | undefined][] = [
-    ['the first member asks the platform at once', 0, 'gives', IDENTITY, 0, ['origin'], IDENTITY, undefined],
-    ['the next ones ask the first', 8, 'gives', IDENTITY, 0, [names[0] ?? ''], IDENTITY, undefined],
-    ['those behind them ask the next ones', 9, 'gives', IDENTITY, 0, [names[1] ?? ''], IDENTITY, undefined],
-    ['a member whose parent has none waits for its rank', 8, 'has none', IDENTITY, 159, [names[0] ?? ''], undefined, undefined],
-    ['and asks the platform after that', 8, 'has none', IDENTITY, 160, [names[0] ?? '', 'origin'], IDENTITY, undefined],
-    ['so does one whose parent is silent', 8, 'is silent', IDENTITY, 160, [names[0] ?? '', 'origin'], IDENTITY, undefined],
-    ['another manifest is not taken from a peer', 1, 'gives another', IDENTITY, 20, [names[0] ?? '', 'origin'], IDENTITY, undefined],
-    ['nor from the platform', 0, 'gives', 'm@1', 0, ['origin', 'store'], undefined, 'digest-mismatch'],
-    ['that nobody has it is told', 0, 'gives', undefined, 0, ['origin', 'store'], undefined, 'unavailable']
+    ['the first member requests it from the platform immediately', 0, 'gives', IDENTITY, 0, ['origin'], IDENTITY, undefined],
+    ['members of the second level request it from the first member', 8, 'gives', IDENTITY, 0, [names[0] ?? ''], IDENTITY, undefined],
+    ['members of the third level request it from the second level', 9, 'gives', IDENTITY, 0, [names[1] ?? ''], IDENTITY, undefined],
+    ['a member whose parent has no manifest waits for the delay of its rank', 8, 'has none', IDENTITY, 159, [names[0] ?? ''], undefined, undefined],
+    ['a member whose parent has no manifest requests it from the platform after the delay', 8, 'has none', IDENTITY, 160, [names[0] ?? '', 'origin'], IDENTITY, undefined],
+    ['a member whose parent does not reply requests it from the platform after the delay', 8, 'is silent', IDENTITY, 160, [names[0] ?? '', 'origin'], IDENTITY, undefined],
+    ['a manifest from a peer that does not match is rejected', 1, 'gives another', IDENTITY, 20, [names[0] ?? '', 'origin'], IDENTITY, undefined],
+    ['a manifest from the platform that does not match is rejected and reported', 0, 'gives', 'm@1', 0, ['origin', 'store'], undefined, 'digest-mismatch'],
+    ['a manifest that no source has is reported as unavailable', 0, 'gives', undefined, 0, ['origin', 'store'], undefined, 'unavailable']
   ]
   for (const [name, rank, peer, platform, waited, asked, expected, problem] of cases) {
     it(name, async () => {
--- a/packages/node/src/test/lib/agent/request-runner_test.ts
+++ b/packages/node/src/test/lib/agent/request-runner_test.ts
@@ -3,9 +3,9 @@
  * Copyright 2026 the drumdrift contributors
  * SPDX-License-Identifier: BSD-3-Clause
  */
-// An endpoint in need names the requests a second that it takes, asks for rest, or says that it leaves. Agents passed its answers on and
-// read nothing of them, so that it got all that entries had for it: 40 of 40 requests in one go where 1.1 a second were named, 40 after
-// it had asked for 5 s of rest, and 40 after it had said that it leaves. The door of an agent knew of slots and switches alone.
+// Guards against an agent that forwards an endpoint's answers without reading its notices: a limit in requests a second, a rest, or that
+// it is leaving. Admission then considers only slots and switches, and all 40 of 40 requests reach the endpoint at once: with a limit of
+// 1.1 a second, after it asked for 5 s of rest, and after it announced that it leaves.
 import assert from 'node:assert/strict'
 import { createServer, type Server, type ServerResponse } from 'node:http'
 import type { AddressInfo } from 'node:net'
@@ -23,7 +23,7 @@
 const ATTEMPTS = 40
 const log = new Log('debug', { role: 'test' }, new BoundedOutput(1, 1_000_000, (_descriptor, bytes, callback) => { callback(null, bytes.length) }))
 
-describe('RequestRunner, where the endpoint asks for less', () => {
+describe('RequestRunner with an endpoint that limits its requests', () => {
   let endpoint: Server
   let arrivals: number
   let answer: (response: ServerResponse) => void
@@ -49,7 +49,7 @@
     endpoint.closeAllConnections()
   })
 
-  /** Runs one request if the door lets it in. */
+  /** Runs one request if it is admitted. */
   async function attempt (): Promise<void> {
     const admission = door.run(performance.now())
     if (admission.type !== 'admitted') return
@@ -61,15 +61,15 @@
   }
 
   const cases: [name: string, status: number, headers: Record<string, string>, most: number][] = [
-    ['names a limit', 200, { 'x-request-limit': '1.1' }, 3],
-    ['asks for rest', 503, { 'retry-after': '5' }, 1],
-    ['says that it leaves', 200, { 'x-leaving': '1' }, 1]
+    ['announces a limit', 200, { 'x-request-limit': '1.1' }, 3],
+    ['asks for a rest', 503, { 'retry-after': '5' }, 1],
+    ['announces that it leaves', 200, { 'x-leaving': '1' }, 1]
   ]
   for (const [name, code, headers, most] of cases) {
-    it(`sends it no more than it wants: it ${name}`, async () => {
+    it(`sends no more requests than allowed when the endpoint ${name}`, async () => {
       answer = response => { response.writeHead(code, headers).end('answer') }
       for (let count = 0; count < ATTEMPTS; count += 1) await attempt()
-      assert.ok(arrivals <= most, `${arrivals} requests reached it`)
+      assert.ok(arrivals <= most, `${arrivals} requests reached the endpoint`)
     })
   }
 })
--- a/packages/node/src/test/lib/reload_test.ts
+++ b/packages/node/src/test/lib/reload_test.ts
@@ -20,9 +20,9 @@
 
 describe('reloadSettings', () => {
   const cases: [name: string, text: string, event: string, level: string][] = [
-    ['takes a changed file', `${good}\n`.replace('[process]', '[process]\nlog-level = error'), 'settings-reloaded', 'error'],
-    ['keeps what is in force when the file is wrong', good.replace('[process]', '[process]\nlog-level = loud'), 'settings-refused', 'info'],
-    ['keeps what is in force when the file is empty', '', 'settings-refused', 'info']
+    ['applies a changed file', `${good}\n`.replace('[process]', '[process]\nlog-level = error'), 'settings-reloaded', 'error'],
+    ['keeps the current settings if the file is invalid', good.replace('[process]', '[process]\nlog-level = loud'), 'settings-refused', 'info'],
+    ['keeps the current settings if the file is empty', '', 'settings-refused', 'info']
   ]
   for (const [name, text, event, level] of cases) {
     it(name, () => {
@@ -37,7 +37,7 @@
     })
   }
 
-  it('names what changed', () => {
+  it('returns the names of the changed settings', () => {
     writeFileSync(file, good)
     const settings = readSettings(file, 'entry')
     writeFileSync(file, good.replace('[process]', '[process]\nstop-patience-seconds = 7'))
