--- a/packages/node/src/lib/agent/agent-requests.ts
+++ b/packages/node/src/lib/agent/agent-requests.ts
@@ -16,10 +16,10 @@
 import type { WeightsKeeper } from './weights-keeper.js'
 
 /** What the handlers use. */
-export interface AgentRequestsParts {
+export interface AgentRequestsDependencies {
   readonly instance: string
   readonly endpoint: string
-  readonly door: AdmissionDoor
+  readonly admissionController: AdmissionDoor
   readonly keeper: ClaimKeeper
   readonly spread: SpreadRunner
   readonly chunks: ChunkServer
@@ -35,7 +35,7 @@
 
 /** Handles the messages that one agent receives. */
 export class AgentRequests {
-  constructor (private readonly _parts: AgentRequestsParts) {}
+  constructor (private readonly _dependencies: AgentRequestsDependencies) {}
 
   /** Answers a message. Refuses a message of an unknown type. */
   handle (request: PeerRequest, payload: Buffer, responder: Responder): void {
@@ -56,48 +56,48 @@
     limits: (_request, _payload, responder) => responder.send({ type: 'refused', reason: 'not-supported', detail: 'this agent enforces the limit of its endpoint itself' }),
     ping: (_request, _payload, responder) => responder.send({ type: 'done' }),
     'follow-chunks': (_request, _payload, responder) => responder.send({ type: 'refused', reason: 'not-supported', detail: 'this agent has no subscriptions to chunks; request a chunk with a wait' }),
-    compare: (request, _payload, responder) => this._parts.spread.compared(request, responder),
-    push: (request, _payload, responder) => this._parts.spread.pushed(request, responder),
-    chunk: ({ digest, wait }, _payload, responder) => { this._parts.chunks.serve(String(digest), Number(wait) || 0, responder) },
+    compare: (request, _payload, responder) => this._dependencies.spread.compared(request, responder),
+    push: (request, _payload, responder) => this._dependencies.spread.pushed(request, responder),
+    chunk: ({ digest, wait }, _payload, responder) => { this._dependencies.chunks.serve(String(digest), Number(wait) || 0, responder) },
     manifest: ({ digest, wait }, _payload, responder) => { this._manifest(String(digest), Number(wait) || 0, responder) },
     offer: ({ endpoint }, _payload, responder) => this._offer(endpoint, responder),
     claim: ({ organisation, id, attempt, bodyDigest }, _payload, responder) => {
-      const reply = this._parts.keeper.claim(String(organisation), String(id), String(attempt), String(bodyDigest), performance.now())
+      const reply = this._dependencies.keeper.claim(String(organisation), String(id), String(attempt), String(bodyDigest), performance.now())
       responder.send({ type: 'claimed', reply })
     },
     issue: (_request, _payload, responder) => {
-      const { incarnation } = this._parts.door
-      responder.send({ type: 'issued', keeper: { instance: this._parts.instance, incarnation, at: performance.now() } })
+      const { incarnation } = this._dependencies.admissionController
+      responder.send({ type: 'issued', keeper: { instance: this._dependencies.instance, incarnation, at: performance.now() } })
     },
     release: ({ organisation, id, attempt }, _payload, responder) => {
-      this._parts.keeper.release(organisation, id, attempt)
+      this._dependencies.keeper.release(organisation, id, attempt)
       responder.send({ type: 'done' })
     },
     run: (request, payload, responder) => this._run(request, payload, responder),
     go: ({ ticket, request }, payload, responder) => {
-      const admission = this._parts.door.go(ticket, performance.now())
-      responder.send({ type: 'admitted', admission, status: this._parts.endpointStatus() })
-      if (admission.type === 'admitted') this._parts.runner.start(admission.run, request, payload, responder)
+      const admission = this._dependencies.admissionController.go(ticket, performance.now())
+      responder.send({ type: 'admitted', admission, status: this._dependencies.endpointStatus() })
+      if (admission.type === 'admitted') this._dependencies.runner.start(admission.run, request, payload, responder)
     },
-    cancel: ({ ticket }, _payload, responder) => responder.send({ type: 'cancelled', reply: this._parts.door.cancel(ticket) }),
+    cancel: ({ ticket }, _payload, responder) => responder.send({ type: 'cancelled', reply: this._dependencies.admissionController.cancel(ticket) }),
     'hang-up': ({ call }, _payload, responder) => {
-      this._parts.runner.hangUp(responder.connection, call)
+      this._dependencies.runner.abortCall(responder.connection, call)
       responder.send({ type: 'done' })
     },
-    progress: ({ digest }, _payload, responder) => responder.send({ type: 'progress', progress: this._parts.switcher.progress(digest) }),
-    status: (_request, _payload, responder) => responder.send({ type: 'status', status: this._parts.processStatus() }),
+    progress: ({ digest }, _payload, responder) => responder.send({ type: 'progress', progress: this._dependencies.switcher.progress(digest) }),
+    status: (_request, _payload, responder) => responder.send({ type: 'status', status: this._dependencies.processStatus() }),
     leave: (request, _payload, responder) => this._leave(request, responder)
   }
 
   private async _manifest (digest: string, wait: number, responder: Responder): Promise<void> {
-    const bytes = await this._parts.weights.manifest(digest, wait)
+    const bytes = await this._dependencies.weights.manifest(digest, wait)
     if (bytes === undefined) responder.send({ type: 'no-chunk', reason: 'not-held' })
     else responder.send({ type: 'manifest', digest }, bytes)
   }
 
   private _offer (endpoint: string, responder: Responder): void {
-    const status = this._parts.endpointStatus()
-    const reply = endpoint === this._parts.endpoint ? this._parts.door.offer(performance.now()) : { type: 'refused', reason: 'not-serving' } as const
+    const status = this._dependencies.endpointStatus()
+    const reply = endpoint === this._dependencies.endpoint ? this._dependencies.admissionController.offer(performance.now()) : { type: 'refused', reason: 'not-serving' } as const
     responder.send({ type: 'offered', reply, status })
   }
 
@@ -106,22 +106,22 @@
    * version that the engine does not serve.
    */
   private _run ({ endpoint, request }: Extract<PeerRequest, { type: 'run' }>, payload: Buffer, responder: Responder): void {
-    const status = this._parts.endpointStatus()
-    const fits = endpoint === this._parts.endpoint && (request.version === '' || request.version === status.version)
-    const admission = fits ? this._parts.door.run(performance.now()) : { type: 'refused', reason: 'not-serving' } as const
-    responder.send({ type: 'admitted', admission, status: this._parts.endpointStatus() })
-    if (admission.type === 'admitted') this._parts.runner.start(admission.run, request, payload, responder)
+    const status = this._dependencies.endpointStatus()
+    const matches = endpoint === this._dependencies.endpoint && (request.version === '' || request.version === status.version)
+    const admission = matches ? this._dependencies.admissionController.run(performance.now()) : { type: 'refused', reason: 'not-serving' } as const
+    responder.send({ type: 'admitted', admission, status: this._dependencies.endpointStatus() })
+    if (admission.type === 'admitted') this._dependencies.runner.start(admission.run, request, payload, responder)
   }
 
   /** Refuses an order to another incarnation, so that a late order does not affect the replacement process. */
   private _leave ({ incarnation, lifecycle, operator }: Extract<PeerRequest, { type: 'leave' }>, responder: Responder): void {
-    const { door, log } = this._parts
-    if (incarnation !== door.incarnation) {
-      responder.send({ type: 'refused', reason: 'wrong-incarnation', detail: `the incarnation of this process is ${door.incarnation}` })
+    const { admissionController, log } = this._dependencies
+    if (incarnation !== admissionController.incarnation) {
+      responder.send({ type: 'refused', reason: 'wrong-incarnation', detail: `the incarnation of this process is ${admissionController.incarnation}` })
       return
     }
-    const moved = door.leave(lifecycle)
+    const moved = admissionController.leave(lifecycle)
     log.info('leave-ordered', { operator, lifecycle, moved })
-    responder.send({ type: 'left', lifecycle: door.lifecycle })
+    responder.send({ type: 'left', lifecycle: admissionController.lifecycle })
   }
 }
--- a/packages/node/src/lib/agent/agent.ts
+++ b/packages/node/src/lib/agent/agent.ts
@@ -37,21 +37,21 @@
 const GIBIBYTE = 1024 * MEBIBYTE
 const DEFAULT_SLOTS = 8
 /** Time to send the last frames before the process ends, in milliseconds. */
-const FLUSH_PAUSE = 100
+const FLUSH_DELAY = 100
 
 /** An agent process. */
 export class AgentProcess {
   readonly incarnation: string
   private readonly _name: string
   private readonly _endpoint: string
-  private readonly _model: boolean
+  private readonly _servesModel: boolean
   private readonly _self: ChunkMember
   private readonly _counters = new Counters()
   private readonly _traffic: Traffic = { sent: 0, received: 0 }
   private readonly _histograms = new Histograms()
   private readonly _pacer: LinkPacer
-  private readonly _door: AdmissionDoor
-  private readonly _keeper: ClaimKeeper
+  private readonly _admissionController: AdmissionDoor
+  private readonly _claimKeeper: ClaimKeeper
   private readonly _pool: PeerPool
   private readonly _server: PeerServer
   private readonly _spread: SpreadRunner
@@ -63,7 +63,7 @@
   private readonly _metrics: MetricsServer | undefined
   private _members: readonly InstanceRecord[] = []
   private _addresses: ReadonlyMap<string, string> = new Map()
-  private _wantedSince = performance.now()
+  private _desiredSince = performance.now()
 
   /**
    * @param _onReplaced Called when another agent has taken the engine over; this process must then stop.
@@ -72,14 +72,14 @@
     this._name = this._text('process', 'instance')
     this.incarnation = `${this._name}.${randomBytes(6).toString('hex')}`
     this._endpoint = this._text('endpoint', 'name')
-    this._model = this._text('endpoint', 'kind') === 'model'
+    this._servesModel = this._text('endpoint', 'kind') === 'model'
     this._self = { instance: this._name, availabilityZone: this._text('process', 'availability-zone') }
     this._pacer = new LinkPacer(this._number('weights', 'link-megabytes-per-second') * MEBIBYTE, performance.now())
     const readPacer = { received: (bytes: number): number => this._pacer.received(bytes, performance.now()) }
     const notices = new EndpointNotices(new EndpointLimits(() => 1, () => 0))
-    this._door = new AdmissionDoor(this.incarnation, DEFAULT_SLOTS, notices, this._endpoint)
-    this._door.setServing(!this._model)
-    this._keeper = this._newKeeper()
+    this._admissionController = new AdmissionDoor(this.incarnation, DEFAULT_SLOTS, notices, this._endpoint)
+    this._admissionController.setServing(!this._servesModel)
+    this._claimKeeper = this._newClaimKeeper()
     this._pool = new PeerPool({ instance: this._name, key: this._text('peers', 'key') }, this._traffic, readPacer)
     const platform = this._newPlatform(readPacer)
     const engine = new HttpEngine(this._text('endpoint', 'address'))
@@ -89,17 +89,17 @@
     })
     this._weights = this._newWeights(platform, engine)
     this._switcher = this._newSwitcher(engine)
-    if (!this._model) this._switcher.close()
+    if (!this._servesModel) this._switcher.close()
     this._runner = new RequestRunner({
       endpointAddress: this._text('endpoint', 'address'),
       endpoint: this._endpoint,
       notices,
       noticeLog: new NoticeLog(_log, this._counters),
-      door: this._door,
+      admissionController: this._admissionController,
       pacer: this._pacer,
       counters: this._counters,
       status: () => this._endpointStatus(),
-      fence: () => this._model ? this._switcher.fence : 0
+      fence: () => this._servesModel ? this._switcher.fence : 0
     })
     this._chunks = new ChunkServer(this._store, this._pacer, digest => this._weights.expects(digest))
     this._server = this._newServer()
@@ -109,7 +109,7 @@
 
   /** Reads which chunks the engine has staged and starts to listen. */
   async start (): Promise<void> {
-    if (this._model) await this._store.recover()
+    if (this._servesModel) await this._store.recover()
     await this._server.listen()
     await this._metrics?.listen()
     this._log.info('agent-started', { incarnation: this.incarnation, endpoint: this._endpoint, staged: this._store.staged.size })
@@ -121,13 +121,13 @@
    * @returns The number of requests that were still running after that time and were cut off.
    */
   async stop (): Promise<number> {
-    this._door.leave('draining')
-    this._log.info('agent-draining', { running: this._door.running })
-    const patience = this._number('process', 'stop-patience-seconds') * 1000
-    await Promise.race([this._runner.idle(), new Promise(resolve => setTimeout(resolve, patience).unref())])
-    const cut = this._door.running
-    this._door.leave('stopped')
-    await new Promise(resolve => setTimeout(resolve, FLUSH_PAUSE))
+    this._admissionController.leave('draining')
+    this._log.info('agent-draining', { running: this._admissionController.running })
+    const drainTimeout = this._number('process', 'stop-patience-seconds') * 1000
+    await Promise.race([this._runner.idle(), new Promise(resolve => setTimeout(resolve, drainTimeout).unref())])
+    const cut = this._admissionController.running
+    this._admissionController.leave('stopped')
+    await new Promise(resolve => setTimeout(resolve, FLUSH_DELAY))
     this._close()
     this._log.info('agent-stopped', { cut })
     return cut
@@ -144,15 +144,15 @@
       role: 'agent',
       endpoint: this._endpoint,
       incarnation: this.incarnation,
-      lifecycle: this._door.lifecycle,
+      lifecycle: this._admissionController.lifecycle,
       revisions,
       ages,
       wanted: this._weights.wanted,
       version: this._switcher.engine?.version ?? '',
-      state: this._stateWord(),
+      state: this._processState(),
       progress: this._weights.progress,
-      running: this._door.running,
-      slots: this._door.slots,
+      running: this._admissionController.running,
+      slots: this._admissionController.slots,
       cost: readCost(this._traffic),
       detail: this._weights.problem?.detail ?? ''
     }
@@ -161,7 +161,7 @@
   private _text (section: string, key: string): string { return this._settings.text(section, key) }
   private _number (section: string, key: string): number { return this._settings.number(section, key) }
 
-  private _newKeeper (): ClaimKeeper {
+  private _newClaimKeeper (): ClaimKeeper {
     return new ClaimKeeper(this.incarnation, {
       repeatWindow: this._number('requests', 'repeat-window-seconds') * 1000,
       recordsPerOrganisation: this._number('requests', 'records-per-organisation')
@@ -187,7 +187,7 @@
       members: () => this._members,
       addressOf: instance => this._addresses.get(instance),
       onWhole: () => {
-        this._recordSince('transfer')
+        this._recordElapsed('transfer')
         this._switcher.poll()
       }
     })
@@ -201,14 +201,14 @@
     return new Switcher({
       instance: this._name,
       engine,
-      door: this._door,
+      admissionController: this._admissionController,
       pool: this._pool,
       log: this._log,
-      situation: () => ({ target: this._target(), wholeDigest: this._weights.wholeDigest, members: this._members, knownDigests: this._knownDigests() }),
+      switchInputs: () => ({ target: this._switchTarget(), wholeDigest: this._weights.wholeDigest, members: this._members, knownDigests: this._configuredDigests() }),
       onReplaced: () => { this._onReplaced() },
-      confirmWhole: () => this._weights.confirmWhole(),
+      confirmComplete: () => this._weights.confirmWhole(),
       onServing: (_digest, fence) => {
-        this._recordSince('time-to-serve')
+        this._recordElapsed('time-to-serve')
         this._weights.dropOthers(fence)
       }
     })
@@ -218,8 +218,8 @@
     const requests = new AgentRequests({
       instance: this._name,
       endpoint: this._endpoint,
-      door: this._door,
-      keeper: this._keeper,
+      admissionController: this._admissionController,
+      keeper: this._claimKeeper,
       spread: this._spread,
       chunks: this._chunks,
       weights: this._weights,
@@ -255,24 +255,24 @@
     this._addresses = new Map(instances.map(record => [record.instance, record.address]))
     this._members = instances.filter(record => record.role === 'agent' && record.endpoint === this._endpoint && record.state === 'live')
     const listed = instances.find(record => record.instance === this._name)
-    if (listed !== undefined) this._keeper.listed(performance.now())
+    if (listed !== undefined) this._claimKeeper.listed(performance.now())
     const leaving = listed?.state === 'leaving' || configuration?.draining.includes(this._name) === true
-    if (leaving && this._door.leave('draining')) this._log.info('agent-draining', { running: this._door.running })
+    if (leaving && this._admissionController.leave('draining')) this._log.info('agent-draining', { running: this._admissionController.running })
     if (configuration === undefined) return
     const slots = configuration.pools[this._endpoint]?.slots ?? configuration.services[this._endpoint]?.slots ?? DEFAULT_SLOTS
-    this._door.setSlots(slots)
-    this._want()
+    this._admissionController.setSlots(slots)
+    this._updateDesiredVersion()
   }
 
-  private _want (): void {
+  private _updateDesiredVersion (): void {
     const { configuration, instances } = this._spread.spread
     const digest = configuration === undefined ? undefined : wantedDigest(configuration, this._endpoint)
-    if (digest === undefined || instances.length === 0 || !this._model) return
-    if (digest !== this._weights.wanted) this._wantedSince = performance.now()
+    if (digest === undefined || instances.length === 0 || !this._servesModel) return
+    if (digest !== this._weights.wanted) this._desiredSince = performance.now()
     this._weights.want(digest, configuration?.pools[this._endpoint]?.originCopies ?? 1)
   }
 
-  private _target (): SwitchTarget | undefined {
+  private _switchTarget (): SwitchTarget | undefined {
     const { spread } = this._spread
     const pool = spread.configuration?.pools[this._endpoint]
     const manifestDigest = this._weights.wanted
@@ -280,7 +280,7 @@
     return { manifestDigest, switchFraction: pool.switchFraction }
   }
 
-  private _knownDigests (): ReadonlySet<string> {
+  private _configuredDigests (): ReadonlySet<string> {
     const { configuration } = this._spread.spread
     const model = configuration?.pools[this._endpoint]?.model
     return new Set(Object.values(configuration?.models[model ?? '']?.versions ?? {}))
@@ -288,22 +288,22 @@
 
   private _endpointStatus (): EndpointStatus {
     const version = this._switcher.engine?.version ?? ''
-    const { lifecycle, running, slots, serving, switching } = this._door
+    const { lifecycle, running, slots, serving, switching } = this._admissionController
     return { incarnation: this.incarnation, lifecycle, version, serving: serving && !switching, running, slots }
   }
 
-  private _stateWord (): ProcessStatus['state'] {
+  private _processState (): ProcessStatus['state'] {
     if (this._switcher.failed !== '' && this._switcher.failed === this._weights.wanted) return 'failed'
     if (this._switcher.halted) return 'halted'
-    if (this._door.switching) return 'switching'
-    if (!this._model) return 'serving'
+    if (this._admissionController.switching) return 'switching'
+    if (!this._servesModel) return 'serving'
     const version = this._switcher.engine?.version ?? ''
     if (version !== '' && version === this._weights.wanted) return 'serving'
     if (this._weights.wholeDigest !== '') return 'whole'
     return this._weights.wanted === '' ? 'empty' : 'fetching'
   }
 
-  private _recordSince (measure: 'transfer' | 'time-to-serve'): void {
-    this._histograms.record({ measure, organisation: 'all', requestClass: this._endpoint }, performance.now() - this._wantedSince)
+  private _recordElapsed (measure: 'transfer' | 'time-to-serve'): void {
+    this._histograms.record({ measure, organisation: 'all', requestClass: this._endpoint }, performance.now() - this._desiredSince)
   }
 }
--- a/packages/node/src/lib/agent/arrivals.ts
+++ b/packages/node/src/lib/agent/arrivals.ts
@@ -30,7 +30,7 @@
   }
 
   /** Resolves all waits for a digest. */
-  arrived (digest: string): void {
+  notify (digest: string): void {
     for (const done of [...this._waiters.get(digest) ?? []]) done()
   }
 }
--- a/packages/node/src/lib/agent/chunk-fetch.ts
+++ b/packages/node/src/lib/agent/chunk-fetch.ts
@@ -9,7 +9,7 @@
 import type { PeerPool } from '../peer/pool.js'
 
 /** The bytes of a chunk, or the reason why a peer did not send them. */
-export type PeerChunk = Buffer | 'unreachable' | 'not-yet' | 'not-held' | 'timed-out'
+export type PeerChunkResult = Buffer | 'unreachable' | 'not-yet' | 'not-held' | 'timed-out'
 
 /** A request for one chunk. */
 export interface ChunkRequest {
@@ -19,7 +19,7 @@
   readonly wait: number
   readonly signal: AbortSignal
   /** Called for each keepalive: the peer has the chunk queued or waits for it. */
-  readonly onComing: () => void
+  readonly onPending: () => void
   /** Called with the connection that the chunk is requested over. */
   readonly onConnection: (connection: PeerConnection) => void
 }
@@ -30,7 +30,7 @@
  * @example
  * const chunk = await fetchChunk(pool, { address, digest, wait: 1_000, signal, onComing: () => {}, onConnection: () => {} })
  */
-export async function fetchChunk (pool: PeerPool, { address, digest, wait, signal, onComing, onConnection }: ChunkRequest): Promise<PeerChunk> {
+export async function fetchChunk (pool: PeerPool, { address, digest, wait, signal, onPending: onComing, onConnection }: ChunkRequest): Promise<PeerChunkResult> {
   let connection
   try {
     connection = await pool.connection(address, { purpose: 'bulk' })
@@ -47,7 +47,7 @@
       },
       lost: () => finish('unreachable')
     })
-    const finish = (chunk: PeerChunk): void => {
+    const finish = (chunk: PeerChunkResult): void => {
       connection.forget(call)
       signal.removeEventListener('abort', abandon)
       resolve(chunk)
@@ -57,7 +57,7 @@
   })
 }
 
-function readReply (reply: PeerReply, payload: Buffer): PeerChunk {
+function readReply (reply: PeerReply, payload: Buffer): PeerChunkResult {
   if (reply.type === 'chunk') return payload
   return reply.type === 'no-chunk' && reply.reason === 'not-held' ? 'not-held' : 'not-yet'
 }
--- a/packages/node/src/lib/agent/chunk-store.ts
+++ b/packages/node/src/lib/agent/chunk-store.ts
@@ -12,15 +12,15 @@
 
 /** The chunks that one agent holds. */
 export class ChunkStore {
-  private readonly _recent = new Map<string, Buffer>()
+  private readonly _cache = new Map<string, Buffer>()
   private readonly _staged = new Set<string>()
   private readonly _arrivals = new Arrivals()
-  private _bytes = 0
+  private _cachedBytes = 0
 
   /**
-   * @param _limit Bytes that this process may cache.
+   * @param _cacheLimit Bytes that this process may cache.
    */
-  constructor (private readonly _engine: ChunkStaging, private readonly _limit: number) {}
+  constructor (private readonly _engine: ChunkStaging, private readonly _cacheLimit: number) {}
 
   /** Digests of the chunks that the engine holds. */
   get staged (): ReadonlySet<string> { return this._staged }
@@ -37,8 +37,8 @@
    * @returns Whether the engine accepted it.
    */
   async keep (digest: string, bytes: Buffer): Promise<boolean> {
-    this._remember(digest, bytes)
-    this._arrivals.arrived(digest)
+    this._cacheChunk(digest, bytes)
+    this._arrivals.notify(digest)
     const staged = await this._engine.stage('chunks', digest, bytes)
     if (staged) this._staged.add(digest)
     return staged
@@ -46,17 +46,17 @@
 
   /** Returns a chunk, or `undefined` if it is not held. */
   async get (digest: string): Promise<Buffer | undefined> {
-    const recent = this._recent.get(digest)
+    const recent = this._cache.get(digest)
     if (recent !== undefined) return recent
     if (!this._staged.has(digest)) return undefined
     const bytes = await this._engine.readBack('chunks', digest)
     if (bytes === undefined) this._staged.delete(digest)
-    else this._remember(digest, bytes)
+    else this._cacheChunk(digest, bytes)
     return bytes
   }
 
   has (digest: string): boolean {
-    return this._recent.has(digest) || this._staged.has(digest)
+    return this._cache.has(digest) || this._staged.has(digest)
   }
 
   /** Waits up to `wait` milliseconds until a chunk is held. Returns whether it is. */
@@ -67,22 +67,22 @@
   }
 
   /** Drops staged chunks that are not among the given digests. */
-  async dropExcept (wanted: ReadonlySet<string>, fence: number): Promise<void> {
+  async dropExcept (kept: ReadonlySet<string>, fence: number): Promise<void> {
     for (const digest of [...this._staged]) {
-      if (wanted.has(digest)) continue
+      if (kept.has(digest)) continue
       this._staged.delete(digest)
       await this._engine.drop(digest, fence)
     }
   }
 
-  private _remember (digest: string, bytes: Buffer): void {
-    if (this._recent.has(digest)) return
-    this._recent.set(digest, bytes)
-    this._bytes += bytes.length
-    for (const [oldest, held] of this._recent) {
-      if (this._bytes <= this._limit) break
-      this._recent.delete(oldest)
-      this._bytes -= held.length
+  private _cacheChunk (digest: string, bytes: Buffer): void {
+    if (this._cache.has(digest)) return
+    this._cache.set(digest, bytes)
+    this._cachedBytes += bytes.length
+    for (const [oldest, held] of this._cache) {
+      if (this._cachedBytes <= this._cacheLimit) break
+      this._cache.delete(oldest)
+      this._cachedBytes -= held.length
     }
   }
 }
--- a/packages/node/src/lib/agent/digest.ts
+++ b/packages/node/src/lib/agent/digest.ts
@@ -16,7 +16,7 @@
 const algorithms: Record<ChunkDigest, string> = { blake2b: 'blake2b512', sha256: 'sha256' }
 
 /** Bytes hashed before yielding to the event loop; this takes about half a millisecond. */
-const SLICE = 256 * 1024
+const SLICE_BYTES = 256 * 1024
 const DIGEST_CHARACTERS = 64
 
 /**
@@ -27,9 +27,9 @@
  */
 export async function digestOf (bytes: Buffer, kind: ChunkDigest = 'blake2b'): Promise<string> {
   const hash = createHash(algorithms[kind])
-  for (let start = 0; start < bytes.length; start += SLICE) {
+  for (let start = 0; start < bytes.length; start += SLICE_BYTES) {
     if (start > 0) await nextTurn()
-    hash.update(bytes.subarray(start, start + SLICE))
+    hash.update(bytes.subarray(start, start + SLICE_BYTES))
   }
   return hash.digest('hex').slice(0, DIGEST_CHARACTERS)
 }
--- a/packages/node/src/lib/agent/endpoint-words.ts
+++ b/packages/node/src/lib/agent/endpoint-words.ts
@@ -7,9 +7,9 @@
 import type { IncomingHttpHeaders } from 'node:http'
 import type { EndpointNotice } from '@drumdrift/core'
 
-const LIMIT = 'x-request-limit'
-const LEAVING = 'x-leaving'
-const TURNED_AWAY = 503
+const LIMIT_HEADER = 'x-request-limit'
+const LEAVING_HEADER = 'x-leaving'
+const SERVICE_UNAVAILABLE = 503
 const MILLISECONDS_PER_SECOND = 1_000
 const DECIMAL = /^\d+(\.\d+)?$/
 
@@ -43,8 +43,8 @@
  */
 export function readNotice (status: number, headers: IncomingHttpHeaders): EndpointNotice {
   return {
-    limit: readDecimal(headers[LIMIT]),
-    leaving: headers[LEAVING] === '1',
-    rest: status === TURNED_AWAY ? readSeconds(headers['retry-after']) : undefined
+    limit: readDecimal(headers[LIMIT_HEADER]),
+    leaving: headers[LEAVING_HEADER] === '1',
+    rest: status === SERVICE_UNAVAILABLE ? readSeconds(headers['retry-after']) : undefined
   }
 }
--- a/packages/node/src/lib/agent/engine-client.ts
+++ b/packages/node/src/lib/agent/engine-client.ts
@@ -86,9 +86,9 @@
     return status === undefined ? 'unreachable' : 'refused'
   }
 
-  private async _status (question: { method: string, path: string, body?: Buffer | string }): Promise<number | undefined> {
+  private async _status (request: { method: string, path: string, body?: Buffer | string }): Promise<number | undefined> {
     try {
-      return (await askHttp(this._address, { ...question, timeout: TIMEOUT })).status
+      return (await askHttp(this._address, { ...request, timeout: TIMEOUT })).status
     } catch {
       return undefined
     }
--- a/packages/node/src/lib/agent/manifest-source.ts
+++ b/packages/node/src/lib/agent/manifest-source.ts
@@ -10,7 +10,7 @@
 import type { WeightsSource } from '../platform/platform-client.js'
 
 /** What a manifest source uses. */
-export interface ManifestSourceParts {
+export interface ManifestSourceDependencies {
   readonly self: ChunkMember
   /** The members of the same pool. */
   readonly members: () => readonly ChunkMember[]
@@ -33,57 +33,57 @@
 const PEER_WAIT = 400
 const PEER_TIMEOUT = 700
 /** The timeout of a request to the platform, in milliseconds. */
-const PLATFORM_WAIT = 1_000
+const PLATFORM_TIMEOUT = 1_000
 /**
  * The delay per rank before a member requests a manifest that its parent does not have from the platform, and the longest
  * such delay, in milliseconds.
  */
-const STAGGER = 20
-const LONGEST_STAGGER = 5_000
+const STAGGER_PER_RANK = 20
+const MAX_STAGGER = 5_000
 
 /** Fetches manifests for one member. */
 export class ManifestSource {
-  constructor (private readonly _parts: ManifestSourceParts) {}
+  constructor (private readonly _dependencies: ManifestSourceDependencies) {}
 
   /**
    * Requests a manifest from the member's parent, then, delayed by rank, from the platform.
    *
-   * @param waited Milliseconds since the first attempt to fetch this manifest.
+   * @param elapsed Milliseconds since the first attempt to fetch this manifest.
    * @returns `undefined` if neither returned it; the caller may retry.
    * @example
    * const bytes = await source.fetch('drafting@2', 0)
    */
-  async fetch (identity: string, waited: number): Promise<Buffer | undefined> {
-    const { self, members } = this._parts
+  async fetch (identity: string, elapsed: number): Promise<Buffer | undefined> {
+    const { self, members } = this._dependencies
     const names = [...new Set([self.instance, ...members().map(({ instance }) => instance)])]
     const order = rendezvousOrder(names, identity)
     const rank = order.indexOf(self.instance)
     const parent = rank > 0 ? order[Math.floor((rank - 1) / FAN_OUT)] : undefined
     const fromPeer = parent === undefined ? undefined : await this._fromPeer(parent, identity)
     if (fromPeer !== undefined) return fromPeer
-    if (waited < Math.min(LONGEST_STAGGER, rank * STAGGER)) return undefined
+    if (elapsed < Math.min(MAX_STAGGER, rank * STAGGER_PER_RANK)) return undefined
     return await this._fromPlatform(identity)
   }
 
   private async _fromPeer (instance: string, identity: string): Promise<Buffer | undefined> {
-    const address = this._parts.addressOf(instance)
+    const address = this._dependencies.addressOf(instance)
     if (address === undefined) return undefined
     try {
-      const { reply, payload } = await this._parts.pool.call(address, { type: 'manifest', digest: identity, wait: PEER_WAIT }, { timeout: PEER_TIMEOUT })
-      return reply.type === 'manifest' && this._parts.matches(identity, payload) ? payload : undefined
+      const { reply, payload } = await this._dependencies.pool.call(address, { type: 'manifest', digest: identity, wait: PEER_WAIT }, { timeout: PEER_TIMEOUT })
+      return reply.type === 'manifest' && this._dependencies.matches(identity, payload) ? payload : undefined
     } catch (error) {
-      this._parts.log.debug('peer-silent', { address, reason: failureOf(error).type })
+      this._dependencies.log.debug('peer-silent', { address, reason: failureOf(error).type })
       return undefined
     }
   }
 
   private async _fromPlatform (identity: string): Promise<Buffer | undefined> {
     for (const upstream of ['origin', 'store'] as const) {
-      const bytes = await this._parts.platform.weights(upstream, 'manifests', identity, PLATFORM_WAIT)
-      if (bytes !== undefined && this._parts.matches(identity, bytes)) return bytes
-      if (bytes !== undefined) this._parts.onProblem({ type: 'weights-failure', reason: 'digest-mismatch', detail: `the manifest from the ${upstream} does not match its identity` })
+      const bytes = await this._dependencies.platform.weights(upstream, 'manifests', identity, PLATFORM_TIMEOUT)
+      if (bytes !== undefined && this._dependencies.matches(identity, bytes)) return bytes
+      if (bytes !== undefined) this._dependencies.onProblem({ type: 'weights-failure', reason: 'digest-mismatch', detail: `the manifest from the ${upstream} does not match its identity` })
     }
-    this._parts.onProblem({ type: 'weights-failure', reason: 'unavailable', detail: `no source has manifest ${identity.slice(0, 12)}` })
+    this._dependencies.onProblem({ type: 'weights-failure', reason: 'unavailable', detail: `no source has manifest ${identity.slice(0, 12)}` })
     return undefined
   }
 }
--- a/packages/node/src/lib/agent/request-runner.ts
+++ b/packages/node/src/lib/agent/request-runner.ts
@@ -17,14 +17,14 @@
 import { readNotice } from './endpoint-words.js'
 
 /** What a request runner uses. */
-export interface RequestRunnerParts {
+export interface RequestRunnerDependencies {
   readonly endpointAddress: string
   /** The key of the endpoint in `notices`. */
   readonly endpoint: string
   /** The limits and rests that the endpoint has announced; admission enforces them. */
   readonly notices: EndpointNotices
   readonly noticeLog: NoticeLog
-  readonly door: AdmissionDoor
+  readonly admissionController: AdmissionDoor
   readonly pacer: LinkPacer
   readonly counters: Counters
   readonly status: () => EndpointStatus
@@ -33,7 +33,7 @@
 }
 
 /** The backlog of answers on a connection, in bytes, above which transfers of weights slow down. */
-const CONGESTED_BACKLOG = 65_536
+const CONGESTED_BACKLOG_BYTES = 65_536
 const END_OF_EVENT = Buffer.from('\n\n')
 
 /** Headers that are not forwarded, since they apply to a single hop. */
@@ -42,9 +42,9 @@
 /** Runs the requests of one agent. */
 export class RequestRunner {
   private readonly _runs = new WeakMap<PeerConnection, Map<number, AbortController>>()
-  private readonly _idle = new Set<() => void>()
+  private readonly _idleListeners = new Set<() => void>()
 
-  constructor (private readonly _parts: RequestRunnerParts) {}
+  constructor (private readonly _dependencies: RequestRunnerDependencies) {}
 
   /** Starts an admitted request. */
   start (run: number, request: ForwardedRequest, body: Buffer, responder: Responder): void {
@@ -53,79 +53,79 @@
     calls.set(responder.call, abort)
     const stopListening = responder.connection.onEnd(() => abort.abort())
     const timer = setTimeout(() => abort.abort(), Math.max(0, request.remaining))
-    this._carry(request, body, responder, abort.signal).finally(() => {
+    this._forward(request, body, responder, abort.signal).finally(() => {
       clearTimeout(timer)
       stopListening()
       calls.delete(responder.call)
-      this._parts.door.finished(run)
-      if (this._parts.door.running === 0) for (const listener of this._idle) listener()
+      this._dependencies.admissionController.finished(run)
+      if (this._dependencies.admissionController.running === 0) for (const listener of this._idleListeners) listener()
     })
   }
 
   /** Aborts a request whose caller has disconnected. The endpoint notices by the closed connection. */
-  hangUp (connection: PeerConnection, call: number): void {
+  abortCall (connection: PeerConnection, call: number): void {
     this._callsOf(connection).get(call)?.abort()
   }
 
   /** Resolves when no request is running. */
   async idle (): Promise<void> {
-    if (this._parts.door.running === 0) return
-    await new Promise<void>(resolve => this._idle.add(resolve))
+    if (this._dependencies.admissionController.running === 0) return
+    await new Promise<void>(resolve => this._idleListeners.add(resolve))
   }
 
-  private async _carry (request: ForwardedRequest, body: Buffer, responder: Responder, signal: AbortSignal): Promise<void> {
-    const { status } = this._parts
+  private async _forward (request: ForwardedRequest, body: Buffer, responder: Responder, signal: AbortSignal): Promise<void> {
+    const { status } = this._dependencies
     const askedAt = performance.now()
     try {
-      const response = await openHttp(this._parts.endpointAddress, {
-        method: request.method, path: request.path, headers: outgoingHeaders(request, body, this._parts.fence()), body, signal, timeout: Math.max(1, request.remaining)
+      const response = await openHttp(this._dependencies.endpointAddress, {
+        method: request.method, path: request.path, headers: outgoingHeaders(request, body, this._dependencies.fence()), body, signal, timeout: Math.max(1, request.remaining)
       })
-      this._hear(response, askedAt)
+      this._recordNotice(response, askedAt)
       responder.send({ type: 'head', head: { status: response.statusCode ?? 502, headers: incomingHeaders(response), version: versionOf(response) } })
       const count = await this._stream(response, responder)
-      this._parts.counters.add('answers_whole')
+      this._dependencies.counters.add('answers_whole')
       responder.send({ type: 'end', count, status: status() })
     } catch (error) {
       const failure = failureOf(error)
-      this._parts.counters.add(signal.aborted ? 'answers_cancelled' : 'answers_broken')
-      responder.send({ type: 'broken', detail: 'detail' in failure ? failure.detail : failure.type, notRun: neverReached(error), status: status() })
+      this._dependencies.counters.add(signal.aborted ? 'answers_cancelled' : 'answers_broken')
+      responder.send({ type: 'broken', detail: 'detail' in failure ? failure.detail : failure.type, notRun: isConnectionRefused(error), status: status() })
     }
   }
 
   /** Records the notice in an answer. If the endpoint is leaving, the agent drains too, since both are replaced together. */
-  private _hear ({ statusCode = 0, headers }: IncomingMessage, askedAt: number): void {
-    const { endpoint, notices, noticeLog, door } = this._parts
+  private _recordNotice ({ statusCode = 0, headers }: IncomingMessage, askedAt: number): void {
+    const { endpoint, notices, noticeLog, admissionController } = this._dependencies
     for (const change of notices.heard(endpoint, readNotice(statusCode, headers), askedAt, performance.now())) {
       noticeLog.note(change)
-      if (change.type === 'leaving') door.leave('draining')
+      if (change.type === 'leaving') admissionController.leave('draining')
     }
   }
 
   private async _stream (response: IncomingMessage, responder: Responder): Promise<number> {
-    const events = String(response.headers['content-type'] ?? '').startsWith('text/event-stream')
+    const isEventStream = String(response.headers['content-type'] ?? '').startsWith('text/event-stream')
     let sequence = 0
-    let held: Buffer = Buffer.alloc(0)
+    let partialEvent: Buffer = Buffer.alloc(0)
     const send = (bytes: Buffer): void => {
       if (bytes.length === 0) return
-      this._account(bytes.length, responder)
-      responder.send({ type: 'part', sequence: sequence++, events: events ? countEvents(bytes) : 0 }, bytes)
+      this._recordSent(bytes.length, responder)
+      responder.send({ type: 'part', sequence: sequence++, events: isEventStream ? countEvents(bytes) : 0 }, bytes)
     }
-    for await (const piece of response) {
-      const bytes = held.length > 0 ? Buffer.concat([held, piece as Buffer]) : piece as Buffer
-      const edge = events ? bytes.lastIndexOf(END_OF_EVENT) : bytes.length - END_OF_EVENT.length
-      const cut = events && edge < 0 ? 0 : edge + END_OF_EVENT.length
-      send(bytes.subarray(0, cut))
-      held = bytes.subarray(cut)
+    for await (const data of response) {
+      const bytes = partialEvent.length > 0 ? Buffer.concat([partialEvent, data as Buffer]) : data as Buffer
+      const boundary = isEventStream ? bytes.lastIndexOf(END_OF_EVENT) : bytes.length - END_OF_EVENT.length
+      const length = isEventStream && boundary < 0 ? 0 : boundary + END_OF_EVENT.length
+      send(bytes.subarray(0, length))
+      partialEvent = bytes.subarray(length)
     }
     if (!response.complete) throw new Error('the connection to the endpoint was lost before the end of the answer')
-    send(held)
+    send(partialEvent)
     return sequence
   }
 
-  private _account (bytes: number, responder: Responder): void {
+  private _recordSent (bytes: number, responder: Responder): void {
     const now = performance.now()
-    this._parts.pacer.live(bytes, now)
-    this._parts.pacer.adapt(responder.connection.backlog > CONGESTED_BACKLOG, now)
+    this._dependencies.pacer.live(bytes, now)
+    this._dependencies.pacer.adapt(responder.connection.backlog > CONGESTED_BACKLOG_BYTES, now)
   }
 
   private _callsOf (connection: PeerConnection): Map<number, AbortController> {
@@ -159,7 +159,7 @@
 }
 
 /** Returns whether the endpoint's port refused the connection, so that the request cannot have run there. */
-function neverReached (error: unknown): boolean {
+function isConnectionRefused (error: unknown): boolean {
   const failure = failureOf(error)
   return failure.type === 'peer-failure' && failure.detail.includes('ECONNREFUSED')
 }
--- a/packages/node/src/lib/agent/switcher.ts
+++ b/packages/node/src/lib/agent/switcher.ts
@@ -12,24 +12,24 @@
 import type { Engine } from './engine-client.js'
 
 /** What a switcher uses. */
-export interface SwitcherParts {
+export interface SwitcherDependencies {
   readonly instance: string
   readonly engine: Engine
-  readonly door: AdmissionDoor
+  readonly admissionController: AdmissionDoor
   readonly pool: PeerPool
   readonly log: Log
-  readonly situation: () => SwitchSituation
+  readonly switchInputs: () => SwitchSituation
   /** Called if another agent has taken the engine over. This process must end; the platform starts a new one if the slot is its own. */
   readonly onReplaced: () => void
   /** Returns whether the engine still holds the complete version; checked right before a load. */
-  readonly confirmWhole: () => Promise<boolean>
+  readonly confirmComplete: () => Promise<boolean>
   readonly onServing: (manifestDigest: string, fence: number) => void
 }
 
 /** The interval of polls, in milliseconds. */
-const POLL = 200
+const POLL_INTERVAL = 200
 /** The timeout of a request for a peer's progress, in milliseconds. */
-const ASK_TIMEOUT = 500
+const PROGRESS_TIMEOUT = 500
 
 /** Carries out the switches of one engine. */
 export class Switcher {
@@ -37,9 +37,9 @@
   private _polling = false
   private readonly _timer: NodeJS.Timeout
 
-  constructor (private readonly _parts: SwitcherParts) {
-    this._switch = new EngineSwitch(_parts.instance, _parts.door, performance.now())
-    this._timer = setInterval(() => { this.poll() }, POLL)
+  constructor (private readonly _dependencies: SwitcherDependencies) {
+    this._switch = new EngineSwitch(_dependencies.instance, _dependencies.admissionController, performance.now())
+    this._timer = setInterval(() => { this.poll() }, POLL_INTERVAL)
   }
 
   /** The engine's latest report. */
@@ -61,53 +61,53 @@
     if (this._polling) return
     this._polling = true
     try {
-      const report = await this._parts.engine.state()
-      for (const effect of this._switch.step(report, this._parts.situation(), performance.now())) await this._carryOut(effect)
+      const report = await this._dependencies.engine.state()
+      for (const effect of this._switch.step(report, this._dependencies.switchInputs(), performance.now())) await this._applyEffect(effect)
     } finally {
       this._polling = false
     }
   }
 
-  private async _carryOut (effect: SwitchEffect): Promise<void> {
+  private async _applyEffect (effect: SwitchEffect): Promise<void> {
     await (this._handlers[effect.type] as (effect: SwitchEffect) => void | Promise<void>)(effect)
   }
 
   private readonly _handlers: { readonly [Type in SwitchEffect['type']]: (effect: Extract<SwitchEffect, { type: Type }>) => void | Promise<void> } = {
     'take-over': async ({ fence }) => {
-      const result = await this._parts.engine.takeOver(fence)
-      this._parts.log.info('engine-taken-over', { result, fence })
-      for (const effect of this._switch.tookOver(fence, result, performance.now())) await this._carryOut(effect)
+      const result = await this._dependencies.engine.takeOver(fence)
+      this._dependencies.log.info('engine-taken-over', { result, fence })
+      for (const effect of this._switch.tookOver(fence, result, performance.now())) await this._applyEffect(effect)
     },
     replaced: ({ fence }) => {
-      this._parts.log.error('replaced', { fence })
-      this._parts.onReplaced()
+      this._dependencies.log.error('replaced', { fence })
+      this._dependencies.onReplaced()
     },
-    'ask-progress': async ({ instances, digest }) => { await Promise.all(instances.map(async instance => await this._ask(instance, digest))) },
+    'ask-progress': async ({ instances, digest }) => { await Promise.all(instances.map(async instance => await this._requestProgress(instance, digest))) },
     'order-load': async ({ digest, fence }) => { await this._load(digest, fence) },
-    began: ({ digest }) => this._parts.log.info('switch-begins', { manifest: digest, running: this._parts.door.running }),
+    began: ({ digest }) => this._dependencies.log.info('switch-begins', { manifest: digest, running: this._dependencies.admissionController.running }),
     switched: ({ digest }) => {
-      this._parts.log.info('switched', { manifest: digest })
-      this._parts.onServing(digest, this._switch.fence)
+      this._dependencies.log.info('switched', { manifest: digest })
+      this._dependencies.onServing(digest, this._switch.fence)
     },
-    'load-failed': ({ digest }) => this._parts.log.error('load-failed', { manifest: digest }),
-    halted: ({ digest }) => this._parts.log.error('rollout-halted', { manifest: digest })
+    'load-failed': ({ digest }) => this._dependencies.log.error('load-failed', { manifest: digest }),
+    halted: ({ digest }) => this._dependencies.log.error('rollout-halted', { manifest: digest })
   }
 
   private async _load (digest: string, fence: number): Promise<void> {
-    const result = await this._parts.confirmWhole() ? await this._parts.engine.load(digest, fence) : 'refused-here'
-    if (result !== 'ordered') this._parts.log.warn('load-refused', { result, fence })
+    const result = await this._dependencies.confirmComplete() ? await this._dependencies.engine.load(digest, fence) : 'refused-here'
+    if (result !== 'ordered') this._dependencies.log.warn('load-refused', { result, fence })
     this._switch.loadAnswered(digest, result, performance.now())
   }
 
-  private async _ask (instance: string, digest: string): Promise<void> {
-    const address = this._parts.situation().members.find(member => member.instance === instance)?.address
-    const progress = address === undefined ? 'unreachable' : await this._askAt(address, digest)
+  private async _requestProgress (instance: string, digest: string): Promise<void> {
+    const address = this._dependencies.switchInputs().members.find(member => member.instance === instance)?.address
+    const progress = address === undefined ? 'unreachable' : await this._requestProgressFrom(address, digest)
     this._switch.heard(instance, progress, performance.now())
   }
 
-  private async _askAt (address: string, digest: string): Promise<SwitchProgress> {
+  private async _requestProgressFrom (address: string, digest: string): Promise<SwitchProgress> {
     try {
-      const { reply } = await this._parts.pool.call(address, { type: 'progress', digest }, { timeout: ASK_TIMEOUT })
+      const { reply } = await this._dependencies.pool.call(address, { type: 'progress', digest }, { timeout: PROGRESS_TIMEOUT })
       return reply.type === 'progress' ? reply.progress : 'unreachable'
     } catch {
       return 'unreachable'
--- a/packages/node/src/lib/agent/weights-keeper.ts
+++ b/packages/node/src/lib/agent/weights-keeper.ts
@@ -17,7 +17,7 @@
 import type { PeerPool } from '../peer/pool.js'
 import type { WeightsSource } from '../platform/platform-client.js'
 import { Arrivals } from './arrivals.js'
-import { fetchChunk, type PeerChunk } from './chunk-fetch.js'
+import { fetchChunk, type PeerChunkResult } from './chunk-fetch.js'
 import type { ChunkStore } from './chunk-store.js'
 import { digestOf, digestOfText, type ChunkDigest } from './digest.js'
 import type { ChunkStaging } from './engine-client.js'
@@ -26,7 +26,7 @@
 type Fetch = Extract<TransferEffect, { type: 'fetch' }>
 
 /** What a weights keeper uses. */
-export interface WeightsKeeperParts {
+export interface WeightsKeeperDependencies {
   readonly self: ChunkMember
   /** Creates the transfer of a version; `held` are the digests of chunks that are already staged. */
   readonly newTransfer: NewTransfer
@@ -60,29 +60,29 @@
 }) => TransferCourse
 
 /** The interval of ticks of a transfer, in milliseconds. */
-const TICK = 50
+const TICK_INTERVAL = 50
 /** The longest wait of a peer for a manifest that this process is still to receive, in milliseconds. */
-const LONGEST_MANIFEST_WAIT = 1_000
+const MAX_MANIFEST_WAIT = 1_000
 /** How long a peer may wait until it receives a chunk itself before it refuses the request, in milliseconds. */
 const CHUNK_WAIT = 6_000
 /** A connection that received bytes within this time counts as active, in milliseconds. */
-const SIGN_OF_LIFE = 400
+const ACTIVITY_TIMEOUT = 400
 /** The timeout of a chunk request to the platform, in milliseconds. */
-const LONGEST_FETCH = 30_000
+const PLATFORM_TIMEOUT = 30_000
 /** The delay before a failed fetch of a manifest is retried, in milliseconds. */
-const MANIFEST_PAUSE = 200
+const MANIFEST_RETRY_DELAY = 200
 
 /** Holds and transfers the weights of one agent. */
 export class WeightsKeeper {
-  private _wanted = ''
+  private _desired = ''
   private _originCopies = 1
   private _manifest: Manifest | undefined
   private _transfer: TransferCourse | undefined
-  private _wholeDigest = ''
+  private _completeDigest = ''
   /** The list that the transfer uses; compared by reference, since a new revision creates a new list. */
   private _members: readonly ChunkMember[] = []
   private _problem: WeightsFailure | undefined
-  private _wantedDigests: ReadonlySet<string> = new Set()
+  private _desiredDigests: ReadonlySet<string> = new Set()
   private readonly _fetches = new Map<number, AbortController>()
   /** The connections of chunk requests in flight, by attempt. */
   private readonly _connections = new Map<number, PeerConnection>()
@@ -95,16 +95,16 @@
   private readonly _outcomes = new Map<string, number>()
   private _startedAt = 0
 
-  constructor (private readonly _parts: WeightsKeeperParts) {
+  constructor (private readonly _dependencies: WeightsKeeperDependencies) {
     this._manifestSource = new ManifestSource({
-      ..._parts, matches: (identity, bytes) => this._matches(identity, bytes), onProblem: problem => this._noteManifestProblem(problem)
+      ..._dependencies, matches: (identity, bytes) => this._matches(identity, bytes), onProblem: problem => this._recordManifestProblem(problem)
     })
   }
 
   /** The manifest digest of the desired version; empty for none. */
-  get wanted (): string { return this._wanted }
+  get wanted (): string { return this._desired }
   /** The manifest digest of the desired version once it is complete and verified; empty before. */
-  get wholeDigest (): string { return this._wholeDigest }
+  get wholeDigest (): string { return this._completeDigest }
   /** The manifest of the desired version; `undefined` until it is held. */
   get currentManifest (): Manifest | undefined { return this._manifest }
   /** The share of the desired version that is held. */
@@ -115,14 +115,14 @@
   close (): void {
     this._stopTicking()
     // Ends the retries of a manifest that is not held yet, which would otherwise go on until the process ends.
-    this._wanted = ''
+    this._desired = ''
     for (const fetch of this._fetches.values()) fetch.abort()
   }
 
   /** Returns whether a chunk belongs to the desired version, or may belong to it because the manifest is not held yet. */
   expects (digest: string): boolean {
-    if (this._wanted !== '' && this._manifest === undefined) return true
-    return this._wantedDigests.has(digest)
+    if (this._desired !== '' && this._manifest === undefined) return true
+    return this._desiredDigests.has(digest)
   }
 
   /**
@@ -131,9 +131,9 @@
    * @param wait Milliseconds to wait until this process receives the manifest.
    */
   async manifest (digest: string, wait: number): Promise<Buffer | undefined> {
-    const held = this._manifests.get(digest) ?? await this._parts.engine.readBack('manifests', digest)
+    const held = this._manifests.get(digest) ?? await this._dependencies.engine.readBack('manifests', digest)
     if (held !== undefined || wait <= 0) return held
-    await this._arrivals.waitFor(digest, Math.min(LONGEST_MANIFEST_WAIT, wait))
+    await this._arrivals.waitFor(digest, Math.min(MAX_MANIFEST_WAIT, wait))
     return this._manifests.get(digest)
   }
 
@@ -142,26 +142,26 @@
    */
   want (manifestDigest: string, originCopies: number): void {
     this._originCopies = originCopies
-    if (manifestDigest === this._wanted) return
-    this._parts.log.info('weights-wanted', { manifest: manifestDigest })
-    this._wanted = manifestDigest
-    this._wholeDigest = ''
+    if (manifestDigest === this._desired) return
+    this._dependencies.log.info('weights-wanted', { manifest: manifestDigest })
+    this._desired = manifestDigest
+    this._completeDigest = ''
     this._problem = undefined
-    this._carryOut(this._transfer?.cancel() ?? [])
+    this._applyEffects(this._transfer?.cancel() ?? [])
     this._transfer = undefined
     this._manifest = undefined
-    this._wantedDigests = new Set()
-    if (manifestDigest !== '') this._begin(manifestDigest)
+    this._desiredDigests = new Set()
+    if (manifestDigest !== '') this._fetchAndAdoptManifest(manifestDigest)
   }
 
   /** Drops chunks that the desired version does not list; call it once that version is served. */
   async dropOthers (fence: number): Promise<void> {
-    if (this._manifest !== undefined) await this._parts.store.dropExcept(this._wantedDigests, fence)
+    if (this._manifest !== undefined) await this._dependencies.store.dropExcept(this._desiredDigests, fence)
   }
 
   /** Updates the list of members. Ticks do so during a transfer; once the version is complete, only this call does. */
   membersChanged (): void {
-    const members = this._parts.members()
+    const members = this._dependencies.members()
     if (members === this._members) return
     this._transfer?.setMembers(members)
     this._members = members
@@ -174,72 +174,72 @@
   async confirmWhole (): Promise<boolean> {
     const manifest = this._manifest
     if (manifest === undefined) return false
-    await this._parts.store.recover()
-    if (manifest.chunks.every(chunk => this._parts.store.staged.has(chunk.digest))) return true
-    this._parts.log.warn('staging-lost', { manifest: this._wanted })
-    this._wholeDigest = ''
+    await this._dependencies.store.recover()
+    if (manifest.chunks.every(chunk => this._dependencies.store.staged.has(chunk.digest))) return true
+    this._dependencies.log.warn('staging-lost', { manifest: this._desired })
+    this._completeDigest = ''
     this._startTransfer(manifest)
     return false
   }
 
-  private async _begin (manifestDigest: string): Promise<void> {
+  private async _fetchAndAdoptManifest (manifestDigest: string): Promise<void> {
     const startedAt = performance.now()
-    while (this._wanted === manifestDigest) {
+    while (this._desired === manifestDigest) {
       const bytes = await this._fetchManifest(manifestDigest, performance.now() - startedAt)
-      if (this._wanted !== manifestDigest) return
+      if (this._desired !== manifestDigest) return
       if (bytes !== undefined && this._adoptManifest(manifestDigest, bytes)) return
-      await pause(MANIFEST_PAUSE)
+      await pause(MANIFEST_RETRY_DELAY)
     }
   }
 
   private _adoptManifest (manifestDigest: string, bytes: Buffer): boolean {
-    const checked = checkManifest(parseJson(bytes), this._parts.largestBytes)
+    const checked = checkManifest(parseJson(bytes), this._dependencies.largestBytes)
     if ('failure' in checked) {
-      this._fail(checked.failure)
+      this._recordProblem(checked.failure)
       return false
     }
     this._problem = undefined
     this._manifest = checked.value
     this._manifests.clear()
     this._manifests.set(manifestDigest, bytes)
-    this._arrivals.arrived(manifestDigest)
-    this._parts.log.info('manifest-held', { manifest: manifestDigest, chunks: checked.value.chunks.length })
-    this._wantedDigests = new Set(checked.value.chunks.map(chunk => chunk.digest))
+    this._arrivals.notify(manifestDigest)
+    this._dependencies.log.info('manifest-held', { manifest: manifestDigest, chunks: checked.value.chunks.length })
+    this._desiredDigests = new Set(checked.value.chunks.map(chunk => chunk.digest))
     this._startTransfer(checked.value)
-    this._parts.engine.stage('manifests', manifestDigest, bytes)
+    this._dependencies.engine.stage('manifests', manifestDigest, bytes)
     this._tick()
     return true
   }
 
   private _startTransfer (manifest: Manifest): void {
-    this._carryOut(this._transfer?.cancel() ?? [])
+    this._applyEffects(this._transfer?.cancel() ?? [])
     this._outcomes.clear()
     this._startedAt = performance.now()
-    this._members = this._parts.members()
-    this._transfer = this._parts.newTransfer({
-      members: this._members, identity: this._wanted, manifest, held: this._parts.store.staged, originCopies: this._originCopies
+    this._members = this._dependencies.members()
+    this._transfer = this._dependencies.newTransfer({
+      members: this._members, identity: this._desired, manifest, held: this._dependencies.store.staged, originCopies: this._originCopies
     })
-    this._ticker ??= setInterval(() => this._tick(), TICK)
+    this._ticker ??= setInterval(() => this._tick(), TICK_INTERVAL)
   }
 
   /** Returns the staged manifest if it matches; otherwise fetches it from a peer or the platform. */
-  private async _fetchManifest (digest: string, waited: number): Promise<Buffer | undefined> {
+  private async _fetchManifest (digest: string, elapsed: number): Promise<Buffer | undefined> {
     const held = await this.manifest(digest, 0)
     if (held !== undefined && this._matches(digest, held)) return held
-    return await this._manifestSource.fetch(digest, waited)
+    return await this._manifestSource.fetch(digest, elapsed)
   }
 
   private _matches (identity: string, bytes: Buffer): boolean {
-    const { manifestMatches } = this._parts
+    const { manifestMatches } = this._dependencies
     return manifestMatches === undefined ? digestOfText(bytes) === identity : manifestMatches(identity, bytes)
   }
 
   private _tick (): void {
     const transfer = this._transfer
-    if (transfer === undefined || this._wholeDigest !== '') return this._stopTicking()
+    if (transfer === undefined || this._completeDigest !== '') return this._stopTicking()
     this.membersChanged()
-    this._noteLife(transfer)
-    this._carryOut(transfer.tick(performance.now()))
+    this._reportActiveConnections(transfer)
+    this._applyEffects(transfer.tick(performance.now()))
   }
 
   private _stopTicking (): void {
@@ -248,14 +248,14 @@
   }
 
   /** A connection that receives bytes is not stalled, although keepalives may be queued behind other chunks. */
-  private _noteLife (transfer: TransferCourse): void {
+  private _reportActiveConnections (transfer: TransferCourse): void {
     const now = performance.now()
     for (const [attempt, connection] of this._connections) {
-      if (connection.open && connection.silence(now) < SIGN_OF_LIFE) transfer.coming(attempt, now)
+      if (connection.open && connection.silence(now) < ACTIVITY_TIMEOUT) transfer.coming(attempt, now)
     }
   }
 
-  private _carryOut (effects: readonly TransferEffect[]): void {
+  private _applyEffects (effects: readonly TransferEffect[]): void {
     for (const effect of effects) this._handlers[effect.type](effect as never)
   }
 
@@ -266,11 +266,11 @@
       this._fetches.delete(attempt)
     },
     whole: ({ manifestDigest }) => {
-      this._wholeDigest = manifestDigest
-      this._parts.log.info('version-whole', {
+      this._completeDigest = manifestDigest
+      this._dependencies.log.info('version-whole', {
         manifest: manifestDigest, chunks: this._manifest?.chunks.length, took: Math.round(performance.now() - this._startedAt), ...Object.fromEntries(this._outcomes)
       })
-      this._parts.onWhole(manifestDigest)
+      this._dependencies.onWhole(manifestDigest)
     }
   }
 
@@ -285,49 +285,49 @@
     const now = performance.now()
     const outcome = problem === undefined ? `from_${effect.source.kind}` : problem.replaceAll('-', '_')
     this._outcomes.set(outcome, (this._outcomes.get(outcome) ?? 0) + 1)
-    if (problem !== undefined) this._parts.log.debug('chunk-failed', { problem, source: nameOf(effect), chunk: effect.index, attempt: effect.attempt })
-    this._carryOut(problem === undefined ? transfer.arrived(effect.attempt, now) : transfer.failed(effect.attempt, problem, now))
+    if (problem !== undefined) this._dependencies.log.debug('chunk-failed', { problem, source: sourceName(effect), chunk: effect.index, attempt: effect.attempt })
+    this._applyEffects(problem === undefined ? transfer.arrived(effect.attempt, now) : transfer.failed(effect.attempt, problem, now))
   }
 
   /** Fetches, verifies and stores one chunk. Returns the failure, or `undefined` on success. */
   private async _fetchVerified (effect: Fetch, signal: AbortSignal): Promise<'corrupt' | 'unreachable' | 'not-yet' | 'not-held' | 'timed-out' | undefined> {
-    const fetched = await this._bytes(effect, signal)
+    const fetched = await this._fetchBytes(effect, signal)
     if (typeof fetched === 'string') return fetched
-    const sound = fetched.length === effect.bytes && await digestOf(fetched, this._parts.chunkDigest) === effect.digest
+    const sound = fetched.length === effect.bytes && await digestOf(fetched, this._dependencies.chunkDigest) === effect.digest
     if (!sound) {
-      this._parts.counters.add('chunks_corrupt')
-      this._parts.log.warn('chunk-corrupt', { source: nameOf(effect), chunk: effect.index, bytes: fetched.length })
+      this._dependencies.counters.add('chunks_corrupt')
+      this._dependencies.log.warn('chunk-corrupt', { source: sourceName(effect), chunk: effect.index, bytes: fetched.length })
       return 'corrupt'
     }
     if (signal.aborted) return 'timed-out'
-    this._parts.counters.add(`chunk_bytes_from_${effect.source.kind}`, fetched.length)
-    const staged = await this._parts.store.keep(effect.digest, fetched)
+    this._dependencies.counters.add(`chunk_bytes_from_${effect.source.kind}`, fetched.length)
+    const staged = await this._dependencies.store.keep(effect.digest, fetched)
     return staged ? undefined : 'not-yet'
   }
 
-  private async _bytes (effect: Fetch, signal: AbortSignal): Promise<PeerChunk> {
+  private async _fetchBytes (effect: Fetch, signal: AbortSignal): Promise<PeerChunkResult> {
     if (effect.source.kind !== 'peer') {
-      return await this._parts.platform.weights(effect.source.kind, 'chunks', effect.digest, LONGEST_FETCH, signal) ?? 'not-held'
+      return await this._dependencies.platform.weights(effect.source.kind, 'chunks', effect.digest, PLATFORM_TIMEOUT, signal) ?? 'not-held'
     }
-    const address = this._parts.addressOf(effect.source.instance)
+    const address = this._dependencies.addressOf(effect.source.instance)
     if (address === undefined) return 'unreachable'
     const onComing = (): void => this._transfer?.coming(effect.attempt, performance.now())
-    return await fetchChunk(this._parts.pool, { address, digest: effect.digest, wait: CHUNK_WAIT, signal, onComing, onConnection: connection => this._connections.set(effect.attempt, connection) })
+    return await fetchChunk(this._dependencies.pool, { address, digest: effect.digest, wait: CHUNK_WAIT, signal, onPending: onComing, onConnection: connection => this._connections.set(effect.attempt, connection) })
   }
 
   /** An unavailable manifest does not replace an earlier problem, which is more specific. */
-  private _noteManifestProblem (problem: WeightsFailure): void {
+  private _recordManifestProblem (problem: WeightsFailure): void {
     if (problem.reason === 'unavailable') this._problem ??= problem
-    else this._fail(problem)
+    else this._recordProblem(problem)
   }
 
-  private _fail (problem: WeightsFailure): void {
+  private _recordProblem (problem: WeightsFailure): void {
     this._problem = problem
-    this._parts.log.warn('weights-refused', { reason: problem.reason, detail: problem.detail })
+    this._dependencies.log.warn('weights-refused', { reason: problem.reason, detail: problem.detail })
   }
 }
 
-function nameOf (effect: Fetch): string {
+function sourceName (effect: Fetch): string {
   return effect.source.kind === 'peer' ? effect.source.instance : effect.source.kind
 }
 
--- a/packages/node/src/lib/command-line.ts
+++ b/packages/node/src/lib/command-line.ts
@@ -72,8 +72,8 @@
 
 async function start (file: string, role: 'entry' | 'agent'): Promise<void> {
   const settings = orExit(() => readSettings(file, role))
-  const { ownDaemons } = await import('./own-daemons.js')
-  await runDaemon(settings, ownDaemons[role], file)
+  const { ownDaemonFactories } = await import('./own-daemons.js')
+  await runDaemon(settings, ownDaemonFactories[role], file)
 }
 
 function check (file: string): void {
--- a/packages/node/src/lib/own-daemons.ts
+++ b/packages/node/src/lib/own-daemons.ts
@@ -12,7 +12,7 @@
 import type { DaemonMaker } from './run-daemon.js'
 
 /** The factories of the daemons by role. */
-export const ownDaemons: Record<'entry' | 'agent', DaemonMaker> = {
+export const ownDaemonFactories: Record<'entry' | 'agent', DaemonMaker> = {
   entry: (settings, log) => new EntryProcess(settings, log),
   agent: (settings, log, stop) => new AgentProcess(settings, log, stop)
 }
--- a/packages/node/src/lib/platform/http-client.ts
+++ b/packages/node/src/lib/platform/http-client.ts
@@ -28,7 +28,7 @@
   /** Milliseconds without activity on the connection after which the request fails. */
   readonly timeout?: number
   /** The largest body of the answer in bytes. */
-  readonly largest?: number
+  readonly maxBytes?: number
   readonly signal?: AbortSignal
   /** Whether the connection is kept open for further requests; `true` by default. */
   readonly keepConnection?: boolean
@@ -36,7 +36,7 @@
   readonly pacer?: ReadPacer
 }
 
-const LARGEST_ANSWER = 64 * 1024 * 1024
+const MAX_ANSWER_BYTES = 64 * 1024 * 1024
 /** In milliseconds. */
 const DEFAULT_TIMEOUT = 2_000
 const connections = new Agent({ keepAlive: true, maxFreeSockets: 16 })
@@ -48,9 +48,9 @@
  * @example
  * const answer = await askHttp('10.0.0.1:8500', { path: '/configuration' })
  */
-export async function askHttp (address: string, question: HttpQuestion): Promise<HttpAnswer> {
-  const response = await openHttp(address, question)
-  const body = await collect(response, question)
+export async function askHttp (address: string, options: HttpQuestion): Promise<HttpAnswer> {
+  const response = await openHttp(address, options)
+  const body = await collect(response, options)
   return { status: response.statusCode ?? 0, headers: response.headers, body }
 }
 
@@ -59,9 +59,9 @@
  *
  * @throws DrumdriftError with a peer failure.
  */
-export function openHttp (address: string, question: HttpQuestion): Promise<IncomingMessage> {
+export function openHttp (address: string, options: HttpQuestion): Promise<IncomingMessage> {
   const { host, port } = parseAddress(address)
-  const { method = 'GET', path, headers = {}, body, timeout = DEFAULT_TIMEOUT, signal, keepConnection = true } = question
+  const { method = 'GET', path, headers = {}, body, timeout = DEFAULT_TIMEOUT, signal, keepConnection = true } = options
   return new Promise((resolve, reject) => {
     const outgoing = request({ host, port, method, path, headers, agent: keepConnection ? connections : false, timeout, signal }, resolve)
     outgoing.on('timeout', () => outgoing.destroy(httpError('timed-out', `${method} ${path}: no answer within ${timeout} ms`)))
@@ -70,24 +70,24 @@
   })
 }
 
-function collect (response: IncomingMessage, { largest = LARGEST_ANSWER, pacer }: HttpQuestion): Promise<Buffer> {
+function collect (response: IncomingMessage, { maxBytes = MAX_ANSWER_BYTES, pacer }: HttpQuestion): Promise<Buffer> {
   return new Promise((resolve, reject) => {
-    const pieces: Buffer[] = []
+    const buffers: Buffer[] = []
     let length = 0
-    response.on('data', (piece: Buffer) => {
-      length += piece.length
-      if (length > largest) response.destroy(httpError('oversized', `answer exceeds ${largest} bytes`))
-      pieces.push(piece)
-      const wait = pacer?.received(piece.length) ?? 0
-      if (wait > 0) holdBack(response, wait)
+    response.on('data', (data: Buffer) => {
+      length += data.length
+      if (length > maxBytes) response.destroy(httpError('oversized', `answer exceeds ${maxBytes} bytes`))
+      buffers.push(data)
+      const wait = pacer?.received(data.length) ?? 0
+      if (wait > 0) pauseReading(response, wait)
     })
-    response.on('end', () => resolve(Buffer.concat(pieces, length)))
+    response.on('end', () => resolve(Buffer.concat(buffers, length)))
     response.on('error', error => reject(error instanceof DrumdriftError ? error : httpError('connection-lost', error.message)))
     response.on('close', () => { if (!response.complete) reject(httpError('connection-lost', 'connection closed before the end of the answer')) })
   })
 }
 
-function holdBack (response: IncomingMessage, wait: number): void {
+function pauseReading (response: IncomingMessage, wait: number): void {
   response.pause()
   setTimeout(() => response.resume(), wait)
 }
--- a/packages/node/src/lib/platform/platform-client.ts
+++ b/packages/node/src/lib/platform/platform-client.ts
@@ -37,18 +37,18 @@
 /** The timeout of a read, in milliseconds; that of a watch is added to it. */
 const READ_TIMEOUT = 1_500
 /** How long the service may hold the request of a watch open, in milliseconds. */
-const WATCH_WAIT = 2_500
-const LARGEST_DOCUMENT = 2 * 1024 * 1024
+const MAX_WATCH_WAIT = 2_500
+const MAX_DOCUMENT_BYTES = 2 * 1024 * 1024
 
 /** A platform that is read over HTTP. */
 export class HttpPlatform implements Platform {
   constructor (private readonly _addresses: PlatformAddresses, private readonly _pacer?: ReadPacer) {}
 
   async read (topic: Topic, after: number, watch: boolean): Promise<Published | 'unchanged' | 'unreachable'> {
-    const wait = watch ? WATCH_WAIT : 0
+    const wait = watch ? MAX_WATCH_WAIT : 0
     try {
       const answer = await askHttp(this._addresses[topic], {
-        path: `/${topic}?after=${after}&wait=${wait}`, timeout: READ_TIMEOUT + wait, largest: LARGEST_DOCUMENT
+        path: `/${topic}?after=${after}&wait=${wait}`, timeout: READ_TIMEOUT + wait, maxBytes: MAX_DOCUMENT_BYTES
       })
       return readDocument(answer)
     } catch {
--- a/packages/node/src/lib/request-fingerprint.ts
+++ b/packages/node/src/lib/request-fingerprint.ts
@@ -10,7 +10,7 @@
 import { createHmac } from 'node:crypto'
 
 /** The parts of a request that determine its fingerprint. */
-export interface FingerprintParts {
+export interface FingerprintInput {
   /** Empty if callers have no organisation. */
   readonly organisation: string
   readonly method: string
@@ -20,7 +20,7 @@
 }
 
 /** Hexadecimal characters of a fingerprint. With these 64 bits, one in 37 million sets of a million different requests has a collision. */
-const CHARACTERS = 16
+const FINGERPRINT_CHARACTERS = 16
 
 /**
  * Returns the fingerprint of a request. It is keyed, since it is logged and sent to other processes: without the key, nobody can find
@@ -30,8 +30,8 @@
  * @example
  * const fingerprint = fingerprintOf('key', { method: 'POST', path: '/draft', body, organisation })
  */
-export function fingerprintOf (key: string, { method, path, body, organisation }: FingerprintParts): string {
+export function fingerprintOf (key: string, { method, path, body, organisation }: FingerprintInput): string {
   const hash = createHmac('sha256', key)
   for (const text of [organisation, method, path]) hash.update(`${text.length} ${text} `)
-  return hash.update(body).digest('hex').slice(0, CHARACTERS)
+  return hash.update(body).digest('hex').slice(0, FINGERPRINT_CHARACTERS)
 }
--- a/packages/node/src/lib/run-daemon.ts
+++ b/packages/node/src/lib/run-daemon.ts
@@ -13,13 +13,13 @@
 import { readSettings, type Settings } from './settings/settings.js'
 
 /** Exit code if the daemon cannot start, for instance because it cannot listen at its address. */
-const EXIT_NOT_STARTED = 3
+const EXIT_START_FAILED = 3
 
 /** How long the process waits at most for the last log lines to be written before it ends, in milliseconds. */
-const FLUSH_PATIENCE = 200
+const FLUSH_TIMEOUT = 200
 
 /** How often the settings file is checked for changes, in milliseconds. */
-const SETTINGS_PAUSE = 1_000
+const SETTINGS_POLL_INTERVAL = 1_000
 
 /** A process that can be started and stopped. */
 export interface Daemon {
@@ -36,7 +36,7 @@
  *
  * @param file The settings file, which is read again on SIGHUP and when it changes; empty for never.
  * @example
- * await runDaemon(readSettings('agent.ini', 'agent'), ownDaemons.agent)
+ * await runDaemon(readSettings('agent.ini', 'agent'), ownDaemonFactories.agent)
  */
 export async function runDaemon (settings: Settings, make: DaemonMaker, file = ''): Promise<void> {
   const { role } = settings
@@ -48,7 +48,7 @@
     if (stopping) return
     stopping = true
     daemon.stop().then(async cut => {
-      await log.flush(FLUSH_PATIENCE)
+      await log.flush(FLUSH_TIMEOUT)
       process.exit(cut > 0 ? 1 : 0)
     })
   }
@@ -57,12 +57,12 @@
     await daemon.start()
   } catch (error) {
     log.error('start-failed', { detail: error instanceof Error ? error.message : 'unknown error' })
-    await log.flush(FLUSH_PATIENCE)
-    process.exit(EXIT_NOT_STARTED)
+    await log.flush(FLUSH_TIMEOUT)
+    process.exit(EXIT_START_FAILED)
   }
   const reload = (): void => reloadSettings(settings, file, log)
   process.on('SIGHUP', reload)
-  if (file !== '') watchFile(file, { interval: SETTINGS_PAUSE, persistent: false }, reload)
+  if (file !== '') watchFile(file, { interval: SETTINGS_POLL_INTERVAL, persistent: false }, reload)
   process.on('exit', () => unwatchFile(file))
   process.on('SIGTERM', stop)
   process.on('SIGINT', stop)
--- a/packages/node/src/lib/spread-runner.ts
+++ b/packages/node/src/lib/spread-runner.ts
@@ -15,7 +15,7 @@
 import type { Platform } from './platform/platform-client.js'
 
 /** What a spread runner uses. */
-export interface SpreadRunnerParts {
+export interface SpreadRunnerDependencies {
   readonly self: SpreadSelf
   readonly platform: Platform
   readonly pool: PeerPool
@@ -25,7 +25,7 @@
 }
 
 /** The interval of ticks, in milliseconds. */
-const TICK = 100
+const TICK_INTERVAL = 100
 /** The timeout of comparisons and pushes, in milliseconds. */
 const COMPARE_TIMEOUT = 1_000
 
@@ -34,9 +34,9 @@
   readonly spread: Spread
   private readonly _timer: NodeJS.Timeout
 
-  constructor (private readonly _parts: SpreadRunnerParts) {
-    this.spread = new Spread(_parts.self, Math.random, performance.now())
-    this._timer = setInterval(() => this._carryOut(this.spread.tick(performance.now())), TICK)
+  constructor (private readonly _dependencies: SpreadRunnerDependencies) {
+    this.spread = new Spread(_dependencies.self, Math.random, performance.now())
+    this._timer = setInterval(() => this._applyEffects(this.spread.tick(performance.now())), TICK_INTERVAL)
   }
 
   close (): void { clearInterval(this._timer) }
@@ -51,11 +51,11 @@
 
   /** Receives the documents that a peer pushed. */
   pushed (request: Extract<PeerRequest, { type: 'push' }>, responder: Responder): void {
-    this._carryOut(this.spread.received(request.documents, 'pushed', performance.now()))
+    this._applyEffects(this.spread.received(request.documents, 'pushed', performance.now()))
     responder.send({ type: 'done' })
   }
 
-  private _carryOut (effects: readonly SpreadEffect[]): void {
+  private _applyEffects (effects: readonly SpreadEffect[]): void {
     for (const effect of effects) this._handlers[effect.type](effect as never)
   }
 
@@ -64,40 +64,40 @@
     compare: ({ address }) => { this._compare(address) },
     push: ({ address, documents }) => { this._push(address, documents) },
     adopted: ({ topic, revision }) => {
-      this._parts.log.info('revision-adopted', { topic, revision })
-      this._parts.onAdopted(topic)
+      this._dependencies.log.info('revision-adopted', { topic, revision })
+      this._dependencies.onAdopted(topic)
     },
     refused: ({ topic, failure }) => {
-      this._parts.counters.add('documents_refused')
-      this._parts.log.error('document-refused', { topic, reason: failure.reason, detail: failure.detail })
+      this._dependencies.counters.add('documents_refused')
+      this._dependencies.log.error('document-refused', { topic, reason: failure.reason, detail: failure.detail })
     }
   }
 
   private async _read (topic: Topic, after: number, watch: boolean): Promise<void> {
-    this._parts.counters.add('platform_reads')
-    const answer = await this._parts.platform.read(topic, after, watch)
-    this._carryOut(this.spread.serviceAnswered(topic, answer, performance.now()))
+    this._dependencies.counters.add('platform_reads')
+    const answer = await this._dependencies.platform.read(topic, after, watch)
+    this._applyEffects(this.spread.serviceAnswered(topic, answer, performance.now()))
   }
 
   private async _compare (address: string): Promise<void> {
-    const request: PeerRequest = { type: 'compare', note: this.spread.note(performance.now()), address: this._parts.self.address }
+    const request: PeerRequest = { type: 'compare', note: this.spread.note(performance.now()), address: this._dependencies.self.address }
     try {
-      const { reply } = await this._parts.pool.call(address, request, { timeout: COMPARE_TIMEOUT })
+      const { reply } = await this._dependencies.pool.call(address, request, { timeout: COMPARE_TIMEOUT })
       if (reply.type !== 'documents') return
       const now = performance.now()
-      this._carryOut(this.spread.received(reply.documents, 'compared', now))
-      this._carryOut(this.spread.answered(address, reply.note, now))
+      this._applyEffects(this.spread.received(reply.documents, 'compared', now))
+      this._applyEffects(this.spread.answered(address, reply.note, now))
     } catch {
-      this._parts.counters.add('comparisons_failed')
-      this._carryOut(this.spread.unanswered(address, performance.now()))
+      this._dependencies.counters.add('comparisons_failed')
+      this._applyEffects(this.spread.unanswered(address, performance.now()))
     }
   }
 
   private async _push (address: string, documents: Extract<SpreadEffect, { type: 'push' }>['documents']): Promise<void> {
     try {
-      await this._parts.pool.call(address, { type: 'push', documents }, { timeout: COMPARE_TIMEOUT })
+      await this._dependencies.pool.call(address, { type: 'push', documents }, { timeout: COMPARE_TIMEOUT })
     } catch {
-      this._parts.counters.add('pushes_failed')
+      this._dependencies.counters.add('pushes_failed')
     }
   }
 }
--- a/packages/node/src/test/lib/agent/manifest-source_test.ts
+++ b/packages/node/src/test/lib/agent/manifest-source_test.ts
@@ -27,7 +27,7 @@
 }
 
 describe('ManifestSource', () => {
-  const cases: [name: string, rank: number, peer: Peer, platform: string | undefined, waited: number, asked: string[], expected: string | undefined, problem: string | undefined][] = [
+  const cases: [name: string, rank: number, peer: Peer, platform: string | undefined, elapsed: number, expectedCalls: string[], expected: string | undefined, problem: string | undefined][] = [
     ['the first member requests it from the platform immediately', 0, 'gives', IDENTITY, 0, ['origin'], IDENTITY, undefined],
     ['members of the second level request it from the first member', 8, 'gives', IDENTITY, 0, [names[0] ?? ''], IDENTITY, undefined],
     ['members of the third level request it from the second level', 9, 'gives', IDENTITY, 0, [names[1] ?? ''], IDENTITY, undefined],
@@ -38,7 +38,7 @@
     ['a manifest from the platform that does not match is rejected and reported', 0, 'gives', 'm@1', 0, ['origin', 'store'], undefined, 'digest-mismatch'],
     ['a manifest that no source has is reported as unavailable', 0, 'gives', undefined, 0, ['origin', 'store'], undefined, 'unavailable']
   ]
-  for (const [name, rank, peer, platform, waited, asked, expected, problem] of cases) {
+  for (const [name, rank, peer, platform, elapsed, expectedCalls, expected, problem] of cases) {
     it(name, async () => {
       const [calls, problems] = [[] as string[], [] as WeightsFailure[]]
       const pool = { call: async (address: string) => { calls.push(address); return replies[peer]() } } as unknown as PeerPool
@@ -52,8 +52,8 @@
         matches: (identity, bytes) => bytes.toString() === identity,
         onProblem: failure => problems.push(failure)
       })
-      const bytes = await source.fetch(IDENTITY, waited)
-      assert.deepEqual([bytes?.toString(), calls, problems[0]?.reason], [expected, asked, problem])
+      const bytes = await source.fetch(IDENTITY, elapsed)
+      assert.deepEqual([bytes?.toString(), calls, problems[0]?.reason], [expected, expectedCalls, problem])
     })
   }
 })
--- a/packages/node/src/test/lib/agent/request-runner_test.ts
+++ b/packages/node/src/test/lib/agent/request-runner_test.ts
@@ -25,23 +25,23 @@
 
 describe('RequestRunner with an endpoint that limits its requests', () => {
   let endpoint: Server
-  let arrivals: number
+  let requestCount: number
   let answer: (response: ServerResponse) => void
-  let door: AdmissionDoor
+  let admissionController: AdmissionDoor
   let runner: RequestRunner
 
   beforeEach(async () => {
-    arrivals = 0
+    requestCount = 0
     endpoint = createServer((_request, response) => {
-      arrivals += 1
+      requestCount += 1
       answer(response)
     })
     await new Promise<void>(resolve => { endpoint.listen(0, '127.0.0.1', resolve) })
     const notices = new EndpointNotices(new EndpointLimits(() => 1, () => 0))
-    door = new AdmissionDoor('a.1', 8, notices, 'desk')
-    door.setServing(true)
+    admissionController = new AdmissionDoor('a.1', 8, notices, 'desk')
+    admissionController.setServing(true)
     runner = new RequestRunner({
-      endpointAddress: `127.0.0.1:${(endpoint.address() as AddressInfo).port}`, endpoint: 'desk', notices, noticeLog: new NoticeLog(log, new Counters()), door, pacer: new LinkPacer(1e9, performance.now()), counters: new Counters(), status: () => status, fence: () => 0
+      endpointAddress: `127.0.0.1:${(endpoint.address() as AddressInfo).port}`, endpoint: 'desk', notices, noticeLog: new NoticeLog(log, new Counters()), admissionController, pacer: new LinkPacer(1e9, performance.now()), counters: new Counters(), status: () => status, fence: () => 0
     })
   })
   afterEach(() => {
@@ -51,7 +51,7 @@
 
   /** Runs one request if it is admitted. */
   async function attempt (): Promise<void> {
-    const admission = door.run(performance.now())
+    const admission = admissionController.run(performance.now())
     if (admission.type !== 'admitted') return
     await new Promise<void>(resolve => {
       const connection = { onEnd: () => () => {}, backlog: 0 } as unknown as PeerConnection
@@ -60,16 +60,16 @@
     })
   }
 
-  const cases: [name: string, status: number, headers: Record<string, string>, most: number][] = [
+  const cases: [name: string, status: number, headers: Record<string, string>, maxRequests: number][] = [
     ['announces a limit', 200, { 'x-request-limit': '1.1' }, 3],
     ['asks for a rest', 503, { 'retry-after': '5' }, 1],
     ['announces that it leaves', 200, { 'x-leaving': '1' }, 1]
   ]
-  for (const [name, code, headers, most] of cases) {
+  for (const [name, code, headers, maxRequests] of cases) {
     it(`sends no more requests than allowed when the endpoint ${name}`, async () => {
       answer = response => { response.writeHead(code, headers).end('answer') }
       for (let count = 0; count < ATTEMPTS; count += 1) await attempt()
-      assert.ok(arrivals <= most, `${arrivals} requests reached the endpoint`)
+      assert.ok(requestCount <= maxRequests, `${requestCount} requests reached the endpoint`)
     })
   }
 })
