--- a/packages/node/src/lib/agent/agent-requests.ts
+++ b/packages/node/src/lib/agent/agent-requests.ts
@@ -59,7 +59,7 @@
     compare: (request, _payload, responder) => this._dependencies.spread.compared(request, responder),
     push: (request, _payload, responder) => this._dependencies.spread.pushed(request, responder),
     chunk: ({ digest, wait }, _payload, responder) => { this._dependencies.chunks.serve(String(digest), Number(wait) || 0, responder) },
-    manifest: ({ digest, wait }, _payload, responder) => { this._manifest(String(digest), Number(wait) || 0, responder) },
+    manifest: ({ digest, wait }, _payload, responder) => { this._sendManifest(String(digest), Number(wait) || 0, responder) },
     offer: ({ endpoint }, _payload, responder) => this._offer(endpoint, responder),
     claim: ({ organisation, id, attempt, bodyDigest }, _payload, responder) => {
       const reply = this._dependencies.keeper.claim(String(organisation), String(id), String(attempt), String(bodyDigest), performance.now())
@@ -89,7 +89,7 @@
     leave: (request, _payload, responder) => this._leave(request, responder)
   }
 
-  private async _manifest (digest: string, wait: number, responder: Responder): Promise<void> {
+  private async _sendManifest (digest: string, wait: number, responder: Responder): Promise<void> {
     const bytes = await this._dependencies.weights.manifest(digest, wait)
     if (bytes === undefined) responder.send({ type: 'no-chunk', reason: 'not-held' })
     else responder.send({ type: 'manifest', digest }, bytes)
--- a/packages/node/src/lib/agent/agent.ts
+++ b/packages/node/src/lib/agent/agent.ts
@@ -209,7 +209,7 @@
       confirmComplete: () => this._weights.confirmWhole(),
       onServing: (_digest, fence) => {
         this._recordElapsed('time-to-serve')
-        this._weights.dropOthers(fence)
+        this._weights.dropUnlisted(fence)
       }
     })
   }
--- a/packages/node/src/lib/agent/request-runner.ts
+++ b/packages/node/src/lib/agent/request-runner.ts
@@ -41,7 +41,7 @@
 
 /** Runs the requests of one agent. */
 export class RequestRunner {
-  private readonly _runs = new WeakMap<PeerConnection, Map<number, AbortController>>()
+  private readonly _calls = new WeakMap<PeerConnection, Map<number, AbortController>>()
   private readonly _idleListeners = new Set<() => void>()
 
   constructor (private readonly _dependencies: RequestRunnerDependencies) {}
@@ -75,12 +75,12 @@
 
   private async _forward (request: ForwardedRequest, body: Buffer, responder: Responder, signal: AbortSignal): Promise<void> {
     const { status } = this._dependencies
-    const askedAt = performance.now()
+    const sentAt = performance.now()
     try {
       const response = await openHttp(this._dependencies.endpointAddress, {
         method: request.method, path: request.path, headers: outgoingHeaders(request, body, this._dependencies.fence()), body, signal, timeout: Math.max(1, request.remaining)
       })
-      this._recordNotice(response, askedAt)
+      this._recordNotice(response, sentAt)
       responder.send({ type: 'head', head: { status: response.statusCode ?? 502, headers: incomingHeaders(response), version: versionOf(response) } })
       const count = await this._stream(response, responder)
       this._dependencies.counters.add('answers_whole')
@@ -93,9 +93,9 @@
   }
 
   /** Records the notice in an answer. If the endpoint is leaving, the agent drains too, since both are replaced together. */
-  private _recordNotice ({ statusCode = 0, headers }: IncomingMessage, askedAt: number): void {
+  private _recordNotice ({ statusCode = 0, headers }: IncomingMessage, sentAt: number): void {
     const { endpoint, notices, noticeLog, admissionController } = this._dependencies
-    for (const change of notices.heard(endpoint, readNotice(statusCode, headers), askedAt, performance.now())) {
+    for (const change of notices.heard(endpoint, readNotice(statusCode, headers), sentAt, performance.now())) {
       noticeLog.note(change)
       if (change.type === 'leaving') admissionController.leave('draining')
     }
@@ -129,8 +129,8 @@
   }
 
   private _callsOf (connection: PeerConnection): Map<number, AbortController> {
-    const calls = this._runs.get(connection) ?? new Map<number, AbortController>()
-    this._runs.set(connection, calls)
+    const calls = this._calls.get(connection) ?? new Map<number, AbortController>()
+    this._calls.set(connection, calls)
     return calls
   }
 }
--- a/packages/node/src/lib/agent/weights-keeper.ts
+++ b/packages/node/src/lib/agent/weights-keeper.ts
@@ -29,7 +29,8 @@
 export interface WeightsKeeperDependencies {
   readonly self: ChunkMember
   /** Creates the transfer of a version; `held` are the digests of chunks that are already staged. */
-  readonly newTransfer: NewTransfer
+  readonly newTransfer: TransferFactory
+  /** The largest total size of a version, in bytes. A larger one is refused. */
   readonly largestBytes: number
   readonly platform: WeightsSource
   readonly pool: PeerPool
@@ -51,7 +52,7 @@
 }
 
 /** Creates the transfer of one version. */
-export type NewTransfer = (start: {
+export type TransferFactory = (start: {
   readonly members: readonly ChunkMember[]
   readonly identity: string
   readonly manifest: Manifest
@@ -74,7 +75,7 @@
 
 /** Holds and transfers the weights of one agent. */
 export class WeightsKeeper {
-  private _desired = ''
+  private _desiredDigest = ''
   private _originCopies = 1
   private _manifest: Manifest | undefined
   private _transfer: TransferCourse | undefined
@@ -82,7 +83,7 @@
   /** The list that the transfer uses; compared by reference, since a new revision creates a new list. */
   private _members: readonly ChunkMember[] = []
   private _problem: WeightsFailure | undefined
-  private _desiredDigests: ReadonlySet<string> = new Set()
+  private _chunkDigests: ReadonlySet<string> = new Set()
   private readonly _fetches = new Map<number, AbortController>()
   /** The connections of chunk requests in flight, by attempt. */
   private readonly _connections = new Map<number, PeerConnection>()
@@ -102,7 +103,7 @@
   }
 
   /** The manifest digest of the desired version; empty for none. */
-  get wanted (): string { return this._desired }
+  get wanted (): string { return this._desiredDigest }
   /** The manifest digest of the desired version once it is complete and verified; empty before. */
   get wholeDigest (): string { return this._completeDigest }
   /** The manifest of the desired version; `undefined` until it is held. */
@@ -115,14 +116,14 @@
   close (): void {
     this._stopTicking()
     // Ends the retries of a manifest that is not held yet, which would otherwise go on until the process ends.
-    this._desired = ''
+    this._desiredDigest = ''
     for (const fetch of this._fetches.values()) fetch.abort()
   }
 
   /** Returns whether a chunk belongs to the desired version, or may belong to it because the manifest is not held yet. */
   expects (digest: string): boolean {
-    if (this._desired !== '' && this._manifest === undefined) return true
-    return this._desiredDigests.has(digest)
+    if (this._desiredDigest !== '' && this._manifest === undefined) return true
+    return this._chunkDigests.has(digest)
   }
 
   /**
@@ -142,21 +143,21 @@
    */
   want (manifestDigest: string, originCopies: number): void {
     this._originCopies = originCopies
-    if (manifestDigest === this._desired) return
+    if (manifestDigest === this._desiredDigest) return
     this._dependencies.log.info('weights-wanted', { manifest: manifestDigest })
-    this._desired = manifestDigest
+    this._desiredDigest = manifestDigest
     this._completeDigest = ''
     this._problem = undefined
     this._applyEffects(this._transfer?.cancel() ?? [])
     this._transfer = undefined
     this._manifest = undefined
-    this._desiredDigests = new Set()
+    this._chunkDigests = new Set()
     if (manifestDigest !== '') this._fetchAndAdoptManifest(manifestDigest)
   }
 
   /** Drops chunks that the desired version does not list; call it once that version is served. */
-  async dropOthers (fence: number): Promise<void> {
-    if (this._manifest !== undefined) await this._dependencies.store.dropExcept(this._desiredDigests, fence)
+  async dropUnlisted (fence: number): Promise<void> {
+    if (this._manifest !== undefined) await this._dependencies.store.dropExcept(this._chunkDigests, fence)
   }
 
   /** Updates the list of members. Ticks do so during a transfer; once the version is complete, only this call does. */
@@ -176,7 +177,7 @@
     if (manifest === undefined) return false
     await this._dependencies.store.recover()
     if (manifest.chunks.every(chunk => this._dependencies.store.staged.has(chunk.digest))) return true
-    this._dependencies.log.warn('staging-lost', { manifest: this._desired })
+    this._dependencies.log.warn('staging-lost', { manifest: this._desiredDigest })
     this._completeDigest = ''
     this._startTransfer(manifest)
     return false
@@ -184,16 +185,16 @@
 
   private async _fetchAndAdoptManifest (manifestDigest: string): Promise<void> {
     const startedAt = performance.now()
-    while (this._desired === manifestDigest) {
+    while (this._desiredDigest === manifestDigest) {
       const bytes = await this._fetchManifest(manifestDigest, performance.now() - startedAt)
-      if (this._desired !== manifestDigest) return
+      if (this._desiredDigest !== manifestDigest) return
       if (bytes !== undefined && this._adoptManifest(manifestDigest, bytes)) return
       await pause(MANIFEST_RETRY_DELAY)
     }
   }
 
   private _adoptManifest (manifestDigest: string, bytes: Buffer): boolean {
-    const checked = checkManifest(parseJson(bytes), this._dependencies.largestBytes)
+    const checked = checkManifest(tryParseJson(bytes), this._dependencies.largestBytes)
     if ('failure' in checked) {
       this._recordProblem(checked.failure)
       return false
@@ -204,7 +205,7 @@
     this._manifests.set(manifestDigest, bytes)
     this._arrivals.notify(manifestDigest)
     this._dependencies.log.info('manifest-held', { manifest: manifestDigest, chunks: checked.value.chunks.length })
-    this._desiredDigests = new Set(checked.value.chunks.map(chunk => chunk.digest))
+    this._chunkDigests = new Set(checked.value.chunks.map(chunk => chunk.digest))
     this._startTransfer(checked.value)
     this._dependencies.engine.stage('manifests', manifestDigest, bytes)
     this._tick()
@@ -217,7 +218,7 @@
     this._startedAt = performance.now()
     this._members = this._dependencies.members()
     this._transfer = this._dependencies.newTransfer({
-      members: this._members, identity: this._desired, manifest, held: this._dependencies.store.staged, originCopies: this._originCopies
+      members: this._members, identity: this._desiredDigest, manifest, held: this._dependencies.store.staged, originCopies: this._originCopies
     })
     this._ticker ??= setInterval(() => this._tick(), TICK_INTERVAL)
   }
@@ -293,8 +294,8 @@
   private async _fetchVerified (effect: Fetch, signal: AbortSignal): Promise<'corrupt' | 'unreachable' | 'not-yet' | 'not-held' | 'timed-out' | undefined> {
     const fetched = await this._fetchBytes(effect, signal)
     if (typeof fetched === 'string') return fetched
-    const sound = fetched.length === effect.bytes && await digestOf(fetched, this._dependencies.chunkDigest) === effect.digest
-    if (!sound) {
+    const valid = fetched.length === effect.bytes && await digestOf(fetched, this._dependencies.chunkDigest) === effect.digest
+    if (!valid) {
       this._dependencies.counters.add('chunks_corrupt')
       this._dependencies.log.warn('chunk-corrupt', { source: sourceName(effect), chunk: effect.index, bytes: fetched.length })
       return 'corrupt'
@@ -311,8 +312,8 @@
     }
     const address = this._dependencies.addressOf(effect.source.instance)
     if (address === undefined) return 'unreachable'
-    const onComing = (): void => this._transfer?.coming(effect.attempt, performance.now())
-    return await fetchChunk(this._dependencies.pool, { address, digest: effect.digest, wait: CHUNK_WAIT, signal, onPending: onComing, onConnection: connection => this._connections.set(effect.attempt, connection) })
+    const onPending = (): void => this._transfer?.coming(effect.attempt, performance.now())
+    return await fetchChunk(this._dependencies.pool, { address, digest: effect.digest, wait: CHUNK_WAIT, signal, onPending, onConnection: connection => this._connections.set(effect.attempt, connection) })
   }
 
   /** An unavailable manifest does not replace an earlier problem, which is more specific. */
@@ -331,7 +332,7 @@
   return effect.source.kind === 'peer' ? effect.source.instance : effect.source.kind
 }
 
-function parseJson (bytes: Buffer): unknown {
+function tryParseJson (bytes: Buffer): unknown {
   try {
     return JSON.parse(bytes.toString('utf8'))
   } catch {
--- a/packages/node/src/lib/command-line.ts
+++ b/packages/node/src/lib/command-line.ts
@@ -15,7 +15,7 @@
 import { settingsPage } from './settings/page.js'
 import { guessRole, readSettings } from './settings/settings.js'
 
-/** In milliseconds. */
+/** The timeout of a query or an order, in milliseconds. */
 const ASK_TIMEOUT = 10_000
 
 /**
--- a/packages/node/src/lib/platform/http-client.ts
+++ b/packages/node/src/lib/platform/http-client.ts
@@ -37,7 +37,7 @@
 }
 
 const MAX_ANSWER_BYTES = 64 * 1024 * 1024
-/** In milliseconds. */
+/** The default timeout, in milliseconds. */
 const DEFAULT_TIMEOUT = 2_000
 const connections = new Agent({ keepAlive: true, maxFreeSockets: 16 })
 
