--- a/packages/node/src/lib/agent/chunk-fetch.ts
+++ b/packages/node/src/lib/agent/chunk-fetch.ts
@@ -28,9 +28,9 @@
  * Fetches a chunk. Has no timeout of its own: the transfer aborts it by the signal.
  *
  * @example
- * const chunk = await fetchChunk(pool, { address, digest, wait: 1_000, signal, onComing: () => {}, onConnection: () => {} })
+ * const chunk = await fetchChunk(pool, { address, digest, wait: 1_000, signal, onPending: () => {}, onConnection: () => {} })
  */
-export async function fetchChunk (pool: PeerPool, { address, digest, wait, signal, onPending: onComing, onConnection }: ChunkRequest): Promise<PeerChunkResult> {
+export async function fetchChunk (pool: PeerPool, { address, digest, wait, signal, onPending, onConnection }: ChunkRequest): Promise<PeerChunkResult> {
   let connection
   try {
     connection = await pool.connection(address, { purpose: 'bulk' })
@@ -42,7 +42,7 @@
   return await new Promise(resolve => {
     const call = connection.ask({ type: 'chunk', digest, wait }, undefined, {
       reply: (reply, payload) => {
-        if (reply.type === 'chunk-coming') onComing()
+        if (reply.type === 'chunk-coming') onPending()
         else finish(readReply(reply, payload))
       },
       lost: () => finish('unreachable')
