--- a/packages/node/src/lib/agent/agent-requests.ts
+++ b/packages/node/src/lib/agent/agent-requests.ts
@@ -4,7 +4,7 @@
  * SPDX-License-Identifier: BSD-3-Clause
  */
 /**
- * Answers what peers ask of an agent: a table of handlers, one for each message.
+ * Handles the messages that peers send to an agent: a table with one handler for each message type.
  */
 import type { AdmissionDoor, ClaimKeeper, EndpointStatus, PeerRequest, ProcessStatus } from '@drumdrift/core'
 import type { Log } from '../observe/log.js'
@@ -15,11 +15,11 @@
 import type { Switcher } from './switcher.js'
 import type { WeightsKeeper } from './weights-keeper.js'
 
-/** What the handlers work with. */
-export interface AgentRequestsParts {
+/** What the handlers use. */
+export interface AgentRequestsDependencies {
   readonly instance: string
   readonly endpoint: string
-  readonly door: AdmissionDoor
+  readonly admissionController: AdmissionDoor
   readonly keeper: ClaimKeeper
   readonly spread: SpreadRunner
   readonly chunks: ChunkServer
@@ -33,92 +33,95 @@
 
 type Handlers = { readonly [Type in PeerRequest['type']]: (request: Extract<PeerRequest, { type: Type }>, payload: Buffer, responder: Responder) => void }
 
-/** The messages of one agent. */
+/** Handles the messages that one agent receives. */
 export class AgentRequests {
-  constructor (private readonly _parts: AgentRequestsParts) {}
+  constructor (private readonly _dependencies: AgentRequestsDependencies) {}
 
-  /** Answers one message; one of an unknown type is refused. */
+  /** Answers a message. Refuses a message of an unknown type. */
   handle (request: PeerRequest, payload: Buffer, responder: Responder): void {
     const handler = Object.hasOwn(this._handlers, request.type) && this._handlers[request.type] as ((request: PeerRequest, payload: Buffer, responder: Responder) => void) | undefined
     if (!handler) {
-      responder.send({ type: 'refused', reason: 'not-supported', detail: `unknown message ${String(request.type)}` })
+      responder.send({ type: 'refused', reason: 'not-supported', detail: `unknown message type ${String(request.type)}` })
       return
     }
     handler(request, payload, responder)
   }
 
   private readonly _handlers: Handlers = {
-    hello: (_request, _payload, responder) => responder.send({ type: 'refused', reason: 'malformed', detail: 'hello was said before' }),
-    news: (_request, _payload, responder) => responder.send({ type: 'refused', reason: 'not-supported', detail: 'this agent holds documents, not news' }),
-    'follow-news': (_request, _payload, responder) => responder.send({ type: 'refused', reason: 'not-supported', detail: 'this agent holds documents, not news' }),
-    'follow-load': (_request, _payload, responder) => responder.send({ type: 'refused', reason: 'not-supported', detail: 'this agent tells its load with each answer' }),
-    suspects: (_request, _payload, responder) => responder.send({ type: 'refused', reason: 'not-supported', detail: 'entries that ask this agent keep what they saw' }),
-    limits: (_request, _payload, responder) => responder.send({ type: 'refused', reason: 'not-supported', detail: 'this agent keeps the limit of its endpoint itself' }),
+    hello: (_request, _payload, responder) => responder.send({ type: 'refused', reason: 'malformed', detail: 'hello was already received on this connection' }),
+    news: (_request, _payload, responder) => responder.send({ type: 'refused', reason: 'not-supported', detail: 'this agent exchanges complete documents, not deltas' }),
+    'follow-news': (_request, _payload, responder) => responder.send({ type: 'refused', reason: 'not-supported', detail: 'this agent exchanges complete documents, not deltas' }),
+    'follow-load': (_request, _payload, responder) => responder.send({ type: 'refused', reason: 'not-supported', detail: 'this agent reports its load with each answer' }),
+    suspects: (_request, _payload, responder) => responder.send({ type: 'refused', reason: 'not-supported', detail: 'entries that use this agent keep their own reports of suspect requests' }),
+    limits: (_request, _payload, responder) => responder.send({ type: 'refused', reason: 'not-supported', detail: 'this agent enforces the limit of its endpoint itself' }),
     ping: (_request, _payload, responder) => responder.send({ type: 'done' }),
-    'follow-chunks': (_request, _payload, responder) => responder.send({ type: 'refused', reason: 'not-supported', detail: 'chunks of this agent are awaited, not followed' }),
-    compare: (request, _payload, responder) => this._parts.spread.compared(request, responder),
-    push: (request, _payload, responder) => this._parts.spread.pushed(request, responder),
-    chunk: ({ digest, wait }, _payload, responder) => { this._parts.chunks.serve(String(digest), Number(wait) || 0, responder) },
-    manifest: ({ digest, wait }, _payload, responder) => { this._manifest(String(digest), Number(wait) || 0, responder) },
+    'follow-chunks': (_request, _payload, responder) => responder.send({ type: 'refused', reason: 'not-supported', detail: 'this agent has no subscriptions to chunks; request a chunk with a wait' }),
+    compare: (request, _payload, responder) => this._dependencies.spread.compared(request, responder),
+    push: (request, _payload, responder) => this._dependencies.spread.pushed(request, responder),
+    chunk: ({ digest, wait }, _payload, responder) => { this._dependencies.chunks.serve(String(digest), Number(wait) || 0, responder) },
+    manifest: ({ digest, wait }, _payload, responder) => { this._sendManifest(String(digest), Number(wait) || 0, responder) },
     offer: ({ endpoint }, _payload, responder) => this._offer(endpoint, responder),
     claim: ({ organisation, id, attempt, bodyDigest }, _payload, responder) => {
-      const reply = this._parts.keeper.claim(String(organisation), String(id), String(attempt), String(bodyDigest), performance.now())
+      const reply = this._dependencies.keeper.claim(String(organisation), String(id), String(attempt), String(bodyDigest), performance.now())
       responder.send({ type: 'claimed', reply })
     },
     issue: (_request, _payload, responder) => {
-      const { incarnation } = this._parts.door
-      responder.send({ type: 'issued', keeper: { instance: this._parts.instance, incarnation, at: performance.now() } })
+      const { incarnation } = this._dependencies.admissionController
+      responder.send({ type: 'issued', keeper: { instance: this._dependencies.instance, incarnation, at: performance.now() } })
     },
     release: ({ organisation, id, attempt }, _payload, responder) => {
-      this._parts.keeper.release(organisation, id, attempt)
+      this._dependencies.keeper.release(organisation, id, attempt)
       responder.send({ type: 'done' })
     },
     run: (request, payload, responder) => this._run(request, payload, responder),
     go: ({ ticket, request }, payload, responder) => {
-      const admission = this._parts.door.go(ticket, performance.now())
-      responder.send({ type: 'admitted', admission, status: this._parts.endpointStatus() })
-      if (admission.type === 'admitted') this._parts.runner.start(admission.run, request, payload, responder)
+      const admission = this._dependencies.admissionController.go(ticket, performance.now())
+      responder.send({ type: 'admitted', admission, status: this._dependencies.endpointStatus() })
+      if (admission.type === 'admitted') this._dependencies.runner.start(admission.run, request, payload, responder)
     },
-    cancel: ({ ticket }, _payload, responder) => responder.send({ type: 'cancelled', reply: this._parts.door.cancel(ticket) }),
+    cancel: ({ ticket }, _payload, responder) => responder.send({ type: 'cancelled', reply: this._dependencies.admissionController.cancel(ticket) }),
     'hang-up': ({ call }, _payload, responder) => {
-      this._parts.runner.hangUp(responder.connection, call)
+      this._dependencies.runner.abortCall(responder.connection, call)
       responder.send({ type: 'done' })
     },
-    progress: ({ digest }, _payload, responder) => responder.send({ type: 'progress', progress: this._parts.switcher.progress(digest) }),
-    status: (_request, _payload, responder) => responder.send({ type: 'status', status: this._parts.processStatus() }),
+    progress: ({ digest }, _payload, responder) => responder.send({ type: 'progress', progress: this._dependencies.switcher.progress(digest) }),
+    status: (_request, _payload, responder) => responder.send({ type: 'status', status: this._dependencies.processStatus() }),
     leave: (request, _payload, responder) => this._leave(request, responder)
   }
 
-  private async _manifest (digest: string, wait: number, responder: Responder): Promise<void> {
-    const bytes = await this._parts.weights.manifest(digest, wait)
+  private async _sendManifest (digest: string, wait: number, responder: Responder): Promise<void> {
+    const bytes = await this._dependencies.weights.manifest(digest, wait)
     if (bytes === undefined) responder.send({ type: 'no-chunk', reason: 'not-held' })
     else responder.send({ type: 'manifest', digest }, bytes)
   }
 
   private _offer (endpoint: string, responder: Responder): void {
-    const status = this._parts.endpointStatus()
-    const reply = endpoint === this._parts.endpoint ? this._parts.door.offer(performance.now()) : { type: 'refused', reason: 'not-serving' } as const
+    const status = this._dependencies.endpointStatus()
+    const reply = endpoint === this._dependencies.endpoint ? this._dependencies.admissionController.offer(performance.now()) : { type: 'refused', reason: 'not-serving' } as const
     responder.send({ type: 'offered', reply, status })
   }
 
-  /** An agent whose address now belongs to another pool, or whose version is not the wanted one, runs nothing. */
+  /**
+   * Refuses a request for another endpoint, since the agent's address may have moved to another pool, and a request for a
+   * version that the engine does not serve.
+   */
   private _run ({ endpoint, request }: Extract<PeerRequest, { type: 'run' }>, payload: Buffer, responder: Responder): void {
-    const status = this._parts.endpointStatus()
-    const fits = endpoint === this._parts.endpoint && (request.version === '' || request.version === status.version)
-    const admission = fits ? this._parts.door.run(performance.now()) : { type: 'refused', reason: 'not-serving' } as const
-    responder.send({ type: 'admitted', admission, status: this._parts.endpointStatus() })
-    if (admission.type === 'admitted') this._parts.runner.start(admission.run, request, payload, responder)
+    const status = this._dependencies.endpointStatus()
+    const matches = endpoint === this._dependencies.endpoint && (request.version === '' || request.version === status.version)
+    const admission = matches ? this._dependencies.admissionController.run(performance.now()) : { type: 'refused', reason: 'not-serving' } as const
+    responder.send({ type: 'admitted', admission, status: this._dependencies.endpointStatus() })
+    if (admission.type === 'admitted') this._dependencies.runner.start(admission.run, request, payload, responder)
   }
 
-  /** Orders go to the incarnation named: a late one does not hit the replacement. */
+  /** Refuses an order to another incarnation, so that a late order does not affect the replacement process. */
   private _leave ({ incarnation, lifecycle, operator }: Extract<PeerRequest, { type: 'leave' }>, responder: Responder): void {
-    const { door, log } = this._parts
-    if (incarnation !== door.incarnation) {
-      responder.send({ type: 'refused', reason: 'wrong-incarnation', detail: `this is ${door.incarnation}` })
+    const { admissionController, log } = this._dependencies
+    if (incarnation !== admissionController.incarnation) {
+      responder.send({ type: 'refused', reason: 'wrong-incarnation', detail: `the incarnation of this process is ${admissionController.incarnation}` })
       return
     }
-    const moved = door.leave(lifecycle)
+    const moved = admissionController.leave(lifecycle)
     log.info('leave-ordered', { operator, lifecycle, moved })
-    responder.send({ type: 'left', lifecycle: door.lifecycle })
+    responder.send({ type: 'left', lifecycle: admissionController.lifecycle })
   }
 }
--- a/packages/node/src/lib/agent/chunk-store.ts
+++ b/packages/node/src/lib/agent/chunk-store.ts
@@ -4,85 +4,85 @@
  * SPDX-License-Identifier: BSD-3-Clause
  */
 /**
- * Where chunks stand while peers still need them. The engine's staging memory holds all chunks of the wanted version,
- * as it must to load it; this process keeps only the latest, up to a limit, and reads older ones back.
+ * Stores chunks while peers may still request them. The engine's staging memory holds all chunks of the desired version,
+ * which it needs to load it. This process caches only the most recent chunks, up to a limit, and reads older ones back.
  */
 import { Arrivals } from './arrivals.js'
 import type { ChunkStaging } from './engine-client.js'
 
-/** Chunks of one agent. */
+/** The chunks that one agent holds. */
 export class ChunkStore {
-  private readonly _recent = new Map<string, Buffer>()
+  private readonly _cache = new Map<string, Buffer>()
   private readonly _staged = new Set<string>()
   private readonly _arrivals = new Arrivals()
-  private _bytes = 0
+  private _cachedBytes = 0
 
   /**
-   * @param _limit Bytes kept in this process.
+   * @param _cacheLimit Bytes that this process may cache.
    */
-  constructor (private readonly _engine: ChunkStaging, private readonly _limit: number) {}
+  constructor (private readonly _engine: ChunkStaging, private readonly _cacheLimit: number) {}
 
-  /** Digests that the engine holds. */
+  /** Digests of the chunks that the engine holds. */
   get staged (): ReadonlySet<string> { return this._staged }
 
-  /** Learns what the engine holds: at the start, and again before a load, since an earlier agent may have dropped some. */
+  /** Reads which chunks the engine holds, at the start and again before a load, since an earlier agent may have dropped some. */
   async recover (): Promise<void> {
     this._staged.clear()
     for (const digest of await this._engine.staged()) this._staged.add(digest)
   }
 
   /**
-   * Keeps a verified chunk: peers that wait for it are served at once, the engine gets it next.
+   * Stores a verified chunk: serves peers that wait for it at once, then stages it in the engine.
    *
-   * @returns Whether the engine took it.
+   * @returns Whether the engine accepted it.
    */
   async keep (digest: string, bytes: Buffer): Promise<boolean> {
-    this._remember(digest, bytes)
-    this._arrivals.arrived(digest)
+    this._cacheChunk(digest, bytes)
+    this._arrivals.notify(digest)
     const staged = await this._engine.stage('chunks', digest, bytes)
     if (staged) this._staged.add(digest)
     return staged
   }
 
-  /** A chunk for a peer, or nothing when it is not held. */
+  /** Returns a chunk, or `undefined` if it is not held. */
   async get (digest: string): Promise<Buffer | undefined> {
-    const recent = this._recent.get(digest)
+    const recent = this._cache.get(digest)
     if (recent !== undefined) return recent
     if (!this._staged.has(digest)) return undefined
     const bytes = await this._engine.readBack('chunks', digest)
     if (bytes === undefined) this._staged.delete(digest)
-    else this._remember(digest, bytes)
+    else this._cacheChunk(digest, bytes)
     return bytes
   }
 
   has (digest: string): boolean {
-    return this._recent.has(digest) || this._staged.has(digest)
+    return this._cache.has(digest) || this._staged.has(digest)
   }
 
-  /** Waits until a chunk is held, for `wait` milliseconds at most. Returns whether it is. */
+  /** Waits up to `wait` milliseconds until a chunk is held. Returns whether it is. */
   async waitFor (digest: string, wait: number): Promise<boolean> {
     if (this.has(digest)) return true
     await this._arrivals.waitFor(digest, wait)
     return this.has(digest)
   }
 
-  /** Drops staged chunks that no wanted version lists. */
-  async dropExcept (wanted: ReadonlySet<string>, fence: number): Promise<void> {
+  /** Drops staged chunks that are not among the given digests. */
+  async dropExcept (kept: ReadonlySet<string>, fence: number): Promise<void> {
     for (const digest of [...this._staged]) {
-      if (wanted.has(digest)) continue
+      if (kept.has(digest)) continue
       this._staged.delete(digest)
       await this._engine.drop(digest, fence)
     }
   }
 
-  private _remember (digest: string, bytes: Buffer): void {
-    if (this._recent.has(digest)) return
-    this._recent.set(digest, bytes)
-    this._bytes += bytes.length
-    for (const [oldest, held] of this._recent) {
-      if (this._bytes <= this._limit) break
-      this._recent.delete(oldest)
-      this._bytes -= held.length
+  private _cacheChunk (digest: string, bytes: Buffer): void {
+    if (this._cache.has(digest)) return
+    this._cache.set(digest, bytes)
+    this._cachedBytes += bytes.length
+    for (const [oldest, held] of this._cache) {
+      if (this._cachedBytes <= this._cacheLimit) break
+      this._cache.delete(oldest)
+      this._cachedBytes -= held.length
     }
   }
 }
--- a/packages/node/src/lib/agent/weights-keeper.ts
+++ b/packages/node/src/lib/agent/weights-keeper.ts
@@ -4,8 +4,8 @@
  * SPDX-License-Identifier: BSD-3-Clause
  */
 /**
- * Brings the wanted version to this instance: carries out what the transfer decides, verifies every byte before it is
- * kept or passed on, and says when the version is whole.
+ * Transfers the desired version to this instance: carries out the effects of the transfer, verifies every byte before it
+ * is stored or served to peers, and reports when the version is complete.
  */
 import {
   checkManifest, type ChunkMember, type Manifest, type TransferCourse, type TransferEffect, type WeightsFailure
@@ -17,7 +17,7 @@
 import type { PeerPool } from '../peer/pool.js'
 import type { WeightsSource } from '../platform/platform-client.js'
 import { Arrivals } from './arrivals.js'
-import { fetchChunk, type PeerChunk } from './chunk-fetch.js'
+import { fetchChunk, type PeerChunkResult } from './chunk-fetch.js'
 import type { ChunkStore } from './chunk-store.js'
 import { digestOf, digestOfText, type ChunkDigest } from './digest.js'
 import type { ChunkStaging } from './engine-client.js'
@@ -25,11 +25,12 @@
 
 type Fetch = Extract<TransferEffect, { type: 'fetch' }>
 
-/** What the keeper works with. */
-export interface WeightsKeeperParts {
+/** What a weights keeper uses. */
+export interface WeightsKeeperDependencies {
   readonly self: ChunkMember
-  /** Begins the transfer of a version; `held` are the digests that are staged already. */
-  readonly newTransfer: NewTransfer
+  /** Creates the transfer of a version; `held` are the digests of chunks that are already staged. */
+  readonly newTransfer: TransferFactory
+  /** The largest total size of a version, in bytes. A larger one is refused. */
   readonly largestBytes: number
   readonly platform: WeightsSource
   readonly pool: PeerPool
@@ -37,21 +38,21 @@
   readonly store: ChunkStore
   readonly log: Log
   readonly counters: Counters
-  /** Members of the same pool. */
+  /** The members of the same pool. */
   readonly members: () => readonly ChunkMember[]
   readonly addressOf: (instance: string) => string | undefined
   readonly onWhole: (manifestDigest: string) => void
-  /** How manifests name chunks; the product's own way by default. */
+  /** The hash by which manifests name chunks; `blake2b` by default. */
   readonly chunkDigest?: ChunkDigest
   /**
-   * Whether bytes are the manifest of that identity. By default the identity is their digest; a platform that numbers
-   * its versions cannot know the digest beforehand.
+   * Returns whether bytes are the manifest of an identity. By default, the identity is the digest of the bytes. A platform
+   * that numbers its versions does not know the digest in advance.
    */
   readonly manifestMatches?: (identity: string, bytes: Buffer) => boolean
 }
 
-/** Makes the transfer of one version. */
-export type NewTransfer = (start: {
+/** Creates the transfer of one version. */
+export type TransferFactory = (start: {
   readonly members: readonly ChunkMember[]
   readonly identity: string
   readonly manifest: Manifest
@@ -59,185 +60,187 @@
   readonly originCopies: number
 }) => TransferCourse
 
-const TICK = 50
-/** How long this process waits at most for a manifest that a peer asks for, in milliseconds. */
-const LONGEST_MANIFEST_WAIT = 1_000
-/** How long a peer may wait for a chunk itself before it says that it has none, in milliseconds. */
+/** The interval of ticks of a transfer, in milliseconds. */
+const TICK_INTERVAL = 50
+/** The longest wait of a peer for a manifest that this process is still to receive, in milliseconds. */
+const MAX_MANIFEST_WAIT = 1_000
+/** How long a peer may wait until it receives a chunk itself before it refuses the request, in milliseconds. */
 const CHUNK_WAIT = 6_000
-/** A connection that was silent for less is taken for a living one, in milliseconds. */
-const SIGN_OF_LIFE = 400
-const LONGEST_FETCH = 30_000
-/** Before a manifest that nobody gave is asked for again, in milliseconds. */
-const MANIFEST_PAUSE = 200
+/** A connection that received bytes within this time counts as active, in milliseconds. */
+const ACTIVITY_TIMEOUT = 400
+/** The timeout of a chunk request to the platform, in milliseconds. */
+const PLATFORM_TIMEOUT = 30_000
+/** The delay before a failed fetch of a manifest is retried, in milliseconds. */
+const MANIFEST_RETRY_DELAY = 200
 
-/** The weights of one agent. */
+/** Holds and transfers the weights of one agent. */
 export class WeightsKeeper {
-  private _wanted = ''
+  private _desiredDigest = ''
   private _originCopies = 1
   private _manifest: Manifest | undefined
   private _transfer: TransferCourse | undefined
-  private _wholeDigest = ''
-  /** The list that the transfer works with; compared by identity, since a new revision makes a new list. */
+  private _completeDigest = ''
+  /** The list that the transfer uses; compared by reference, since a new revision creates a new list. */
   private _members: readonly ChunkMember[] = []
   private _problem: WeightsFailure | undefined
-  private _wantedDigests: ReadonlySet<string> = new Set()
+  private _chunkDigests: ReadonlySet<string> = new Set()
   private readonly _fetches = new Map<number, AbortController>()
-  /** Where the chunks under way come from. */
+  /** The connections of chunk requests in flight, by attempt. */
   private readonly _connections = new Map<number, PeerConnection>()
   private readonly _manifests = new Map<string, Buffer>()
   private readonly _arrivals = new Arrivals()
   private readonly _manifestSource: ManifestSource
-  /** Runs while a transfer is under way: a keeper that wants nothing woke its process 20 times a second. */
+  /** Runs only during a transfer; otherwise it would wake an idle process 20 times a second. */
   private _ticker: NodeJS.Timeout | undefined
-  /** What became of the attempts of the transfer under way, for the log: by source, or by what went wrong. */
+  /** The number of attempts of the current transfer by their source or failure, for the log. */
   private readonly _outcomes = new Map<string, number>()
   private _startedAt = 0
 
-  constructor (private readonly _parts: WeightsKeeperParts) {
+  constructor (private readonly _dependencies: WeightsKeeperDependencies) {
     this._manifestSource = new ManifestSource({
-      ..._parts, matches: (identity, bytes) => this._matches(identity, bytes), onProblem: problem => this._noteManifestProblem(problem)
+      ..._dependencies, matches: (identity, bytes) => this._matches(identity, bytes), onProblem: problem => this._recordManifestProblem(problem)
     })
   }
 
-  /** The manifest digest that is wanted; empty for none. */
-  get wanted (): string { return this._wanted }
-  /** The manifest digest that is held whole and verified; empty for none. */
-  get wholeDigest (): string { return this._wholeDigest }
-  /** The manifest of the wanted version, once it is held. */
+  /** The manifest digest of the desired version; empty for none. */
+  get wanted (): string { return this._desiredDigest }
+  /** The manifest digest of the desired version once it is complete and verified; empty before. */
+  get wholeDigest (): string { return this._completeDigest }
+  /** The manifest of the desired version; `undefined` until it is held. */
   get currentManifest (): Manifest | undefined { return this._manifest }
-  /** The share of the wanted version that is held. */
+  /** The share of the desired version that is held. */
   get progress (): number { return this._transfer?.progress ?? 0 }
-  /** What keeps the wanted version away, if anything. */
+  /** Why the desired version cannot be fetched; `undefined` without a failure. */
   get problem (): WeightsFailure | undefined { return this._problem }
 
   close (): void {
     this._stopTicking()
-    // A manifest that was still looked for would be asked for until the process ends.
-    this._wanted = ''
+    // Ends the retries of a manifest that is not held yet, which would otherwise go on until the process ends.
+    this._desiredDigest = ''
     for (const fetch of this._fetches.values()) fetch.abort()
   }
 
-  /** Whether a chunk belongs to the version being fetched, or may: its manifest may still be on its way. */
+  /** Returns whether a chunk belongs to the desired version, or may belong to it because the manifest is not held yet. */
   expects (digest: string): boolean {
-    if (this._wanted !== '' && this._manifest === undefined) return true
-    return this._wantedDigests.has(digest)
+    if (this._desiredDigest !== '' && this._manifest === undefined) return true
+    return this._chunkDigests.has(digest)
   }
 
   /**
-   * A manifest for a peer.
+   * Returns a manifest for a peer, or `undefined` if it is not held.
    *
-   * @param wait Milliseconds to wait for one that is on its way here.
+   * @param wait Milliseconds to wait until this process receives the manifest.
    */
   async manifest (digest: string, wait: number): Promise<Buffer | undefined> {
-    const held = this._manifests.get(digest) ?? await this._parts.engine.readBack('manifests', digest)
+    const held = this._manifests.get(digest) ?? await this._dependencies.engine.readBack('manifests', digest)
     if (held !== undefined || wait <= 0) return held
-    await this._arrivals.waitFor(digest, Math.min(LONGEST_MANIFEST_WAIT, wait))
+    await this._arrivals.waitFor(digest, Math.min(MAX_MANIFEST_WAIT, wait))
     return this._manifests.get(digest)
   }
 
   /**
-   * Sets the wanted version; empty for none. A transfer of another one ends at once; chunks that both share stay.
+   * Sets the desired version; empty for none. Cancels the transfer of another version; chunks that both versions share are kept.
    */
   want (manifestDigest: string, originCopies: number): void {
     this._originCopies = originCopies
-    if (manifestDigest === this._wanted) return
-    this._parts.log.info('weights-wanted', { manifest: manifestDigest })
-    this._wanted = manifestDigest
-    this._wholeDigest = ''
+    if (manifestDigest === this._desiredDigest) return
+    this._dependencies.log.info('weights-wanted', { manifest: manifestDigest })
+    this._desiredDigest = manifestDigest
+    this._completeDigest = ''
     this._problem = undefined
-    this._carryOut(this._transfer?.cancel() ?? [])
+    this._applyEffects(this._transfer?.cancel() ?? [])
     this._transfer = undefined
     this._manifest = undefined
-    this._wantedDigests = new Set()
-    if (manifestDigest !== '') this._begin(manifestDigest)
+    this._chunkDigests = new Set()
+    if (manifestDigest !== '') this._fetchAndAdoptManifest(manifestDigest)
   }
 
-  /** Drops chunks that the wanted version does not list; call it once that version is served. */
-  async dropOthers (fence: number): Promise<void> {
-    if (this._manifest !== undefined) await this._parts.store.dropExcept(this._wantedDigests, fence)
+  /** Drops chunks that the desired version does not list; call it once that version is served. */
+  async dropUnlisted (fence: number): Promise<void> {
+    if (this._manifest !== undefined) await this._dependencies.store.dropExcept(this._chunkDigests, fence)
   }
 
-  /** The list of members may have changed; a version that is whole hears of it only so. */
+  /** Updates the list of members. Ticks do so during a transfer; once the version is complete, only this call does. */
   membersChanged (): void {
-    const members = this._parts.members()
+    const members = this._dependencies.members()
     if (members === this._members) return
     this._transfer?.setMembers(members)
     this._members = members
   }
 
   /**
-   * Looks once more whether the engine holds the whole version, as it must right before a load. If chunks are gone they
-   * are fetched again.
+   * Checks whether the engine still holds the complete version, as it must right before a load. Chunks that are missing are
+   * fetched again.
    */
   async confirmWhole (): Promise<boolean> {
     const manifest = this._manifest
     if (manifest === undefined) return false
-    await this._parts.store.recover()
-    if (manifest.chunks.every(chunk => this._parts.store.staged.has(chunk.digest))) return true
-    this._parts.log.warn('staging-lost', { manifest: this._wanted })
-    this._wholeDigest = ''
+    await this._dependencies.store.recover()
+    if (manifest.chunks.every(chunk => this._dependencies.store.staged.has(chunk.digest))) return true
+    this._dependencies.log.warn('staging-lost', { manifest: this._desiredDigest })
+    this._completeDigest = ''
     this._startTransfer(manifest)
     return false
   }
 
-  private async _begin (manifestDigest: string): Promise<void> {
+  private async _fetchAndAdoptManifest (manifestDigest: string): Promise<void> {
     const startedAt = performance.now()
-    while (this._wanted === manifestDigest) {
+    while (this._desiredDigest === manifestDigest) {
       const bytes = await this._fetchManifest(manifestDigest, performance.now() - startedAt)
-      if (this._wanted !== manifestDigest) return
+      if (this._desiredDigest !== manifestDigest) return
       if (bytes !== undefined && this._adoptManifest(manifestDigest, bytes)) return
-      await pause(MANIFEST_PAUSE)
+      await pause(MANIFEST_RETRY_DELAY)
     }
   }
 
   private _adoptManifest (manifestDigest: string, bytes: Buffer): boolean {
-    const checked = checkManifest(parseJson(bytes), this._parts.largestBytes)
+    const checked = checkManifest(tryParseJson(bytes), this._dependencies.largestBytes)
     if ('failure' in checked) {
-      this._fail(checked.failure)
+      this._recordProblem(checked.failure)
       return false
     }
     this._problem = undefined
     this._manifest = checked.value
     this._manifests.clear()
     this._manifests.set(manifestDigest, bytes)
-    this._arrivals.arrived(manifestDigest)
-    this._parts.log.info('manifest-held', { manifest: manifestDigest, chunks: checked.value.chunks.length })
-    this._wantedDigests = new Set(checked.value.chunks.map(chunk => chunk.digest))
+    this._arrivals.notify(manifestDigest)
+    this._dependencies.log.info('manifest-held', { manifest: manifestDigest, chunks: checked.value.chunks.length })
+    this._chunkDigests = new Set(checked.value.chunks.map(chunk => chunk.digest))
     this._startTransfer(checked.value)
-    this._parts.engine.stage('manifests', manifestDigest, bytes)
+    this._dependencies.engine.stage('manifests', manifestDigest, bytes)
     this._tick()
     return true
   }
 
   private _startTransfer (manifest: Manifest): void {
-    this._carryOut(this._transfer?.cancel() ?? [])
+    this._applyEffects(this._transfer?.cancel() ?? [])
     this._outcomes.clear()
     this._startedAt = performance.now()
-    this._members = this._parts.members()
-    this._transfer = this._parts.newTransfer({
-      members: this._members, identity: this._wanted, manifest, held: this._parts.store.staged, originCopies: this._originCopies
+    this._members = this._dependencies.members()
+    this._transfer = this._dependencies.newTransfer({
+      members: this._members, identity: this._desiredDigest, manifest, held: this._dependencies.store.staged, originCopies: this._originCopies
     })
-    this._ticker ??= setInterval(() => this._tick(), TICK)
+    this._ticker ??= setInterval(() => this._tick(), TICK_INTERVAL)
   }
 
-  /** The one that is staged already, or else one from a peer or the platform. */
-  private async _fetchManifest (digest: string, waited: number): Promise<Buffer | undefined> {
+  /** Returns the staged manifest if it matches; otherwise fetches it from a peer or the platform. */
+  private async _fetchManifest (digest: string, elapsed: number): Promise<Buffer | undefined> {
     const held = await this.manifest(digest, 0)
     if (held !== undefined && this._matches(digest, held)) return held
-    return await this._manifestSource.fetch(digest, waited)
+    return await this._manifestSource.fetch(digest, elapsed)
   }
 
   private _matches (identity: string, bytes: Buffer): boolean {
-    const { manifestMatches } = this._parts
+    const { manifestMatches } = this._dependencies
     return manifestMatches === undefined ? digestOfText(bytes) === identity : manifestMatches(identity, bytes)
   }
 
   private _tick (): void {
     const transfer = this._transfer
-    if (transfer === undefined || this._wholeDigest !== '') return this._stopTicking()
+    if (transfer === undefined || this._completeDigest !== '') return this._stopTicking()
     this.membersChanged()
-    this._noteLife(transfer)
-    this._carryOut(transfer.tick(performance.now()))
+    this._reportActiveConnections(transfer)
+    this._applyEffects(transfer.tick(performance.now()))
   }
 
   private _stopTicking (): void {
@@ -245,15 +248,15 @@
     this._ticker = undefined
   }
 
-  /** A connection over which bytes come is no stalled one, though signs may wait behind other chunks. */
-  private _noteLife (transfer: TransferCourse): void {
+  /** A connection that receives bytes is not stalled, although keepalives may be queued behind other chunks. */
+  private _reportActiveConnections (transfer: TransferCourse): void {
     const now = performance.now()
     for (const [attempt, connection] of this._connections) {
-      if (connection.open && connection.silence(now) < SIGN_OF_LIFE) transfer.coming(attempt, now)
+      if (connection.open && connection.silence(now) < ACTIVITY_TIMEOUT) transfer.coming(attempt, now)
     }
   }
 
-  private _carryOut (effects: readonly TransferEffect[]): void {
+  private _applyEffects (effects: readonly TransferEffect[]): void {
     for (const effect of effects) this._handlers[effect.type](effect as never)
   }
 
@@ -264,11 +267,11 @@
       this._fetches.delete(attempt)
     },
     whole: ({ manifestDigest }) => {
-      this._wholeDigest = manifestDigest
-      this._parts.log.info('version-whole', {
+      this._completeDigest = manifestDigest
+      this._dependencies.log.info('version-whole', {
         manifest: manifestDigest, chunks: this._manifest?.chunks.length, took: Math.round(performance.now() - this._startedAt), ...Object.fromEntries(this._outcomes)
       })
-      this._parts.onWhole(manifestDigest)
+      this._dependencies.onWhole(manifestDigest)
     }
   }
 
@@ -283,53 +286,53 @@
     const now = performance.now()
     const outcome = problem === undefined ? `from_${effect.source.kind}` : problem.replaceAll('-', '_')
     this._outcomes.set(outcome, (this._outcomes.get(outcome) ?? 0) + 1)
-    if (problem !== undefined) this._parts.log.debug('chunk-failed', { problem, source: nameOf(effect), chunk: effect.index, attempt: effect.attempt })
-    this._carryOut(problem === undefined ? transfer.arrived(effect.attempt, now) : transfer.failed(effect.attempt, problem, now))
+    if (problem !== undefined) this._dependencies.log.debug('chunk-failed', { problem, source: sourceName(effect), chunk: effect.index, attempt: effect.attempt })
+    this._applyEffects(problem === undefined ? transfer.arrived(effect.attempt, now) : transfer.failed(effect.attempt, problem, now))
   }
 
-  /** Fetches, checks and keeps one chunk. Returns what went wrong, if anything. */
+  /** Fetches, verifies and stores one chunk. Returns the failure, or `undefined` on success. */
   private async _fetchVerified (effect: Fetch, signal: AbortSignal): Promise<'corrupt' | 'unreachable' | 'not-yet' | 'not-held' | 'timed-out' | undefined> {
-    const fetched = await this._bytes(effect, signal)
+    const fetched = await this._fetchBytes(effect, signal)
     if (typeof fetched === 'string') return fetched
-    const sound = fetched.length === effect.bytes && await digestOf(fetched, this._parts.chunkDigest) === effect.digest
-    if (!sound) {
-      this._parts.counters.add('chunks_corrupt')
-      this._parts.log.warn('chunk-corrupt', { source: nameOf(effect), chunk: effect.index, bytes: fetched.length })
+    const valid = fetched.length === effect.bytes && await digestOf(fetched, this._dependencies.chunkDigest) === effect.digest
+    if (!valid) {
+      this._dependencies.counters.add('chunks_corrupt')
+      this._dependencies.log.warn('chunk-corrupt', { source: sourceName(effect), chunk: effect.index, bytes: fetched.length })
       return 'corrupt'
     }
     if (signal.aborted) return 'timed-out'
-    this._parts.counters.add(`chunk_bytes_from_${effect.source.kind}`, fetched.length)
-    const staged = await this._parts.store.keep(effect.digest, fetched)
+    this._dependencies.counters.add(`chunk_bytes_from_${effect.source.kind}`, fetched.length)
+    const staged = await this._dependencies.store.keep(effect.digest, fetched)
     return staged ? undefined : 'not-yet'
   }
 
-  private async _bytes (effect: Fetch, signal: AbortSignal): Promise<PeerChunk> {
+  private async _fetchBytes (effect: Fetch, signal: AbortSignal): Promise<PeerChunkResult> {
     if (effect.source.kind !== 'peer') {
-      return await this._parts.platform.weights(effect.source.kind, 'chunks', effect.digest, LONGEST_FETCH, signal) ?? 'not-held'
+      return await this._dependencies.platform.weights(effect.source.kind, 'chunks', effect.digest, PLATFORM_TIMEOUT, signal) ?? 'not-held'
     }
-    const address = this._parts.addressOf(effect.source.instance)
+    const address = this._dependencies.addressOf(effect.source.instance)
     if (address === undefined) return 'unreachable'
-    const onComing = (): void => this._transfer?.coming(effect.attempt, performance.now())
-    return await fetchChunk(this._parts.pool, { address, digest: effect.digest, wait: CHUNK_WAIT, signal, onComing, onConnection: connection => this._connections.set(effect.attempt, connection) })
+    const onPending = (): void => this._transfer?.coming(effect.attempt, performance.now())
+    return await fetchChunk(this._dependencies.pool, { address, digest: effect.digest, wait: CHUNK_WAIT, signal, onPending, onConnection: connection => this._connections.set(effect.attempt, connection) })
   }
 
-  /** That nobody has a manifest is no news after another problem with it. */
-  private _noteManifestProblem (problem: WeightsFailure): void {
+  /** An unavailable manifest does not replace an earlier problem, which is more specific. */
+  private _recordManifestProblem (problem: WeightsFailure): void {
     if (problem.reason === 'unavailable') this._problem ??= problem
-    else this._fail(problem)
+    else this._recordProblem(problem)
   }
 
-  private _fail (problem: WeightsFailure): void {
+  private _recordProblem (problem: WeightsFailure): void {
     this._problem = problem
-    this._parts.log.warn('weights-refused', { reason: problem.reason, detail: problem.detail })
+    this._dependencies.log.warn('weights-refused', { reason: problem.reason, detail: problem.detail })
   }
 }
 
-function nameOf (effect: Fetch): string {
+function sourceName (effect: Fetch): string {
   return effect.source.kind === 'peer' ? effect.source.instance : effect.source.kind
 }
 
-function parseJson (bytes: Buffer): unknown {
+function tryParseJson (bytes: Buffer): unknown {
   try {
     return JSON.parse(bytes.toString('utf8'))
   } catch {
