--- a/packages/fuzz/src/fuzz.ts
+++ b/packages/fuzz/src/fuzz.ts
@@ -3,18 +3,18 @@
  * Copyright 2026 the drumdrift contributors
  * SPDX-License-Identifier: BSD-3-Clause
  */
-/** Fuzzes the promises, or the variants that must break them. */
+/** Command that fuzzes the promises, or the variants that must violate them. */
 import { Command } from 'commander'
 import { fuzzNegatives, fuzzPromises } from './lib/campaign.js'
 
 const DEFAULT_RUNS = 300
 
 const program = new Command('fuzz')
-  .option('--seed <number>', 'seed of everything that is drawn', Number, 7)
+  .option('--seed <number>', 'seed of the random generator', Number, 7)
   .option('--runs <number>', 'runs of each scenario', Number, DEFAULT_RUNS)
-  .option('--scenario <name>', 'only weights, requests, configuration, routed, suspects, limits or published')
-  .option('--replay <path>', 'replays the case that a violation named')
-  .option('--negatives', 'runs the variants, each of which must be found out')
+  .option('--scenario <name>', 'runs one scenario: weights, requests, configuration, routed, suspects, limits or published')
+  .option('--replay <path>', 'replays the case whose path a violation printed')
+  .option('--negatives', 'runs the variants, each of which must violate its promise')
   .action((options: { seed: number, runs: number, scenario?: string, replay?: string, negatives?: boolean }) => {
     const print = (line: string): void => { process.stdout.write(`${line}\n`) }
     const campaign = { seed: options.seed, runs: options.runs, print, ...(options.scenario === undefined ? {} : { scenario: options.scenario }), ...(options.replay === undefined ? {} : { path: options.replay }) }
--- a/packages/fuzz/src/lib/campaign.ts
+++ b/packages/fuzz/src/lib/campaign.ts
@@ -3,7 +3,7 @@
  * Copyright 2026 the drumdrift contributors
  * SPDX-License-Identifier: BSD-3-Clause
  */
-/** Runs the promises over their scenarios, and the variants that must break them, and prints a line for each. */
+/** Runs the scenarios, and the variants that must violate a promise, and prints a line for each promise or variant. */
 import { realConfigurationParts } from './configuration-world.js'
 import { realRequestParts } from './request-parts.js'
 import { runScenario, type Finding } from './scenario.js'
@@ -15,7 +15,7 @@
 import { realWeightsParts } from './weights-world.js'
 import { variants } from './variants.js'
 
-/** How a campaign is run. */
+/** Options of a campaign. */
 export interface CampaignOptions {
   readonly seed: number
   readonly runs: number
@@ -41,9 +41,9 @@
 ]
 
 /**
- * Fuzzes every promise.
+ * Fuzzes every promise, or those of one scenario.
  *
- * @returns Whether all held.
+ * @returns Whether no promise was violated.
  * @example
  * const held = fuzzPromises({ seed: 7, runs: 200, print: console.log })
  */
@@ -68,7 +68,7 @@
 /**
  * Runs every variant.
  *
- * @returns Whether each was found out, by its own promise.
+ * @returns Whether each variant violated the promise that it is meant to violate.
  */
 export function fuzzNegatives ({ seed, runs, print }: CampaignOptions): boolean {
   let caught = true
--- a/packages/fuzz/src/lib/configuration-world.ts
+++ b/packages/fuzz/src/lib/configuration-world.ts
@@ -4,18 +4,18 @@
  * SPDX-License-Identifier: BSD-3-Clause
  */
 /**
- * Processes that hold published settings over the fake network, with the real spread, and a fake configuration
- * service that can be down or stale. The oracle knows every revision that was published and when.
+ * Processes that hold the published configuration, on the simulated network, with the real gossip, and a fake configuration
+ * service that can be down or stale. The oracle knows every published revision.
  */
 import { RevisionLedger, Spread, checkConfiguration, type Configuration, type InstanceRecord, type Published, type SpreadEffect, type Topic } from '@drumdrift/core'
 import { Process, World } from './world.js'
 
-/** The parts whose protections a variant may take out. */
+/** The parts whose protections a variant may remove. */
 export interface ConfigurationParts {
   readonly ledger: (source: string) => RevisionLedger<Configuration>
-  /** Whether processes compare notes with random peers. */
+  /** Whether processes compare revisions with random peers. */
   readonly compares: boolean
-  /** Whether a process that starts asks peers before it believes the service. */
+  /** Whether a starting process asks its peers before it adopts a revision from the service. */
   readonly joins: boolean
 }
 
@@ -30,9 +30,9 @@
   readonly record: InstanceRecord
   process: Process
   spread: Spread
-  /** The highest revision that this incarnation has had in force. */
+  /** The highest revision that this incarnation has adopted. */
   highest: number
-  /** The highest revision that a seed held, which this incarnation could reach from its start on. */
+  /** The highest revision held at the start by the seeds, if this incarnation has been able to reach them all since; otherwise 0. */
   knownToSeeds: number
   readonly startedAt: number
 }
@@ -42,20 +42,21 @@
 const SOURCE = 'fuzz'
 const ZONES = ['koshi', 'bagmati', 'gandaki'] as const
 const MEMBERS = 9
+/** Times are in milliseconds. */
 const TICK = 100
 const CALL_TIMEOUT = 1_000
 const READ_TIMEOUT = 1_500
 const WATCH_WAIT = 2_500
 const SERVICE_LATENCY = 3
-/** Longer than a process asks its seeds before it takes anything, in milliseconds. */
+/** Longer than a starting process waits for its seeds before it adopts a revision. */
 const JOIN_TIME = 3_000
-/** What the letter allows, in milliseconds. */
+/** Required time from the publication of a revision until it is in force everywhere. */
 const IN_FORCE_WITHIN = 9_000
 
 const goodDocument = { models: {}, pools: {}, services: {}, organisations: {} }
 const badDocument = { models: {}, pools: { drafting: { model: 'none', version: 'v1' } }, services: {}, organisations: {} }
 
-/** One run's processes and service. */
+/** Simulation of the processes and the configuration service. */
 export class ConfigurationWorld {
   readonly world: World
   readonly members: Member[] = []
@@ -74,17 +75,17 @@
     for (const record of records) this.members.push(this._start(record))
   }
 
-  /** An operator publishes; another may do so at the same time, and the service puts one after the other. */
+  /** Publishes a document; the service orders concurrent publications. */
   publish (good: boolean): void { this._publishDocument(good ? goodDocument : badDocument) }
 
-  /** What seeds hold binds a process that starts only if it can go on reaching them until it has joined. */
+  /** Clears the expectation from the seeds for processes that have not joined yet, since they may no longer reach their seeds. */
   private _disturbed (): void {
     for (const member of this.members) if (this.world.now - member.startedAt < JOIN_TIME) member.knownToSeeds = 0
   }
 
   setService (state: ServiceState): void { this._service = state }
 
-  /** A process dies and comes back at once as a new incarnation. */
+  /** Kills a process and starts a new incarnation at once. */
   restart (index: number): void {
     const at = index % this.members.length
     const old = this.members[at] as Member
@@ -111,9 +112,9 @@
   cutPlatform (zone: number): void { this.world.cut('platform', ZONES[zone % ZONES.length] ?? '') }
 
   /**
-   * Nothing new goes wrong for as long as the letter allows: then everyone has the newest that the service shows or
-   * that anyone connected to them over processes holds. A revision that the service has replaced and nobody within
-   * reach took cannot be had.
+   * Advances by the required time without new disturbances, then checks that every process has the newest revision that the
+   * service returns or that any process connected to it, directly or through others, held before. A revision that the service
+   * has replaced and that no connected process has adopted is no longer available.
    */
   quiet (): void {
     const expected = this._service === 'normal' ? this.members.map(member => ({ member, newest: this._newestFor(member) })) : []
@@ -125,17 +126,17 @@
     }
   }
 
-  /** Everything heals, and everyone comes to the newest. */
+  /** Ends all disturbances and checks that every process reaches the newest revision. */
   settle (): void {
     this.world.heal()
     this.thawAll()
     this._service = 'normal'
-    // Long enough for the longest back-off of a process that was alone.
+    // Longer than the longest back-off of a process that was isolated.
     this.world.advance(20_000)
     this.quiet()
   }
 
-  /** The newest revision that a process can come to; 0 when it is frozen or cut off from the platform. */
+  /** Returns the newest revision that a process can obtain, or 0 if it is frozen or cut off from the platform. */
   private _newestFor (member: Member): number {
     const group = this._connected(member)
     if (!group.some(({ process }) => this.world.platformReaches(process))) return 0
@@ -144,7 +145,7 @@
     return Math.max(0, shown?.document === goodDocument ? shown.revision : 0, ...held)
   }
 
-  /** Members that are awake and connected to one, over others if need be; nobody when that one is not awake. */
+  /** Returns the running members connected to one, directly or through others; none if that member is not running. */
   private _connected (start: Member): Member[] {
     const awake = this.members.filter(member => member.process.alive && !member.process.frozen)
     if (!awake.includes(start)) return []
@@ -177,7 +178,7 @@
     return member
   }
 
-  /** What the first three members, which are everyone's seeds, hold when a process starts that reaches all of them. */
+  /** Returns the newest revision of the first three members, which are the seeds, if the process reaches them all, and 0 otherwise. */
   private _knownToSeeds (process: Process): number {
     const seeds = this.members.slice(0, 3).filter(seed => seed.process.name !== process.name)
     const reachable = seeds.every(seed => seed.process.alive && !seed.process.frozen && this.world.connected(process, seed.process) && this.world.connected(seed.process, process))
@@ -202,9 +203,9 @@
 
   private _adopted (member: Member, revision: number): void {
     const name = member.process.incarnation
-    if (revision < member.highest) this.world.violate(`never-reverts: ${name} went from ${member.highest} back to ${revision}`)
-    if (revision < member.knownToSeeds) this.world.violate(`never-reverts: ${name} took ${revision} though its seeds held ${member.knownToSeeds}`)
-    if (this._published[revision - 1]?.document !== goodDocument) this.world.violate(`accepted-only: ${name} put the invalid revision ${revision} in force`)
+    if (revision < member.highest) this.world.violate(`never-reverts: ${name} reverted from ${member.highest} to ${revision}`)
+    if (revision < member.knownToSeeds) this.world.violate(`never-reverts: ${name} adopted ${revision} although its seeds held ${member.knownToSeeds}`)
+    if (this._published[revision - 1]?.document !== goodDocument) this.world.violate(`accepted-only: ${name} adopted the invalid revision ${revision}`)
     member.highest = Math.max(member.highest, revision)
   }
 
@@ -226,7 +227,7 @@
     })
   }
 
-  /** A watch is answered as soon as there is something newer, or not at all until its time is up. */
+  /** Reads from the service; a watch is answered when there is a newer revision or when its wait is over. */
   private _read (member: Member, topic: Topic, after: number, wait: number): void {
     const { world } = this
     const { process, spread } = member
--- a/packages/fuzz/src/lib/limit-world.ts
+++ b/packages/fuzz/src/lib/limit-world.ts
@@ -4,17 +4,17 @@
  * SPDX-License-Identifier: BSD-3-Clause
  */
 /**
- * Entries and endpoints that name limits in their answers, change them and end them, with the real decision on what each entry may
- * send. The oracles count what reaches an endpoint from entries that it told, and look whether an endpoint that names no limit any more
- * gets requests of all entries again. Fleets have 6, 24 or 98 entries.
+ * Entries, and endpoints that announce, change and end limits in their answers, with the real decision on what each entry may send.
+ * The oracles count the requests that reach an endpoint from entries that it has informed, and check that all entries use an endpoint
+ * again after its limit has ended. Fleets have 6, 24 or 98 entries.
  */
 import { EndpointLimits, type LimitNews } from '@drumdrift/core'
 import { Process, World } from './world.js'
 
-/** The parts whose protections a variant may take out. */
+/** The parts whose protections a variant may remove. */
 export interface LimitParts {
   readonly limits: (entries: (now: number) => number | undefined, draw: () => number) => Pick<EndpointLimits, 'heard' | 'told' | 'corrections' | 'report' | 'known' | 'sparedFor' | 'isDue' | 'sent'>
-  /** Whether entries tell each other what they heard. */
+  /** Whether entries share the limits that they receive. */
   readonly tells: boolean
 }
 
@@ -24,18 +24,18 @@
 interface Entry {
   process: Process
   limits: ReturnType<LimitParts['limits']>
-  /** When it passed on the first answer of each endpoint that names a limit. */
+  /** When it received the first answer that announces the current limit, by endpoint. */
   readonly toldBy: Map<number, number>
-  /** Excused until then: it was restarted or cut off. */
+  /** Requests of this entry do not count until then, because it was restarted or cut off. */
   excusedUntil: number
 }
 
 interface Endpoint {
   limit: number | undefined
-  /** Since when entries have had to heed what it names, and the lowest that it has named since it began. */
+  /** When the limit began or was last lowered, and the lowest value since the limit began. */
   since: number
   lowest: number
-  /** When it named a limit for the last time. */
+  /** When the last limit ended. */
   endedAt: number
   arrivals: { readonly at: number, readonly entry: Entry, readonly process: Process }[]
 }
@@ -43,30 +43,33 @@
 const ZONES = ['koshi', 'bagmati', 'gandaki'] as const
 const FLEETS = [6, 24, 98] as const
 const ENDPOINTS = 4
-/** Requests a second to all endpoints, in calm times. */
+/** Requests per second to all endpoints without a burst. */
 const RATE = 60
-/** An endpoint answers after this, in milliseconds; now and then an answer is overtaken by many others. */
+/** Largest delay of an answer, the share of answers that many others overtake, and the largest additional delay of those; in milliseconds. */
 const LONGEST_ANSWER = 300
 const OVERTAKEN = 0.03
 const LONGEST_WAY = 700
-/** The operators count in stretches of this length, allow so much, and give so much time to take notice; in milliseconds. */
+/**
+ * The operators' bound: the window, the factor and the number of requests by which a limit may be exceeded in it, and the time allowed
+ * until entries apply a limit, in the fleet and at an entry that has received it; times in milliseconds.
+ */
 const STRETCH = 4_000
 const ALLOWED_FACTOR = 1.5
 const ALLOWED_BEYOND = 5
 const NOTICE_TIME = 3_000
 const HEEDED_AFTER = 500
-/** How many entries are told by those whom one entry tells, and of how many it is one, at each telling. */
+/** Share of the entries that a broadcast of one entry reaches. */
 const REACHED_SHARE = 0.6
-/** How often an entry compares what holds with what others hold, in milliseconds. */
+/** Interval at which an entry compares its limits with those of another, in milliseconds. */
 const COMPARE_PAUSE = 5_000
 /**
- * An endpoint that names no limit any more gets requests from all entries within a minute, if it took one in three seconds at least
- * before; in milliseconds, and requests a second.
+ * All entries use an endpoint again within a minute after its limit has ended, if the limit allowed at least about one request in three
+ * seconds; in milliseconds, and requests per second.
  */
 const KNOWN_AGAIN = 60_000
 const LEAST_KNOWN_AGAIN = 0.3
 
-/** One run's entries and endpoints. */
+/** Simulation of entries and endpoints. */
 export class LimitWorld {
   readonly world: World
   private readonly _entries: Entry[] = []
@@ -82,22 +85,22 @@
     if (_parts.tells) this._compare()
   }
 
-  /** Requests come in for some time, so many times as many as usual. */
+  /** Schedules requests for some time, at a multiple of the usual rate. */
   load (milliseconds: number, factor: number): void {
     this._loadUntil = Math.max(this._loadUntil, this.world.now + milliseconds)
     this._next(this.world.now + milliseconds, factor)
   }
 
-  /** An endpoint names a limit from now on, in requests a second, or another than before. */
+  /** Makes an endpoint announce a new limit, in requests per second. */
   name (index: number, limit: number): void {
     const endpoint = this._endpoints[index % ENDPOINTS] as Endpoint
-    // After each change for the lower entries are given the time to take notice anew.
+    // The time allowed until entries apply the limit starts again each time the limit is lowered.
     if (endpoint.limit === undefined || limit < endpoint.limit) endpoint.since = this.world.now
     endpoint.lowest = endpoint.limit === undefined ? limit : Math.min(endpoint.lowest, limit)
     endpoint.limit = limit
   }
 
-  /** It names none any more. */
+  /** Ends the limit of an endpoint. */
   end (index: number): void {
     const endpoint = this._endpoints[index % ENDPOINTS] as Endpoint
     if (endpoint.limit === undefined) return
@@ -106,7 +109,7 @@
     for (const entry of this._entries) entry.toldBy.delete(index % ENDPOINTS)
   }
 
-  /** An entry is killed, and starts again. */
+  /** Kills and restarts an entry. */
   restart (index: number): void {
     const place = index % this._entries.length
     this.world.kill((this._entries[place] as Entry).process)
@@ -116,7 +119,7 @@
     this._tellKnown(entry)
   }
 
-  /** A zone and all others do not reach each other. */
+  /** Partitions a zone from all others. */
   cutZone (index: number): void {
     const zone = ZONES[index % ZONES.length] ?? ''
     for (const other of ZONES.filter(name => name !== zone)) {
@@ -136,7 +139,7 @@
     }
   }
 
-  /** What endpoints named ends, and in a while all entries know it. */
+  /** Ends all limits and disturbances, and checks that all entries use the endpoints again. */
   settle (): void {
     this.world.advance(Math.max(0, this._loadUntil - this.world.now))
     this.heal()
@@ -146,7 +149,7 @@
     this.world.advance(KNOWN_AGAIN)
     for (const [index, { endedAt, lowest }] of this._endpoints.entries()) {
       const sparing = this._entries.filter(({ limits }) => limits.sparedFor(nameOf(index), this.world.now) !== undefined)
-      if (endedAt > -Infinity && lowest >= LEAST_KNOWN_AGAIN && sparing.length > 0) this.world.violate(`limit-ends: ${sparing.length} of ${this._entries.length} entries spare an endpoint that has named no limit for ${KNOWN_AGAIN} ms`)
+      if (endedAt > -Infinity && lowest >= LEAST_KNOWN_AGAIN && sparing.length > 0) this.world.violate(`limit-ends: ${sparing.length} of ${this._entries.length} entries avoid an endpoint that has announced no limit for ${KNOWN_AGAIN} ms`)
     }
   }
 
@@ -195,7 +198,7 @@
     if (endpoint.limit === undefined || now < endpoint.since + NOTICE_TIME) return
     const counted = endpoint.arrivals.filter(arrival => arrival.at >= endpoint.since + NOTICE_TIME && this._counts(arrival, index))
     const allowed = ALLOWED_FACTOR * endpoint.limit * STRETCH / 1_000 + ALLOWED_BEYOND
-    if (counted.length > allowed) this.world.violate(`within-limit: ${counted.length} requests reached an endpoint that takes ${endpoint.limit} a second, of ${this._entries.length} entries`)
+    if (counted.length > allowed) this.world.violate(`within-limit: ${counted.length} requests of ${this._entries.length} entries reached an endpoint with a limit of ${endpoint.limit} per second`)
   }
 
   private _counts ({ at, entry, process }: Endpoint['arrivals'][number], index: number): boolean {
@@ -203,7 +206,7 @@
     return process.alive && !this._cut && at >= toldAt + HEEDED_AFTER && at >= entry.excusedUntil
   }
 
-  /** Agents pass on what one entry heard to the entries that follow them. */
+  /** Broadcasts the limits that one entry received; agents forward them to the entries that follow them. */
   private _tell (from: Entry, news: LimitNews): void {
     if (!this._parts.tells) return
     for (const entry of this._entries) {
@@ -212,7 +215,7 @@
     }
   }
 
-  /** Agents tell an entry that reaches them again what they were told by others. */
+  /** Sends the known limits to an entry that reaches the agents again. */
   private _tellKnown (entry: Entry): void {
     if (!this._parts.tells) return
     for (const zone of ZONES) {
@@ -221,7 +224,7 @@
     }
   }
 
-  /** Each entry tells another, by way of an agent, what holds for it, and is put right. */
+  /** Each entry sends its known limits to a random entry, by way of an agent, and receives corrections. */
   private _compare (): void {
     for (const entry of this._entries) {
       const other = this.world.pick(this._entries) as Entry
--- a/packages/fuzz/src/lib/published-parts.ts
+++ b/packages/fuzz/src/lib/published-parts.ts
@@ -3,16 +3,16 @@
  * Copyright 2026 the drumdrift contributors
  * SPDX-License-Identifier: BSD-3-Clause
  */
-/** The parts of following a store whose protections a variant may take out. */
+/** The parts of the published world that a variant may replace. */
 import { PublishedState, publishedTopics, StoreCursor } from '@drumdrift/core'
 
-/** The parts of one run. */
+/** The parts whose protections a variant may remove. */
 export interface PublishedParts {
   readonly state: () => PublishedState
   readonly cursor: (state: PublishedState) => Pick<StoreCursor, 'followed' | 'next' | 'judge'>
-  /** Whether what was held in an earlier epoch of the store is carried over. */
+  /** Whether a process keeps its state when the store begins a new epoch. */
   readonly carries: boolean
-  /** Whether endpoints count what they write. */
+  /** Whether endpoint records carry the count of their writes. */
   readonly counts: boolean
 }
 
--- a/packages/fuzz/src/lib/published-world.ts
+++ b/packages/fuzz/src/lib/published-world.ts
@@ -4,17 +4,17 @@
  * SPDX-License-Identifier: BSD-3-Clause
  */
 /**
- * Processes that follow a store which is away at times, and comes back from older copies of itself; three of them are relays for the
- * others. What is held, where the store is followed from and which relay is believed are the real decisions. The oracles know what was
- * acknowledged, and look whether each process that is in touch holds it in time, and whether anything goes back. Fleets have 6 or 24
- * processes, or as many as are asked for.
+ * Processes that follow a store, which may be unavailable or restored from an older snapshot; three of the processes are relays for
+ * the others. The state, the store cursor and the choice of relays are the real ones. The oracles know the acknowledged changes;
+ * they check that each connected process has them in time and that no process reverts. Fleets have 6 or 24 processes unless a number
+ * is given.
  */
 import { publishedTopics, RelayBook, topicOf, type EndpointRecord, type PublishedChange, type PublishedState, type StoreAnswerKind, type StoreCall } from '@drumdrift/core'
 import { realPublishedParts, type PublishedParts } from './published-parts.js'
 import { RestorableStore } from './restorable-store.js'
 import { Process, World } from './world.js'
 
-/** What the store answers. */
+/** An answer of the store. */
 interface StoreAnswer extends StoreAnswerKind {
   readonly changes: readonly PublishedChange[]
   readonly upTo: number
@@ -27,17 +27,17 @@
   state: PublishedState
   cursor: ReturnType<PublishedParts['cursor']>
   readonly book: RelayBook
-  /** In touch from then on, if nothing happens meanwhile. */
+  /** The process must hold acknowledged changes from then on, unless it is disturbed again. */
   excusedUntil: number
-  /** The highest versions that it has held, and endpoints that it has known to drain or to be gone. */
+  /** The highest versions that it has held, and the endpoints that it has seen draining. */
   configuration: number
   version: number
   readonly leaving: Set<string>
-  /** Whether it waits for a relay's news, and for the store. */
+  /** Whether calls to a relay and to the store are in flight. */
   awaits: { relay: boolean, store: boolean }
 }
 
-/** Something that was acknowledged, and how a process shows that it holds it. */
+/** An acknowledged change, and the check that a process holds it. */
 interface Acknowledged {
   readonly what: string
   readonly at: number
@@ -50,24 +50,27 @@
 const ENDPOINTS = 5
 const MOST_ENDPOINTS = 10
 const MODEL = 'drafting'
-/** Steps of a process: it asks the store, tells as a relay, or looks what relays hold; in milliseconds. */
+/** Interval of a process's steps, in which it queries the store, sends its note as a relay, or follows relays; in milliseconds. */
 const STEP = 100
 const NEWS_TIMEOUT = 800
-/** Now and then an answer of the store is overtaken by many others, in milliseconds. One that takes longer is a disturbance of the store. */
+/**
+ * Largest delays of an answer of the store, usually and for the share of answers that many others overtake; in milliseconds. A longer
+ * delay would count as a disturbance of the store.
+ */
 const USUAL_ANSWER = 40
 const OVERTAKEN = 0.03
 const LONGEST_ANSWER = 700
-/** A store is away so long, and comes back from a copy so old, in milliseconds. */
+/** Longest outage of the store, and largest age of the snapshot that it is restored from, in milliseconds. */
 const LONGEST_AWAY = 2_600
 const OLDEST_COPY = 4_000
-/** Operators and endpoints write again within this time, in milliseconds. */
+/** Operators and endpoints repeat their writes within this time after a restore, in milliseconds. */
 const REWRITTEN_WITHIN = 600
-/** What was acknowledged holds after this time, at processes that nothing has happened to for so long; in milliseconds. */
+/** Acknowledged changes are in force after the first time, at processes undisturbed for the second; in milliseconds. */
 const IN_FORCE_WITHIN = 2_000
 const CONTACT = 3_000
 const CHECK_PAUSE = 100
 
-/** One run's store and processes. */
+/** Simulation of the store and the processes that follow it. */
 export class PublishedWorld {
   readonly world: World
   private readonly _store: RestorableStore
@@ -82,7 +85,7 @@
   private _stableFrom = 0
 
   /**
-   * @param processes How many there are; drawn without.
+   * @param processes Number of processes; random if absent.
    */
   constructor (seed: number, private readonly _parts: PublishedParts = realPublishedParts, processes?: number) {
     this.world = new World(seed)
@@ -94,7 +97,7 @@
     this._check()
   }
 
-  /** Operators publish the next configuration. */
+  /** Publishes the next configuration. */
   publish (): void {
     if (!this._storeUp) return
     this._version += 1
@@ -103,7 +106,7 @@
     this._acknowledge(`configuration ${version}`, state => (state.configuration?.version ?? 0) >= version)
   }
 
-  /** Operators name the next version of the model. */
+  /** Publishes the next desired version of the model. */
   name (): void {
     if (!this._storeUp) return
     this._modelVersion += 1
@@ -112,7 +115,7 @@
     this._acknowledge(`version ${version}`, state => (state.wanted(MODEL)?.version ?? 0) >= version)
   }
 
-  /** An endpoint says that it drains; another one has already begun. */
+  /** Marks an endpoint as draining, after another one has started. */
   drain (index: number): void {
     const record = this._endpoints[index % this._endpoints.length]
     if (!this._storeUp || record === undefined || record.draining || this._endpoints.length >= MOST_ENDPOINTS) return
@@ -121,7 +124,7 @@
     this._acknowledge(`the drain of ${record.id}`, state => state.endpoints().every(({ id, draining }) => id !== record.id || draining))
   }
 
-  /** An endpoint takes its entry away. */
+  /** Removes an endpoint's record. */
   leave (index: number): void {
     const record = this._endpoints[index % this._endpoints.length]
     if (!this._storeUp || record === undefined || this._endpoints.length <= 2) return
@@ -130,17 +133,17 @@
     this._acknowledge(`the end of ${record.id}`, state => state.endpoints().every(({ id }) => id !== record.id))
   }
 
-  /** An endpoint begins, and lists itself. */
+  /** Starts an endpoint, which lists itself. */
   begin (): void {
     if (!this._storeUp || this._endpoints.length >= MOST_ENDPOINTS) return
     const id = this._begin()
     this._acknowledge(`the beginning of ${id}`, state => state.endpoints().some(record => record.id === id) || !this._endpoints.some(record => record.id === id))
   }
 
-  /** The store is away for some time. */
+  /** Makes the store unavailable for some time. */
   interrupt (share: number): void { this._away(share, () => {}) }
 
-  /** The store is away for some time, and comes back from an older copy. */
+  /** Makes the store unavailable for some time and restores it from an older snapshot. */
   restore (away: number, age: number): void {
     this._away(away, () => {
       this._store.restore(age * OLDEST_COPY)
@@ -148,10 +151,10 @@
     })
   }
 
-  /** The store forgets its history. */
+  /** Discards the history of the store. */
   forget (): void { this._store.forget() }
 
-  /** A process is killed, and starts again. */
+  /** Kills and restarts a process. */
   restart (index: number): void {
     const at = index % this._members.length
     const killed = this._members[at]
@@ -159,7 +162,7 @@
     this._members[at] = this._start(at)
   }
 
-  /** A zone is cut off from the platform and from all others. */
+  /** Partitions a zone from the platform and from all other zones. */
   cutZone (index: number): void {
     const zone = ZONES[index % ZONES.length] ?? ''
     for (const other of [...ZONES, 'platform'].filter(name => name !== zone)) {
@@ -168,13 +171,13 @@
     }
   }
 
-  /** All cuts heal. */
+  /** Restores all links. */
   heal (): void {
     this.world.heal()
     for (const member of this._members) member.excusedUntil = this.world.now + CONTACT
   }
 
-  /** What was set off comes to its end. */
+  /** Ends all disturbances and waits until acknowledged changes must be in force. */
   settle (): void {
     this.heal()
     this.world.advance(LONGEST_AWAY + CONTACT + IN_FORCE_WITHIN)
@@ -208,7 +211,7 @@
     return id
   }
 
-  /** An endpoint writes its entry, which counts its writings. */
+  /** Writes an endpoint's record, which counts its writes. */
   private _rewrite (id: string, part: Partial<EndpointRecord>): void {
     const before = this._endpoints.find(record => record.id === id)
     if (before === undefined) return
@@ -217,7 +220,7 @@
     this._store.put(id, revision => ({ type: 'endpoint', revision, record: this._parts.counts ? record : { ...record, writings: undefined } }))
   }
 
-  /** Everybody writes again what was written last, each at some moment. */
+  /** Operators and endpoints repeat their latest writes, each after a random delay. */
   private _writeAgain (): void {
     const soon = (write: () => void): void => this.world.after(this.world.between(0, REWRITTEN_WITHIN), undefined, () => {
       if (this._storeUp) write()
@@ -316,17 +319,17 @@
     member.state.enter(epoch, this.world.now)
   }
 
-  /** What a process has held in its life does not go back. */
+  /** Checks that a process has not reverted to an older state than it has held before. */
   private _lookBack (member: Member): void {
     const { state, process } = member
     const [configuration, version] = [state.configuration?.version ?? 0, state.wanted(MODEL)?.version ?? 0]
-    if (configuration < member.configuration) this.world.violate(`never-back: ${process.name} went from configuration ${member.configuration} to ${configuration}`)
-    if (version < member.version) this.world.violate(`never-back: ${process.name} went from version ${member.version} to ${version}`)
+    if (configuration < member.configuration) this.world.violate(`never-back: ${process.name} reverted from configuration ${member.configuration} to ${configuration}`)
+    if (version < member.version) this.world.violate(`never-back: ${process.name} reverted from version ${member.version} to ${version}`)
     member.configuration = Math.max(configuration, member.configuration)
     member.version = Math.max(version, member.version)
     for (const { id, draining } of state.endpoints()) {
       if (draining) member.leaving.add(id)
-      else if (member.leaving.has(id)) this.world.violate(`never-back: ${process.name} takes ${id} as ready, which drains`)
+      else if (member.leaving.has(id)) this.world.violate(`never-back: ${process.name} lists ${id} as ready although it is draining`)
     }
   }
 
--- a/packages/fuzz/src/lib/request-actors.ts
+++ b/packages/fuzz/src/lib/request-actors.ts
@@ -3,19 +3,19 @@
  * Copyright 2026 the drumdrift contributors
  * SPDX-License-Identifier: BSD-3-Clause
  */
-/** Who takes part in the world of requests, and what is kept of each request for the oracles. */
+/** The participants of the request world, and the record of each request that the oracles check. */
 import type { AdmissionDoor, ClaimKeeper, Outcome } from '@drumdrift/core'
 import type { Process } from './world.js'
 
-/** An agent, as the world and its oracles see it. */
+/** An agent with the state that the oracles need. */
 export interface Agent {
   process: Process
   door: AdmissionDoor
   keeper: ClaimKeeper
   stopping: boolean
-  /** Since when the agent's leaving was known where it could hear of it; Infinity if it is not leaving. */
+  /** When the agent first received the notice that it drains; Infinity if it does not drain. */
   leavingSince: number
-  /** Requests that this incarnation has dispatched and not finished, by the oracle's own count. */
+  /** Requests that this incarnation has dispatched and not finished, counted independently of the agent. */
   unfinished: number
 }
 
@@ -24,30 +24,30 @@
   process: Process
   readonly leaving: Set<string>
   attempts: number
-  /** Where the frames of the newest call go. */
+  /** Receives the frames of the newest call. */
   newest: FrameSink | undefined
 }
 
-/** Where the frames of one answer arrive. */
+/** Receives the frames of one answer. */
 export interface FrameSink {
   part (part: { sequence: number, data: string }): void
   end (count: number): void
 }
 
-/** One request of a caller, and what it was told. */
+/** One request of a caller, and its outcome as reported to the caller. */
 export interface Submission {
   readonly number: number
   readonly id: string
   readonly neverRepeat: boolean
-  /** By the entry's own clock: no attempt begins after it. */
+  /** By the entry's own clock; no attempt begins after it. */
   readonly deadline: number
   told: 'whole' | Outcome | undefined
-  /** Runs at endpoints that this submission caused. */
+  /** Number of executions at endpoints that this submission caused. */
   runs: number
   text: string
 }
 
-/** The answer that a request must get. */
+/** Returns the parts of the correct answer to a request. */
 export function partsOf (id: string): string[] {
   return [0, 1, 2, 3].map(index => `${id}.${index};`)
 }
--- a/packages/fuzz/src/lib/request-course.ts
+++ b/packages/fuzz/src/lib/request-course.ts
@@ -3,46 +3,47 @@
  * Copyright 2026 the drumdrift contributors
  * SPDX-License-Identifier: BSD-3-Clause
  */
-/** What an entry does with a request: attempts at agents, one after the other, each of the kind that the request allows. */
+/** Execution of a request by an entry: sequential attempts at agents, of the kind that the request allows. */
 import type { Admission, AnswerStream, OfferReply, OnceAttempt, OnceEffect, Outcome } from '@drumdrift/core'
 import type { Agent, Entry, FrameSink, Submission } from './request-actors.js'
 import type { RequestParts } from './request-parts.js'
 import type { World } from './world.js'
 
 export const ORGANISATION = 'hall-1'
+/** Times are in milliseconds. */
 const STEP_TIMEOUT = 800
 const ADMISSION_PATIENCE = 1_000
 const ANSWER_PATIENCE = 5_000
 const MOST_TRIES = 3
 
-/** What the course of a request asks of the world that it runs in. */
+/** Interface of the world that the requests run in. */
 export interface RequestHost {
   readonly world: World
   readonly agents: readonly Agent[]
   named (agent: string): Agent | undefined
-  /** The agent's offer to run a request that may not repeat. */
+  /** Returns the agent's offer to run a request that must not repeat. */
   offer (agent: Agent): OfferReply
-  /** Hands an admitted request to its endpoint. */
+  /** Forwards an admitted request to its endpoint. */
   dispatch (agent: Agent, run: number, submission: Submission, answer: () => void): void
-  /** The endpoint's answer travels to the entry. */
+  /** Sends the endpoint's answer to the entry. */
   answer (agent: Agent, entry: Entry, id: string, own: FrameSink): void
   tellCaller (submission: Submission, outcome: Outcome): void
   tellWhole (submission: Submission, text: string): void
 }
 
-/** What follows from what arrives of an answer. */
+/** Callbacks for an answer that is being received. */
 interface Collected {
-  /** Whether nothing of it counts any more. */
+  /** Returns whether further frames are ignored. */
   readonly over: () => boolean
   readonly whole: (text: string) => void
   readonly broken: () => void
 }
 
-/** The entry's side of all requests of one run. */
+/** Executes the requests of one run on behalf of their entries. */
 export class RequestCourse {
   constructor (private readonly _host: RequestHost, private readonly _parts: RequestParts) {}
 
-  /** Tries a request at one agent after the other. */
+  /** Executes a request, trying one agent after another. */
   start (entry: Entry, submission: Submission): void { this._try(entry, submission, new Set(), 1, 0) }
 
   private _try (entry: Entry, submission: Submission, tried: Set<string>, attempt: number, sent: number): void {
@@ -136,7 +137,7 @@
     })
   }
 
-  /** Puts the parts of an answer together as they arrive. */
+  /** Assembles an answer from its parts. */
   private _collect (entry: Entry, { over, whole, broken }: Collected): { readonly sink: FrameSink, readonly text: string } {
     const stream = this._parts.stream()
     let text = ''
--- a/packages/fuzz/src/lib/request-world.ts
+++ b/packages/fuzz/src/lib/request-world.ts
@@ -4,8 +4,8 @@
  * SPDX-License-Identifier: BSD-3-Clause
  */
 /**
- * Entries, agents and callers over the fake network, with the real door, keeper, attempts and answer streams. The
- * oracles look only at what endpoints ran and what callers were told.
+ * Entries, agents and callers on the simulated network, with the real admission, claim keepers, attempts and answer streams.
+ * The oracles use only the executions at endpoints and the outcomes reported to callers.
  */
 import { formatIssuedId, KEEPER_COUNT, type KeeperPolicy, type OfferReply, type Outcome } from '@drumdrift/core'
 import { partsOf, type Agent, type Entry, type FrameSink, type Submission } from './request-actors.js'
@@ -17,19 +17,20 @@
 const AGENTS = 7
 const ENTRIES = 3
 const SLOTS = 6
-/** Long enough for any freeze of an agent in a run, which the page of limits states as a condition. */
+/** The repeat window is longer than any freeze of an agent in a run, as the documented limits require. */
 const KEEPER_POLICY: KeeperPolicy = { repeatWindow: 20_000, recordsPerOrganisation: 64 }
+/** Times are in milliseconds. */
 const DEADLINE = 5_000
 const LEAST_KEEPERS = 3
 const REPEAT_AFTER = 20
-/** Callers repeat an id for so long: with the deadline, less than the repeat window. */
+/** How long callers repeat an id; together with the deadline, less than the repeat window. */
 const ID_LIFETIME = 6_000
-/** A leaving endpoint may get work for so long after it could hear of it. */
+/** How long an agent may receive requests after the notice that it drains. */
 const LEAVING_GRACE = 4_000
 const LARGEST_SKEW = 1e7
 const LIST_LAG = 1_500
 
-/** One run's requests. */
+/** Simulation of requests through entries and agents. */
 export class RequestWorld implements RequestHost {
   readonly world: World
   readonly agents: Agent[] = []
@@ -39,7 +40,7 @@
   private readonly _issued: { readonly id: string, readonly at: number }[] = []
   private readonly _course: RequestCourse
   private _incarnations = 0
-  /** The agent that made the newest offer. */
+  /** The agent that made the latest offer. */
   private _offered: Agent | undefined
 
   constructor (seed: number, private readonly _parts: RequestParts = realRequestParts) {
@@ -47,16 +48,16 @@
     this._course = new RequestCourse(this, _parts)
     for (let index = 0; index < AGENTS; index += 1) this.agents.push(this._agent(`agent-${index}`, ZONES[index % 2] ?? ''))
     for (let index = 0; index < ENTRIES; index += 1) this.entries.push(this._entry(`entry-${index}`, ZONES[index % 2] ?? ''))
-    // The fleet has been up for longer than the window, so keepers vouch.
+    // The fleet has been up for longer than the repeat window, so keepers vouch.
     for (const agent of this.agents) agent.keeper.listed(this.world.clock(agent.process) - KEEPER_POLICY.repeatWindow)
   }
 
-  /** A caller asks an entry; ids are repeated only within the time that the page of limits allows. */
+  /** Submits a request that must not repeat; ids are reused only within the time that the documented limits allow. */
   submitOnce (number: number, entryIndex: number): void {
     this.submit(`once-${Math.floor(this.world.now / ID_LIFETIME)}-${number}`, entryIndex, true)
   }
 
-  /** An entry issues an id, whose keepers are agents that answer now. */
+  /** Issues an id whose keepers are agents that respond at present. */
   issue (): void {
     const { world } = this
     const awake = this.agents.filter(agent => agent.process.alive && !agent.process.frozen)
@@ -64,7 +65,7 @@
     if (keepers.length >= LEAST_KEEPERS) this._issued.push({ id: formatIssuedId(`r${this._issued.length}`, keepers), at: world.now })
   }
 
-  /** An id is issued and asked with; a rack with some of its keepers is lost, and the caller asks again elsewhere. */
+  /** Submits a request with a new issued id, replaces a rack with some of its keepers, and repeats the request at another entry. */
   loseKeepers (entryIndex: number, agentIndex: number, delay: number): void {
     this.issue()
     const id = this._issued.at(-1)?.id
@@ -74,14 +75,14 @@
     this.world.after(delay + REPEAT_AFTER, undefined, () => this.submit(id, entryIndex + 1, true))
   }
 
-  /** A caller asks with one of the ids that were issued lately. */
+  /** Submits a request with a recently issued id. */
   submitIssued (number: number, entryIndex: number): void {
     const usable = this._issued.filter(({ at }) => this.world.now - at < ID_LIFETIME)
     const issued = usable[number % Math.max(1, usable.length)]
     if (issued !== undefined) this.submit(issued.id, entryIndex, true)
   }
 
-  /** A caller asks an entry. */
+  /** Submits a request to an entry. */
   submit (id: string, entryIndex: number, neverRepeat: boolean): void {
     const entry = this.entries[entryIndex % this.entries.length] as Entry
     const { process } = entry
@@ -94,7 +95,7 @@
 
   kill (index: number): void { this.world.kill(this._agentAt(index).process) }
 
-  /** A new incarnation under the same name and address. */
+  /** Replaces an agent by a new incarnation with the same name. */
   replace (index: number): void {
     const old = this._agentAt(index)
     this.world.kill(old.process)
@@ -110,10 +111,10 @@
     this.entries[at] = this._entry(old.process.name, old.process.availabilityZone)
   }
 
-  /** A rack is lost and replaced: three agents at once. */
+  /** Replaces a rack, which is three agents at once. */
   replaceRack (index: number): void { for (const offset of [0, 1, 2]) this.replace(index + offset) }
 
-  /** The agent that made the newest offer is frozen, in the middle of what follows. */
+  /** Freezes the agent that made the latest offer, in the middle of the exchange that follows. */
   freezeOffered (length: number): void {
     const agent = this._offered
     if (agent === undefined) return
@@ -121,7 +122,7 @@
     this.world.after(length, undefined, () => this.world.thaw(agent.process))
   }
 
-  /** What the agent that made the newest offer says does not arrive any more. */
+  /** Cuts the links from the agent that made the latest offer to all entries. */
   muteOffered (): void {
     const agent = this._offered
     if (agent !== undefined) for (const { process } of this.entries) this.world.cut(agent.process.name, process.name)
@@ -146,7 +147,7 @@
     for (const { process } of [...this.agents, ...this.entries]) this.world.thaw(process)
   }
 
-  /** The platform lists an agent as leaving: entries and the agent hear of it late, if they can. */
+  /** Lists an agent as draining; entries and the agent learn of it after a delay if the platform reaches them. */
   listLeaving (index: number): void {
     const agent = this._agentAt(index)
     const { process } = agent
@@ -157,7 +158,7 @@
     for (const entry of this.entries) this._tell(entry.process, () => { entry.leaving.add(process.name) })
   }
 
-  /** An operator orders an agent to leave. */
+  /** Orders an agent to drain. */
   orderLeaving (index: number): void {
     const agent = this._agentAt(index)
     if (!agent.process.alive || agent.process.frozen) return
@@ -167,7 +168,7 @@
     })
   }
 
-  /** A planned stop: nothing new, and an end once nothing runs. */
+  /** Stops an agent as planned: it drains and exits once no request is in progress. */
   stopAgent (index: number): void {
     const agent = this._agentAt(index)
     if (!agent.process.alive || agent.stopping) return
@@ -183,7 +184,7 @@
     this.world.after(1, agent.process, look)
   }
 
-  /** Lets everything that is under way end, then looks at the promises. */
+  /** Lets all requests in progress end, then checks the promises. */
   settle (): void {
     this.world.heal()
     this.thawAll()
@@ -193,22 +194,22 @@
 
   private _judge (): void {
     for (const submission of this.submissions) {
-      if (submission.told === 'not-run' && submission.runs > 0) this.world.violate(`not-run: submission ${submission.number} of ${submission.id} ran and was told not run`)
-      if (submission.told === 'whole' && submission.text !== partsOf(submission.id).join('')) this.world.violate(`whole-answer: submission ${submission.number} got "${submission.text}"`)
+      if (submission.told === 'not-run' && submission.runs > 0) this.world.violate(`not-run: submission ${submission.number} of ${submission.id} ran but was reported as not run`)
+      if (submission.told === 'whole' && submission.text !== partsOf(submission.id).join('')) this.world.violate(`whole-answer: submission ${submission.number} received "${submission.text}"`)
     }
   }
 
-  // The agent.
+  // Agents.
 
   offer (agent: Agent): OfferReply {
     this._offered = agent
     return agent.door.offer(this.world.clock(agent.process))
   }
 
-  /** From now on the agent can know that it leaves. */
+  /** Records when the agent first received the notice that it drains. */
   private _hears (agent: Agent): void { agent.leavingSince = Math.min(agent.leavingSince, this.world.now) }
 
-  /** Hands a request to the endpoint: an event of its own, so that a freeze may come between. */
+  /** Forwards a request to the endpoint, as a separate event so that the agent may be frozen before it. */
   dispatch (agent: Agent, run: number, submission: Submission, answer: () => void): void {
     const { world } = this
     agent.unfinished += 1
@@ -227,10 +228,10 @@
     const runs = (this._runsById.get(submission.id) ?? 0) + 1
     this._runsById.set(submission.id, runs)
     if (submission.neverRepeat && runs > 1) this.world.violate(`at-most-once: ${submission.id} ran ${runs} times`)
-    if (this.world.now - agent.leavingSince > LEAVING_GRACE) this.world.violate(`leaving: ${agent.process.name} got work ${Math.round(this.world.now - agent.leavingSince)} ms after it could know that it leaves`)
+    if (this.world.now - agent.leavingSince > LEAVING_GRACE) this.world.violate(`leaving: ${agent.process.name} ran a request ${Math.round(this.world.now - agent.leavingSince)} ms after the notice that it drains`)
   }
 
-  /** Parts travel by themselves: they come late and out of order. */
+  /** Sends each part as a message of its own, so that parts may be delayed and reordered. */
   answer (agent: Agent, entry: Entry, id: string, own: FrameSink): void {
     const parts = partsOf(id)
     const sink = (): FrameSink => this._parts.framesByCall ? own : entry.newest ?? own
@@ -238,9 +239,9 @@
     this.world.send(agent.process, entry.process, () => sink().end(parts.length))
   }
 
-  // What callers are told.
+  // Outcomes reported to callers.
 
-  /** The entry may be gone or frozen; only what it says counts, and only once. */
+  /** Records the outcome; only the first one reported counts. */
   tellCaller (submission: Submission, outcome: Outcome): void { submission.told ??= outcome }
 
   tellWhole (submission: Submission, text: string): void {
--- a/packages/fuzz/src/lib/restorable-store.ts
+++ b/packages/fuzz/src/lib/restorable-store.ts
@@ -3,7 +3,7 @@
  * Copyright 2026 the drumdrift contributors
  * SPDX-License-Identifier: BSD-3-Clause
  */
-/** A store of what is published that can go back to an older copy of itself. */
+/** A store of published items that can be restored from an older snapshot. */
 import { topicOf, type PublishedChange } from '@drumdrift/core'
 
 interface Copy {
@@ -14,10 +14,10 @@
   readonly forgottenUpTo: number
 }
 
-/** Older ones are not gone back to, in milliseconds. */
+/** How long snapshots are kept for a restore, in milliseconds. */
 const COPIES_KEPT = 20_000
 
-/** Items with revisions, and copies of all of them after each change. */
+/** Items with revisions, and a snapshot of all items after each change. */
 export class RestorableStore {
   epoch = 1
   private _copies: Copy[]
@@ -28,13 +28,13 @@
 
   get revision (): number { return this._newest.revision }
 
-  /** Everything that it holds. */
+  /** Returns all items. */
   items (): PublishedChange[] { return [...this._newest.items.values()] }
 
-  /** Endpoints that it lists. */
+  /** Returns the ids of the listed endpoints. */
   endpoints (): string[] { return [...this._newest.items].flatMap(([key, item]) => topicOf(item) === 'endpoints' ? [key] : []) }
 
-  /** Changes after a revision; nothing where it does not have that revision. */
+  /** Returns the changes after a revision, or `undefined` if the store does not know that revision or has compacted it. */
   since (revision: number): PublishedChange[] | undefined {
     return revision > this.revision || revision < this._newest.forgottenUpTo ? undefined : this._newest.history.filter(change => change.revision > revision)
   }
@@ -49,13 +49,13 @@
     if (left.delete(key)) this._change({ type: 'endpoint-gone', revision: this.revision + 1, id: key }, left)
   }
 
-  /** Forgets its history, but not what it holds. */
+  /** Discards the history, but keeps the items. */
   forget (): void { this._copies.push({ ...this._newest, at: this._clock.now, forgottenUpTo: this.revision, history: [] }) }
 
   /**
-   * Goes back to what it held some time ago, in the next epoch.
+   * Restores an older snapshot and begins a new epoch.
    *
-   * @param age In milliseconds.
+   * @param age Age of the snapshot in milliseconds.
    */
   restore (age: number): void {
     const asOf = this._clock.now - age
--- a/packages/fuzz/src/lib/routed-world.ts
+++ b/packages/fuzz/src/lib/routed-world.ts
@@ -4,13 +4,13 @@
  * SPDX-License-Identifier: BSD-3-Clause
  */
 /**
- * Route entries that send requests straight to endpoints, with the real decisions on what follows an attempt and the real part of
- * the retries that each entry may make. The oracles see what callers get and what endpoints receive.
+ * Route entries that send requests directly to endpoints, with the real decisions after an attempt and the real retry allowance of
+ * each entry. The oracles use only what callers receive and what arrives at endpoints.
  */
 import { AttemptCourse, FleetSize, RetryAllowance, type AttemptEnd, type NextStep, type RetryPurpose, type RetryTerms, type Route, type ZoneOfAgents } from '@drumdrift/core'
 import { Process, World } from './world.js'
 
-/** The parts whose protections a variant may take out. */
+/** The parts whose protections a variant may remove. */
 export interface RoutedParts {
   readonly course: (route: RoutedRoute) => AttemptCourse
   readonly allowance: (terms: RetryTerms, entries: (now: number) => number | undefined, now: number) => Pick<RetryAllowance, 'requested' | 'trySpend'>
@@ -24,10 +24,10 @@
   fleet: zones => new FleetSize(() => zones)
 }
 
-/** What a request's route says of its attempts. */
+/** The properties of a route that govern the attempts. */
 export type RoutedRoute = Pick<Route, 'kind' | 'maxAttempts' | 'resumable'>
 
-/** How endpoints treat what is sent to them. */
+/** How an endpoint responds to a request. */
 export type Treatment = 'answer' | 'shed' | 'cut' | 'fail' | 'reject' | 'answer-plainly' | 'vanish'
 
 interface Entry {
@@ -36,7 +36,7 @@
   allowance: ReturnType<RoutedParts['allowance']>
 }
 
-/** One request, and what its caller has. */
+/** A request, with the progress of its answer at the caller. */
 interface Request {
   readonly entry: Entry
   readonly process: Process
@@ -49,13 +49,14 @@
 const ZONES = ['koshi', 'bagmati', 'gandaki'] as const
 const ENTRIES = 12
 const EVENTS = 6
-/** The stretch of time for which the operators' bound holds, in milliseconds. */
+/** The window of the operators' bound on retries, in milliseconds. */
 const WINDOW = 10_000
 const TERMS: RetryTerms = { ratio: 0.2, slack: 24, window: WINDOW }
-/** How often agents tell how many entries they hear, in milliseconds. */
+/** Interval at which agents report how many entries reach them, in milliseconds. */
 const TELL_PAUSE = 500
+/** Deadline of a request, in milliseconds. */
 const PATIENCE = 6_000
-/** What was set off lasts so long at most before its last requests come, in milliseconds. */
+/** Upper bound of the time from an action to the last request that it schedules, in milliseconds. */
 const LONGEST_PLAN = 30_000
 const routes: readonly RoutedRoute[] = [
   { kind: 'streaming', maxAttempts: 2, resumable: true },
@@ -63,13 +64,13 @@
   { kind: 'streaming', maxAttempts: 2, resumable: false }
 ]
 
-/** One run's entries, endpoints and callers. */
+/** Simulation of entries, endpoints and callers. */
 export class RoutedWorld {
   readonly world: World
   private readonly _entries: Entry[] = []
   private readonly _requests: number[] = []
   private readonly _extras: number[] = []
-  /** What endpoints do with new requests, and with those that go on; each for a share of them. */
+  /** How endpoints respond to a share of the new requests and of the resumed ones. */
   private _treatments: Record<RetryPurpose, { treatment: Treatment, share: number }> = {
     begin: { treatment: 'answer', share: 0 },
     'go-on': { treatment: 'answer', share: 0 }
@@ -83,15 +84,15 @@
     this._tellCounts()
   }
 
-  /** Requests come in over some time. */
+  /** Schedules requests over a period. */
   load (count: number, milliseconds: number): void {
     for (let index = 0; index < count; index += 1) this.world.after(this.world.between(0, milliseconds), undefined, () => this._request())
   }
 
-  /** Endpoints treat a share of what is sent to them in some way. */
+  /** Sets how endpoints respond to a share of the attempts; they answer the others in full. */
   treat (purpose: RetryPurpose, treatment: Treatment, share: number): void { this._treatments[purpose] = { treatment, share } }
 
-  /** A share of the entries is killed, and starts again. */
+  /** Kills and restarts a share of the entries. */
   restart (share: number): void {
     for (const [index, { process }] of this._entries.entries()) {
       if (this.world.random() >= share) continue
@@ -100,7 +101,7 @@
     }
   }
 
-  /** A zone and all others do not reach each other. */
+  /** Partitions a zone from all others. */
   cutZone (index: number): void {
     const zone = ZONES[index % ZONES.length] ?? ''
     for (const other of ZONES.filter(name => name !== zone)) {
@@ -109,7 +110,7 @@
     }
   }
 
-  /** What was set off comes to its end, then everything heals. */
+  /** Waits for the scheduled requests, ends all disturbances and checks the retry bound. */
   settle (): void {
     this.world.advance(LONGEST_PLAN)
     this.world.heal()
@@ -125,7 +126,7 @@
     return { process, fleet, allowance: this._parts.allowance(TERMS, now => fleet.estimate(now), this.world.now) }
   }
 
-  /** The agent of each zone counts the entries that reach it, and tells those. */
+  /** The agent of each zone counts the entries that reach it and reports the count to them. */
   private _tellCounts (): void {
     for (const zone of ZONES) {
       const agent = new Process(`agent-${zone}`, zone, `agent-${zone}`, 0)
@@ -187,12 +188,12 @@
   private _follow (request: Request, end: AttemptEnd, step: NextStep): void {
     if (step.type === 'try-next' || step.type === 'resume') return this._send(request)
     if (step.type !== 'pass-on') return
-    // Once events are out the caller has a success; it sees only whether its end came.
+    // Once events are sent, the caller has a success status and can see only whether the end of the stream arrived.
     const success = request.events > 0 || (end.type === 'answered' && end.status < 300 && end.stream)
-    if (success && request.events < EVENTS) this.world.violate(`whole-stream: a caller took ${request.events} of ${EVENTS} events for the whole`)
+    if (success && request.events < EVENTS) this.world.violate(`whole-stream: a caller received ${request.events} of ${EVENTS} events as a complete stream`)
   }
 
-  /** Looks at every stretch that ends with a further attempt. */
+  /** Checks the retry bound in every window that ends with a retry. */
   private _checkRetries (): void {
     const within = (times: readonly number[], from: number, to: number): number => times.filter(time => time > from && time <= to).length
     for (const to of this._extras) {
@@ -200,7 +201,7 @@
       const extras = within(this._extras, to - WINDOW, to)
       const bound = TERMS.ratio * requests + TERMS.slack
       if (extras <= bound) continue
-      this.world.violate(`retry-bound: ${extras} further attempts for ${requests} requests, ${Math.floor(bound)} allowed`)
+      this.world.violate(`retry-bound: ${extras} retries for ${requests} requests, ${Math.floor(bound)} allowed`)
       return
     }
   }
--- a/packages/fuzz/src/lib/scenario.ts
+++ b/packages/fuzz/src/lib/scenario.ts
@@ -4,44 +4,44 @@
  * SPDX-License-Identifier: BSD-3-Clause
  */
 /**
- * Turns a table of actions into fast-check commands, and runs them against a world. The model of a run is the list of
- * what was done; the oracles live in the worlds.
+ * Turns a table of actions into fast-check commands and runs them against a simulated world. The model of a run is the list of
+ * executed actions; the oracles are part of the worlds.
  */
 import fc from 'fast-check'
 import type { World } from './world.js'
 
-/** One thing that can happen to a world of a kind. */
+/** An action that a scenario can apply to its world. */
 export interface Action<Subject> {
   readonly name: string
-  /** How many whole numbers the action draws. */
+  /** Number of random integers that the action takes. */
   readonly draws: number
-  /** How often it comes, beside the others; 1 if absent. */
+  /** Relative frequency among the actions; 1 if absent. */
   readonly weight?: number
   readonly run: (subject: Subject, drawn: readonly number[]) => void
 }
 
-/** What a world must offer to be fuzzed. */
+/** Interface that a world implements to be fuzzed. */
 export interface Subject {
   readonly world: World
-  /** Heals everything and looks at the promises. */
+  /** Ends all disturbances, then checks the promises. */
   settle (): void
 }
 
-/** A kind of world with its actions. */
+/** A world with its actions and promises. */
 export interface Scenario<Kind extends Subject, Parts> {
   readonly name: string
   readonly actions: readonly Action<Kind>[]
   readonly create: (seed: number, parts: Parts) => Kind
-  /** Names of the promises whose violations count, as the worlds write them. */
+  /** Names of the promises that the scenario checks, as they stand in the violations. */
   readonly promises: readonly string[]
 }
 
-/** What a campaign found. */
+/** Result of the runs of a scenario. */
 export interface Finding {
   readonly runs: number
   readonly commands: number
   readonly violations: readonly string[]
-  /** The shrunk case, and the path that replays it; empty when all held. */
+  /** The shrunk case and the path that replays it; both are empty if no promise was violated. */
   readonly counterexample: string
   readonly path: string
 }
@@ -82,9 +82,9 @@
 }
 
 /**
- * Runs a scenario many times.
+ * Runs a scenario repeatedly with random commands.
  *
- * @param options.path Replays one case: the path that an earlier finding named.
+ * @param options.path Path of an earlier finding; replays only its case.
  * @example
  * const finding = runScenario(requestScenario, realRequestParts, { seed: 7, runs: 200 })
  */
--- a/packages/fuzz/src/lib/scenarios.ts
+++ b/packages/fuzz/src/lib/scenarios.ts
@@ -3,7 +3,7 @@
  * Copyright 2026 the drumdrift contributors
  * SPDX-License-Identifier: BSD-3-Clause
  */
-/** What can happen to each world, and which promises it is there for. */
+/** The scenarios: the actions that each world allows and the promises that it checks. */
 import { ConfigurationWorld, type ConfigurationParts } from './configuration-world.js'
 import { LimitWorld, type LimitParts } from './limit-world.js'
 import type { PublishedParts } from './published-parts.js'
@@ -16,12 +16,13 @@
 import { WeightsWorld, type WeightsParts } from './weights-world.js'
 
 const IDS = 3
+/** Times are in milliseconds. */
 const LONGEST_AGENT_FREEZE = 6_000
 const LONGEST_ENTRY_FREEZE = 30_000
-/** The time in which offer, claims and go follow each other, in milliseconds. */
+/** Duration of the exchange of offer, claims and go. */
 const LONGEST_STEP = 50
 
-/** Requests: whole answers, true refusals, at most once, leaving, planned stops. */
+/** Requests: complete answers, truthful not-run outcomes, at-most-once execution, draining and planned stops. */
 export const requestScenario: Scenario<RequestWorld, RequestParts> = {
   name: 'requests',
   promises: ['whole-answer', 'not-run', 'at-most-once', 'leaving', 'planned-stop'],
@@ -80,7 +81,7 @@
   ]
 }
 
-/** Weights: no partial version, no mix of two, and every engine reaches the wanted one. */
+/** Weights: an engine never loads a partial or mixed version, and every engine reaches the desired version. */
 export const weightsScenario: Scenario<WeightsWorld, WeightsParts> = {
   name: 'weights',
   promises: ['whole-version', 'one-version', 'reaches-all'],
@@ -103,12 +104,12 @@
 const treatments: readonly Treatment[] = ['answer', 'shed', 'cut', 'fail', 'reject', 'answer-plainly', 'vanish']
 const MOST_REQUESTS = 200
 const LONGEST_LOAD = 4_000
-/** Longer than two of the stretches for which the bound on retries holds, in milliseconds. */
+/** Longer than two windows of the retry bound, in milliseconds. */
 const SAVED_FOR = 25_000
 
 function treatmentOf (drawn: number): Treatment { return treatments[drawn % treatments.length] ?? 'answer' }
 
-/** Requests that go straight to endpoints: no part of a stream looks whole, and retries of all entries keep to their bound. */
+/** Requests that go directly to endpoints: no partial stream looks complete, and the retries of all entries stay within their bound. */
 export const routedScenario: Scenario<RoutedWorld, RoutedParts> = {
   name: 'routed',
   promises: ['whole-stream', 'retry-bound'],
@@ -118,8 +119,8 @@
     { name: 'treat-new', draws: 2, weight: 3, run: (subject, [drawn = 0, share = 0]) => subject.treat('begin', treatmentOf(drawn), share / 1_000) },
     { name: 'treat-resumed', draws: 2, weight: 3, run: (subject, [drawn = 0, share = 0]) => subject.treat('go-on', treatmentOf(drawn), share / 1_000) },
     {
-      // What was saved is spent at once, when the requests that it was earned with are out of the stretch that counts. Meanwhile
-      // some zones may be cut off.
+      // Spends the accumulated retry budget at once, after the requests that earned it have left the window that counts. Some
+      // zones may be cut off meanwhile.
       name: 'save-then-fail',
       draws: 2,
       weight: 2,
@@ -142,7 +143,7 @@
 const MOST_REPEATS = 40
 const LONGEST_REPEAT = 8_000
 
-/** Requests that end endpoints: the whole fleet holds one back once it has ended three, and nothing else with it. */
+/** Requests that crash endpoints: the fleet holds such a request back after three crashes, and holds back no other request. */
 export const suspectScenario: Scenario<SuspectWorld, SuspectParts> = {
   name: 'suspects',
   promises: ['few-ends', 'no-innocents'],
@@ -158,12 +159,12 @@
   ]
 }
 
-/** What endpoints in need name, in requests a second; the first two as seen in service. */
+/** Limits that overloaded endpoints announce, in requests per second; the first two have occurred in service. */
 const LIMITS = [1.1, 1.7, 0, 0.3, 5, 20] as const
-/** How many times the usual load comes at once after a silence. */
+/** Largest factor by which a burst exceeds the usual load. */
 const LARGEST_BURST = 6
 
-/** Limits that endpoints name: all entries together keep within them, and know when they end. */
+/** Limits that endpoints announce: all entries together stay within them, and learn when they end. */
 export const limitScenario: Scenario<LimitWorld, LimitParts> = {
   name: 'limits',
   promises: ['within-limit', 'limit-ends'],
@@ -179,7 +180,7 @@
   ]
 }
 
-/** A store that comes back from older copies: what was acknowledged is in force in time, and nothing goes back. */
+/** A store that is restored from older copies: acknowledged changes are in force in time, and no process reverts to older ones. */
 export const publishedScenario: Scenario<PublishedWorld, PublishedParts> = {
   name: 'published',
   promises: ['in-force-after-restore', 'never-back'],
@@ -201,7 +202,7 @@
 
 const serviceStates = ['normal', 'down', 'stale'] as const
 
-/** Configuration: in force within the time allowed, never taken back, never an invalid one. */
+/** Configuration: a revision is in force within the time allowed, is never reverted and is never invalid. */
 export const configurationScenario: Scenario<ConfigurationWorld, ConfigurationParts> = {
   name: 'configuration',
   promises: ['in-force', 'never-reverts', 'accepted-only'],
--- a/packages/fuzz/src/lib/suspect-world.ts
+++ b/packages/fuzz/src/lib/suspect-world.ts
@@ -4,18 +4,18 @@
  * SPDX-License-Identifier: BSD-3-Clause
  */
 /**
- * Entries, agents and endpoints while some requests end whatever begins them, with the real evidence of what ends endpoints. The oracles
- * count the endpoints that end under one request, and the other requests that are held back.
+ * Entries, agents and endpoints while some requests crash every endpoint that runs them, with the real evidence on suspect requests.
+ * The oracles count the sends of a fatal request after the crashes that suffice to hold it back, and the harmless requests held back.
  */
 import { SuspectRequests, type SuspectNews } from '@drumdrift/core'
 import { Process, World } from './world.js'
 
-/** The parts whose protections a variant may take out. */
+/** The parts whose protections a variant may remove. */
 export interface SuspectParts {
   readonly suspects: () => SuspectRequests
-  /** Whether entries tell agents what they saw. */
+  /** Whether entries report losses to agents. */
   readonly tells: boolean
-  /** Whether entries that start again are told by agents what these know. */
+  /** Whether agents send the known losses to restarted entries. */
   readonly tellsNewcomers: boolean
 }
 
@@ -28,7 +28,7 @@
 }
 
 interface Endpoint {
-  /** Counts its starts. */
+  /** Number of restarts. */
   start: number
   downUntil: number
   readonly running: Set<Attempt>
@@ -39,7 +39,7 @@
   readonly process: Process
   readonly fingerprint: string
   readonly fatal: boolean
-  /** Whether its caller, whom nobody answered, came back with it. */
+  /** Whether this is the caller's repeat of a request that was not answered. */
   readonly again: boolean
   attempts: number
 }
@@ -49,35 +49,35 @@
 const ENDPOINTS = 12
 const FATAL = ['fa00000000000001', 'fa00000000000002'] as const
 const MOST_ATTEMPTS = 2
-/** How long an endpoint needs to start again, in milliseconds. */
+/** How long an endpoint takes to restart, in milliseconds. */
 const DOWN_TIME = 3_000
-/** A request runs this long, and one that ends its endpoint that long, in milliseconds. */
+/** Duration of a harmless request, and the longest time until a fatal one crashes its endpoint, in milliseconds. */
 const RUN_TIME = 1_200
 const TIME_TO_END = 80
-/** A caller whose request was given up comes back after this, once, in milliseconds. */
+/** Delay after which a caller repeats a failed request, once, in milliseconds. */
 const RETURN_TIME = 100
-/** Operators allow so long to take notice, and so many sends of one request after that. */
+/** Time allowed for the fleet to recognise a fatal request, in milliseconds, and the sends of it allowed after that. */
 const NOTICE_TIME = 3_000
 const MOST_SENDS_AFTER = 3
-/** Losses after which a request is to be held back. */
+/** Number of losses after which a request must be held back. */
 const DECISIVE_LOSSES = 3
-/** How often entries tell what they saw, and how many agents, in milliseconds. */
+/** Interval of the entries' reports, in milliseconds, and the number of agents that receive each. */
 const TELL_PAUSE = 100
 const TOLD_AGENTS = 6
-/** What was set off lasts so long, in milliseconds. */
+/** Upper bound of the duration of everything that is in progress, in milliseconds. */
 const SETTLE_TIME = 10_000
 
-/** One run's entries, agents and endpoints. */
+/** Simulation of entries, agents and endpoints. */
 export class SuspectWorld {
   readonly world: World
   private readonly _entries: Member[] = []
   private readonly _agents: Member[] = []
   private readonly _endpoints: Endpoint[] = []
-  /** When the last loss that decides happened, and how often the request was sent later than that. */
+  /** By fingerprint: the times of the crashes, and the number of sends after the time allowed since the decisive one. */
   private readonly _ends = new Map<string, number[]>()
   private readonly _sendsAfter = new Map<string, number>()
   private _innocent = 0
-  /** While entries, agents or links are disturbed, and for the time that is allowed after it, sends do not count. */
+  /** Sends do not count while entries or links are disturbed, nor for the time allowed after that. */
   private _disturbedUntil = -Infinity
 
   constructor (seed: number, private readonly _parts: SuspectParts = realSuspectParts) {
@@ -90,20 +90,20 @@
     this._tell()
   }
 
-  /** Requests that do nothing to their endpoints come in over some time. */
+  /** Schedules harmless requests over a period. */
   load (count: number, milliseconds: number): void {
     for (let index = 0; index < count; index += 1) {
       this.world.after(this.world.between(0, milliseconds), undefined, () => this._request((this._innocent += 1).toString(16).padStart(16, '0'), false, false))
     }
   }
 
-  /** One request that ends endpoints comes again and again over some time, through any entry. */
+  /** Schedules repeats of one fatal request over a period, each through a random entry. */
   repeat (which: number, count: number, milliseconds: number): void {
     const fingerprint = FATAL[which % FATAL.length] ?? FATAL[0]
     for (let index = 0; index < count; index += 1) this.world.after(this.world.between(0, milliseconds), undefined, () => this._request(fingerprint, true, false))
   }
 
-  /** Connections of an entry to all endpoints are lost; these live. */
+  /** Resets an entry's connections to all endpoints, which keep running. */
   resetConnections (index: number): void {
     const { process } = this._entries[index % ENTRIES] as Member
     for (const [number, endpoint] of this._endpoints.entries()) {
@@ -111,10 +111,10 @@
     }
   }
 
-  /** An endpoint ends by itself. */
+  /** Crashes an endpoint without a request as the cause. */
   endOne (index: number): void { this._endEndpoint(index % ENDPOINTS) }
 
-  /** An entry is killed, and starts again. */
+  /** Kills and restarts an entry. */
   restart (index: number): void {
     const place = index % ENTRIES
     this.world.kill((this._entries[place] as Member).process)
@@ -125,7 +125,7 @@
     for (const agent of this._agents) this._pass(agent, [entry], { losses: agent.suspects.known(this.world.now), answers: [] })
   }
 
-  /** A zone and all others do not reach each other. */
+  /** Partitions a zone from all others. */
   cutZone (index: number): void {
     const zone = ZONES[index % ZONES.length] ?? ''
     for (const other of ZONES.filter(name => name !== zone)) {
@@ -154,7 +154,7 @@
   private _request (fingerprint: string, fatal: boolean, again: boolean): void {
     const entry = this.world.pick(this._entries) as Member
     if (entry.suspects.standing(fingerprint, this.world.now) !== 'held-back') return this._send({ entry, process: entry.process, fingerprint, fatal, again, attempts: 0 })
-    if (!fatal) this.world.violate(`no-innocents: request ${fingerprint} is held back when its caller comes back`)
+    if (!fatal) this.world.violate(`no-innocents: request ${fingerprint} is held back when its caller repeats it`)
   }
 
   private _send (attempt: Attempt): void {
@@ -177,7 +177,7 @@
     this._showLife(index, attempt, start)
   }
 
-  /** Events of a stream show its entry that the endpoint lives. */
+  /** Sends stream events, which show the entry that the endpoint is alive. */
   private _showLife (index: number, attempt: Attempt, start: number): void {
     const endpoint = this._endpoints[index] as Endpoint
     this.world.after(this.world.between(50, 100), attempt.process, () => {
@@ -215,7 +215,7 @@
     if (decisive === undefined || now - decisive <= NOTICE_TIME || now <= this._disturbedUntil) return
     const sends = (this._sendsAfter.get(fingerprint) ?? 0) + 1
     this._sendsAfter.set(fingerprint, sends)
-    if (sends > MOST_SENDS_AFTER) this.world.violate(`few-ends: a request was sent ${sends} times more, long after it had ended three endpoints`)
+    if (sends > MOST_SENDS_AFTER) this.world.violate(`few-ends: a request was sent ${sends} more times, long after it had crashed three endpoints`)
   }
 
   private _tell (): void {
--- a/packages/fuzz/src/lib/variants.ts
+++ b/packages/fuzz/src/lib/variants.ts
@@ -4,8 +4,8 @@
  * SPDX-License-Identifier: BSD-3-Clause
  */
 /**
- * The real parts with one protection taken out. Each must be found out by the fuzz that its promise has; a variant
- * that is not found out shows that the fuzz is blind there.
+ * Mutants of the product's parts, each with one protection removed. Fuzzing must find a violation of the promise that the
+ * protection serves; a variant that survives shows a gap in the scenario.
  */
 import {
   AdmissionDoor, AnswerStream, AttemptCourse, ClaimKeeper, EndpointLimits, OnceAttempt, PublishedState, publishedTopics, RevisionLedger, StoreCursor, type Acceptance, type Admission, type AnswerPart, type AnswerProgress, type AnswerVerdict, type CancelReply, type ClaimReply,
@@ -21,7 +21,7 @@
 import { realSuspectParts, type SuspectParts } from './suspect-world.js'
 import { realWeightsParts, type WeightsParts } from './weights-world.js'
 
-/** One variant: what is taken out, and which promise must break. */
+/** A variant, with the promise that it must violate. */
 export interface Variant {
   readonly name: string
   readonly promise: string
@@ -56,39 +56,39 @@
   return { name, promise, run: options => runScenario(publishedScenario, { ...realPublishedParts, ...change }, options) }
 }
 
-/** Orders everything by revisions alone. */
+/** Orders changes by revision alone and ignores epochs. */
 class EpochlessState extends PublishedState {
   override enter (): false { return false }
 }
 
-/** Goes on with a watch in whatever epoch it is answered. */
+/** Accepts the changes of a watch from any epoch. */
 class HastyCursor extends StoreCursor {
   override judge (_call: StoreCall, { type }: StoreAnswerKind): AnswerVerdict { return type === 'changes' ? 'take' : super.judge('watch', { type }) }
 }
 
-/** Passes limits on to callers and heeds none. */
+/** Does not apply limits to its own requests. */
 class DeafLimits extends EndpointLimits {
   override sparedFor (): undefined { return undefined }
 }
 
-/** Knows each request by the attempt only, as its caller's ids would have it. */
+/** Records no losses, as if each attempt were another request, which is what identification by the caller's ids would amount to. */
 class ForgetfulSuspects extends SuspectRequests {
   override lost (): void {}
 }
 
-/** Holds a request back after its first loss. */
+/** Holds a request back after its first lost attempt. */
 class HastySuspects extends SuspectRequests {
   override standing (fingerprint: string, now: number): Standing { return this.lossesOf(fingerprint, now).length > 0 ? 'held-back' : 'clear' }
 }
 
-/** Passes any whole answer on, whatever the caller has. */
+/** Forwards any complete answer, even if the caller already has part of a stream. */
 class HastyCourse extends AttemptCourse {
   override ended (end: AttemptEnd, bounds: AttemptBounds): NextStep {
     return end.type === 'answered' && this.sent > 0 ? { type: 'pass-on' } : super.ended(end, bounds)
   }
 }
 
-/** Begins with some retries in hand. */
+/** Starts with a budget of retries that no requests have earned. */
 class GenerousAllowance extends RetryAllowance {
   private _given = 5
 
@@ -99,7 +99,7 @@
   }
 }
 
-/** Takes the entries that it hears of now for all. */
+/** Estimates the size of the fleet from the latest count of reachable entries alone. */
 class ShortSightedFleet {
   private _count: number | undefined
 
@@ -111,7 +111,7 @@
   estimate (): number | undefined { return this._count }
 }
 
-/** Passes parts on as they come. */
+/** Forwards the parts of an answer in the order in which they arrive. */
 class HastyStream extends AnswerStream<string> {
   private _parts = 0
   private _expected = -1
@@ -127,7 +127,7 @@
   }
 }
 
-/** Takes the end for the whole, whatever is missing. */
+/** Reports an answer as complete when its end arrives, even if parts are missing. */
 class TrustingStream extends AnswerStream<string> {
   override end (count: number): AnswerProgress<string> {
     const progress = super.end(count)
@@ -135,7 +135,7 @@
   }
 }
 
-/** Says that an unused ticket is dead, but leaves it alive. */
+/** Confirms the cancellation of an unused ticket, but leaves the ticket valid. */
 class NoTombstoneDoor extends AdmissionDoor {
   override cancel (ticket: string): CancelReply {
     return ticket.startsWith(this.incarnation) && this._unused.has(ticket) ? 'never-started' : super.cancel(ticket)
@@ -156,7 +156,7 @@
   private readonly _unused = new Set<string>()
 }
 
-/** Takes silence for proof. */
+/** Treats an unanswered cancellation as proof that the request did not run. */
 class OptimisticAttempt extends OnceAttempt {
   override cancelled (reply: CancelReply | 'unreachable'): OnceEffect[] {
     if (reply !== 'unreachable') return super.cancelled(reply)
@@ -164,7 +164,7 @@
   }
 }
 
-/** Remembers nothing. */
+/** Vouches for every claim and records none. */
 class ForgetfulKeeper extends ClaimKeeper {
   override claim (): ClaimReply { return { type: 'vouched' } }
 }
@@ -182,7 +182,7 @@
   override release (organisation: string, id: string): void { super.release(organisation, id, this._holders.get(id) ?? '') }
 }
 
-/** Vouches from its first second on. */
+/** Vouches before it has run for a whole repeat window. */
 class HastyKeeper extends ClaimKeeper {
   override claim (...[organisation, id, attempt, body, now]: Parameters<ClaimKeeper['claim']>): ClaimReply {
     const reply = super.claim(organisation, id, attempt, body, now)
@@ -190,7 +190,7 @@
   }
 }
 
-/** Vouches for issued ids that name another incarnation of it. */
+/** Vouches for issued ids that name another incarnation of this keeper. */
 class StrangerKeeper extends ClaimKeeper {
   override claim (...[organisation, id, attempt, body, now]: Parameters<ClaimKeeper['claim']>): ClaimReply {
     const reply = super.claim(organisation, id, attempt, body, now)
@@ -198,22 +198,22 @@
   }
 }
 
-/** Hears orders to leave and does nothing. */
+/** Ignores orders to drain. */
 class StayingDoor extends AdmissionDoor {
   override leave (): boolean { return false }
 }
 
-/** Lets go of its count of what runs. */
+/** Reports no requests in progress. */
 class CarelessDoor extends AdmissionDoor {
   override get running (): number { return 0 }
 }
 
-/** Never closes for a switch. */
+/** Keeps admitting requests during a switch of versions. */
 class OpenDoor extends AdmissionDoor {
   override setSwitching (): void {}
 }
 
-/** Takes whatever it is given, valid or not, newer or older. */
+/** Adopts revisions without regard to their order; validation depends on the given function. */
 class CredulousLedger extends RevisionLedger<Configuration> {
   private _last: Published | undefined
 
@@ -236,7 +236,7 @@
 
 const takeAnything = (input: unknown): Checked<Configuration, DocumentFailure> => ({ value: input as Configuration })
 
-/** Every variant, at least two for each promise. */
+/** All variants. */
 export const variants: readonly Variant[] = [
   weights('chunks-unverified', 'whole-version', { verify: () => true }),
   weights('load-before-whole', 'whole-version', { waitsForWhole: false, looksAgain: false }),
--- a/packages/fuzz/src/lib/weights-world.ts
+++ b/packages/fuzz/src/lib/weights-world.ts
@@ -4,24 +4,24 @@
  * SPDX-License-Identifier: BSD-3-Clause
  */
 /**
- * Agents of one pool over the fake network, with the real transfer, switch and door, and fake engines that load
- * whatever they are told to. The oracle compares what an engine serves with the true weights.
+ * Agents of one pool on the simulated network, with the real transfer, switch and admission, and fake engines that load
+ * whatever they are ordered to. The oracle compares the weights that an engine serves with the correct ones.
  */
 import {
   AdmissionDoor, defaultTransferPolicy, EngineSwitch, Transfer, type EngineReport, type InstanceRecord, type LoadResult, type Manifest, type SwitchEffect, type TransferEffect
 } from '@drumdrift/core'
 import { Process, World } from './world.js'
 
-/** The parts whose protections a variant may take out. */
+/** The parts whose protections a variant may remove. */
 export interface WeightsParts {
   readonly door: (incarnation: string, slots: number) => AdmissionDoor
-  /** Whether a chunk's bytes are what its digest says. */
+  /** Returns whether a chunk matches its digest. */
   readonly verify: (content: string, digest: string) => boolean
-  /** Whether only a whole version may be loaded. */
+  /** Whether only a complete version may be loaded. */
   readonly waitsForWhole: boolean
-  /** Whether what the engine holds is looked at once more before a load. */
+  /** Whether the staged chunks are checked again before a load. */
   readonly looksAgain: boolean
-  /** Whether the engine refuses orders and requests whose fence is not the newest. */
+  /** Whether the engine refuses orders and requests with an outdated fence. */
   readonly takesOver: boolean
 }
 
@@ -42,7 +42,7 @@
   fence: number
   running: number
   reported: number
-  /** What the served version consists of. */
+  /** Contents of the chunks that the engine serves. */
   contents: readonly string[]
 }
 
@@ -55,7 +55,7 @@
   transfer: Transfer | undefined
   revision: number
   whole: string
-  /** Chunks that this agent corrupts for its peers, until it is healed. */
+  /** Whether this agent corrupts the chunks that it sends to peers. */
   corrupts: boolean
 }
 
@@ -64,6 +64,7 @@
 const CHUNKS = 6
 const SHARED = 2
 const VERSIONS = ['v1', 'v2', 'v3'] as const
+/** Times are in milliseconds. */
 const TICK = 50
 const POLL = 200
 const LOAD_TIME = 300
@@ -82,7 +83,7 @@
   return { model: 'chat', version, bytes: CHUNKS, chunks: Array.from({ length: CHUNKS }, (_, index) => ({ digest: digestOf(contentOf(version, index)), bytes: 1 })) }
 }
 
-/** One run's agents and engines. */
+/** Simulation of agents and their engines. */
 export class WeightsWorld {
   readonly world: World
   readonly members: Member[] = []
@@ -103,20 +104,20 @@
     }
   }
 
-  /** The wanted version changes; agents hear of it late, if they can. */
+  /** Changes the desired version; agents learn of it after a delay. */
   want (index: number): void {
     this._wanted = VERSIONS[index % VERSIONS.length] ?? ''
     this._revision += 1
     for (const member of this.members) this._tell(member)
   }
 
-  /** A caller's request reaches an agent. */
+  /** Sends a request to an agent. */
   request (index: number): void {
     const member = this._at(index)
     this.world.after(1, member.process, () => {
       const admission = member.door.run(this.world.now)
       if (admission.type !== 'admitted') return
-      // The engine refuses what comes with an old fence: it did not run.
+      // The engine refuses a request with an outdated fence, so that it does not run.
       if (this._parts.takesOver && member.engineSwitch.fence < member.engine.fence) member.door.finished(admission.run)
       else this._run(member, admission.run)
     })
@@ -124,7 +125,7 @@
 
   kill (index: number): void { this.world.kill(this._at(index).process) }
 
-  /** A new agent takes the place of the old one beside the same engine; a frozen old one wakes up beside it later. */
+  /** Starts a new agent for the same engine; the old one is killed, or frozen and thawed later while the new one runs. */
   replace (index: number, oldIsFrozen: boolean): void {
     const at = index % this.members.length
     const old = this.members[at] as Member
@@ -144,7 +145,7 @@
 
   setOrigin (well: boolean): void { this._originWell = well }
 
-  /** Everything heals, and every engine comes to serve the wanted version. */
+  /** Ends all disturbances and checks that every engine reaches the desired version. */
   settle (): void {
     this.world.heal()
     this.thawAll()
@@ -197,7 +198,7 @@
     member.transfer = new Transfer(member.record, this._records, version, manifestOf(version), new Set(member.engine.staging.keys()), defaultTransferPolicy)
   }
 
-  // The transfer.
+  // Transfer.
 
   private _carry (member: Member, effects: readonly TransferEffect[]): void {
     for (const effect of effects) {
@@ -232,7 +233,7 @@
     })
   }
 
-  // The switch.
+  // Switch of versions.
 
   private _poll (member: Member): void {
     const { engine, process } = member
@@ -267,14 +268,14 @@
     if (effect.type === 'switched') this._dropOthers(member, effect.digest)
   }
 
-  /** An agent that was replaced ends; the platform starts a new one if the slot is its own. */
+  /** Ends an agent that found itself replaced; the platform starts a new one if it is still the agent of its slot. */
   private _end (member: Member): void {
     const index = this.members.indexOf(member)
     this.world.kill(member.process)
     if (index >= 0) this.world.after(100, undefined, () => { if (this.members[index] === member) this.replace(index, false) })
   }
 
-  /** The order takes a moment, in which the agent may be frozen. */
+  /** Orders a load after a short delay, during which the agent may be frozen. */
   private _order (member: Member, digest: string, fence: number): void {
     const held = (): boolean => manifestOf(digest).chunks.every(chunk => member.engine.staging.has(chunk.digest))
     const answer = (result: LoadResult): void => member.engineSwitch.loadAnswered(digest, result, this.world.clock(member.process))
@@ -289,7 +290,7 @@
 
   private _load (engine: Engine, digest: string, fence: number): LoadResult {
     if (this._parts.takesOver && fence < engine.fence) return 'stale-fence'
-    if (engine.running > 0) this.world.violate(`one-version: a load of ${digest} came while ${engine.running} requests ran`)
+    if (engine.running > 0) this.world.violate(`one-version: a load of ${digest} was ordered while ${engine.running} requests were in progress`)
     engine.loading = digest
     this.world.after(LOAD_TIME, undefined, () => {
       if (engine.loading !== digest) return
@@ -302,7 +303,7 @@
     return 'ordered'
   }
 
-  /** Dropping carries the fence too: an agent that woke late drops nothing. */
+  /** Deletes the chunks of other versions; like an order, this needs the newest fence, so that an agent thawed late deletes nothing. */
   private _dropOthers (member: Member, digest: string): void {
     const { engine } = member
     if (member.engineSwitch.fence < engine.fence || this._versionOf(member) !== digest) return
@@ -324,7 +325,7 @@
     })
   }
 
-  /** Engines report their load late. */
+  /** Reports the engine's load after a delay. */
   private _report (engine: Engine): void {
     const { running } = engine
     this.world.after(REPORT_LAG, undefined, () => { engine.reported = running })
--- a/packages/fuzz/src/lib/world.ts
+++ b/packages/fuzz/src/lib/world.ts
@@ -4,8 +4,8 @@
  * SPDX-License-Identifier: BSD-3-Clause
  */
 /**
- * A small fake of what lies round the core: a clock that only events move, processes that can be killed, frozen and
- * replaced, and a network that can be cut. Everything is drawn from one seed.
+ * A discrete-event simulation of the environment of the core: a virtual clock, processes that can be killed, frozen and
+ * replaced, and a network whose links can be cut. All randomness comes from one seed.
  */
 import { uniformFloat64 } from 'pure-rand/distribution/uniformFloat64'
 import { xoroshiro128plus } from 'pure-rand/generator/xoroshiro128plus'
@@ -13,31 +13,32 @@
 interface Event {
   readonly at: number
   readonly order: number
-  /** The process whose event it is; its death drops the event, its freeze holds it back. */
+  /** The process that the event belongs to: the event is dropped if the process is dead and deferred while it is frozen. */
   readonly process: Process | undefined
   readonly run: () => void
 }
 
+/** Network latencies, in milliseconds. */
 const LEAST_LATENCY = 0.5
 const MOST_LATENCY = 8
 const REFUSED_AFTER = 2
 
-/** One process of one incarnation. */
+/** One incarnation of a process. */
 export class Process {
   alive = true
   frozen = false
   readonly deferred: (() => void)[] = []
 
   /**
-   * @param skew Added to the world's time: clocks differ between instances.
+   * @param skew Offset of the process's clock from the simulated time, in milliseconds.
    */
   constructor (readonly name: string, readonly availabilityZone: string, readonly incarnation: string, readonly skew: number) {}
 }
 
-/** The fakes of one run. */
+/** The simulated environment of one run. */
 export class World {
   now = 0
-  /** What went against a promise; empty at the end of a good run. */
+  /** Violations of promises; empty if all promises held. */
   readonly violations: string[] = []
   private readonly _events: Event[] = []
   private readonly _cuts = new Set<string>()
@@ -48,21 +49,21 @@
     this._generator = xoroshiro128plus(seed)
   }
 
-  /** A number in [0, 1). */
+  /** Returns a uniformly distributed number in [0, 1). */
   random (): number { return uniformFloat64(this._generator) }
 
-  /** A number between two bounds. */
+  /** Returns a uniformly distributed number between two bounds. */
   between (least: number, most: number): number { return least + (most - least) * this.random() }
 
-  /** One of several. */
+  /** Returns a random item, or `undefined` if there are none. */
   pick<Item> (items: readonly Item[]): Item | undefined { return items[Math.floor(this.random() * items.length)] }
 
-  /** The reading of a process's own clock. */
+  /** Returns the time by a process's own clock. */
   clock (process: Process): number { return this.now + process.skew }
 
   violate (text: string): void { this.violations.push(`${Math.round(this.now)} ms: ${text}`) }
 
-  /** Runs something later, as an event of a process. */
+  /** Schedules a callback, as an event of a process if one is given. */
   after (delay: number, process: Process | undefined, run: () => void): void {
     const event: Event = { at: this.now + Math.max(0, delay), order: this._order++, process, run }
     let low = 0
@@ -76,7 +77,7 @@
     this._events.splice(low, 0, event)
   }
 
-  /** Lets time pass. */
+  /** Advances the simulated time and runs the events that become due. */
   advance (duration: number): void {
     const until = this.now + duration
     for (let next = this._events[0]; next !== undefined && next.at <= until; next = this._events[0]) {
@@ -87,10 +88,10 @@
     this.now = until
   }
 
-  /** Cuts a direction between two ends: process names, zone names, or `platform`. */
+  /** Cuts the link in one direction between two ends, which are process names, zone names or `platform`. */
   cut (from: string, to: string): void { this._cuts.add(`${from}>${to}`) }
 
-  /** Heals everything. */
+  /** Restores all links. */
   heal (): void { this._cuts.clear() }
 
   connected (from: Process, to: Process): boolean {
@@ -98,20 +99,20 @@
     return !ends(from).some(left => ends(to).some(right => this._cuts.has(`${left}>${right}`)))
   }
 
-  /** Whether a process and the platform reach each other. */
+  /** Returns whether a process and the platform reach each other. */
   platformReaches (process: Process): boolean {
     return !this._cuts.has(`platform>${process.availabilityZone}`) && !this._cuts.has(`${process.availabilityZone}>platform`)
   }
 
-  /** Sends a message one way; lost when the way is cut at either end of its flight. */
+  /** Sends a message one way; it is lost if the link is cut when it is sent or when it is due to arrive. */
   send (from: Process, to: Process, deliver: () => void): void {
     if (!this.connected(from, to)) return
     this.after(this.between(LEAST_LATENCY, MOST_LATENCY), to, () => { if (this.connected(from, to)) deliver() })
   }
 
   /**
-   * Asks a process for one answer. A dead one refuses; a frozen or cut one is silent until the time is up. A frozen
-   * asker finds both its time-out and a late answer when it wakes, in either order.
+   * Calls a process. A dead process refuses the connection; a call to a frozen or unreachable one times out. When a frozen caller
+   * is thawed, it handles its timeout and a late answer in either order.
    */
   call<Answer> (from: Process, to: Process | undefined, handle: () => Answer, timeout: number, done: (answer: Answer | 'unreachable') => void): void {
     let settled = false
@@ -125,7 +126,6 @@
     else this.send(from, to, () => { this.reply(to, from, handle(), settle) })
   }
 
-  /** Sends an answer back. */
   reply<Answer> (from: Process, to: Process, answer: Answer, take: (answer: Answer) => void): void {
     this.send(from, to, () => take(answer))
   }
@@ -137,7 +137,7 @@
 
   freeze (process: Process): void { process.frozen = true }
 
-  /** A process wakes: what it missed happens now, time-outs first or messages first. */
+  /** Resumes a process and runs its deferred events, in their order or reversed, so that timeouts may come before or after messages. */
   thaw (process: Process): void {
     if (!process.frozen) return
     process.frozen = false
--- a/packages/fuzz/src/test/promises_test.ts
+++ b/packages/fuzz/src/test/promises_test.ts
@@ -13,7 +13,7 @@
 
 const SEEDS = [1, 7, 21]
 const RUNS = 40
-/** The budget within which a variant must be found out; the shrinking that follows is not part of it. */
+/** The number of runs within which a variant must violate its promise, not counting those that shrink the case. */
 const NEGATIVE_RUNS = 400
 
 describe('the promises hold under fuzzing', () => {
@@ -23,14 +23,14 @@
         const lines: string[] = []
         const held = fuzzPromises({ seed, runs: RUNS, scenario, print: line => lines.push(line) })
         assert.ok(held, lines.join('\n'))
-        assert.ok(lines.every(line => /commands=[1-9]/.test(line)), 'something was done')
+        assert.ok(lines.every(line => /commands=[1-9]/.test(line)), 'at least one command was executed')
       })
     }
   }
 })
 
-describe('a protection that is taken out is found out', () => {
-  // The cheap ones run here; `npm run fuzz -- --negatives` runs all.
+describe('a removed protection is detected', () => {
+  // Only the fast variants run here; `npm run fuzz -- --negatives` runs all.
   for (const name of ['chunks-unverified', 'load-before-whole', 'parts-as-they-come', 'keepers-forget', 'any-answer-ends-a-stream', 'retries-at-birth', 'every-entry-has-all-retries', 'losses-forgotten', 'each-entry-for-itself', 'held-back-at-once', 'limits-not-heeded', 'each-entry-has-the-whole-limit', 'epochs-ignored', 'copies-taken-for-all']) {
     it(name, () => {
       const variant = variants.find(candidate => candidate.name === name)
@@ -40,15 +40,15 @@
   }
 })
 
-describe('what the fuzz found stays mended', () => {
+describe('regressions found by fuzzing', () => {
   const configuration: [name: string, play: (subject: ConfigurationWorld) => void][] = [
-    ['a service that was down from the start and comes back', subject => {
+    ['the service is down from the start and recovers', subject => {
       subject.setService('down')
       subject.world.advance(27_000)
       subject.setService('normal')
       subject.quiet()
     }],
-    ['a service that was stale for long and comes back', subject => {
+    ['the service is stale for a long time and recovers', subject => {
       subject.quiet()
       subject.setService('stale')
       subject.world.advance(60_000)
@@ -56,21 +56,21 @@
       subject.publish(true)
       subject.quiet()
     }],
-    ['a stale service at a restart while peers know better', subject => {
+    ['a process restarts while the service is stale and its peers hold a newer revision', subject => {
       subject.publish(true)
       subject.quiet()
       subject.setService('stale')
       subject.restart(4)
       subject.world.advance(5_000)
     }],
-    ['an invalid revision that is newer than what peers hold, at a restart', subject => {
+    ['a process restarts while the service has an invalid revision newer than that of its peers', subject => {
       subject.publish(true)
       subject.quiet()
       subject.publish(false)
       subject.restart(7)
       subject.quiet()
     }],
-    ['a zone that is cut off from the platform and from one of two other zones', subject => {
+    ['a zone is cut off from the platform and from one of the two other zones', subject => {
       subject.quiet()
       subject.cutPlatform(0)
       subject.cutZones(1, 0, false)
@@ -89,7 +89,7 @@
     })
   }
 
-  it('an agent that wakes beside its replacement', () => {
+  it('an agent is thawed while its replacement runs', () => {
     for (let seed = 1; seed <= 20; seed += 1) {
       const subject = new WeightsWorld(seed)
       subject.world.advance(8_000)
@@ -104,7 +104,7 @@
     }
   })
 
-  it('an entry that is paused with a request for longer than its deadline', () => {
+  it('an entry is frozen with a request in progress for longer than its deadline', () => {
     for (let seed = 1; seed <= 20; seed += 1) {
       const subject = new RequestWorld(seed)
       subject.submit('notice', 0, true)
--- a/packages/fuzz/src/test/starts_test.ts
+++ b/packages/fuzz/src/test/starts_test.ts
@@ -25,9 +25,10 @@
 type Step = 'restart' | 'report' | 'late-report' | 'refuse' | 'fail' | 'choose'
 
 /**
- * Plays steps against a chooser, and says what went wrong.
+ * Applies steps to a chooser.
  *
- * @param told What the chooser is told of a start: all of it, or, in the variant, nothing that tells it from others of its id.
+ * @param told Creates the record that the chooser receives for a start; the variant's record does not identify the start.
+ * @returns What went wrong, or `undefined`.
  */
 function play (steps: readonly Step[], told: (born: number) => EndpointRecord): string | undefined {
   const chooser = new EndpointChooser({ availabilityZone: 'hall', regionOf: () => 'here' }, () => 0)
@@ -53,26 +54,26 @@
     } else if (step === 'fail') chooser.ended(startOf(record), 'request', 'bad', now)
     else {
       const choice = chooser.choose(service, need, now)
-      if ((choice !== undefined) !== (now >= avoidedUntil)) return `chosen: ${choice !== undefined}, to be avoided until ${avoidedUntil} at ${now}`
-      if (choice !== undefined && Number.isFinite(choice.reportAge) !== heard) return 'a report of another start counts'
+      if ((choice !== undefined) !== (now >= avoidedUntil)) return `chosen: ${choice !== undefined} at ${now}, avoided until ${avoidedUntil}`
+      if (choice !== undefined && Number.isFinite(choice.reportAge) !== heard) return 'the choice uses a report of another start, or none'
     }
   }
   return undefined
 }
 
-describe('an endpoint that starts again and again under its id', () => {
+describe('an endpoint that restarts repeatedly under the same id', () => {
   const steps = fc.array(fc.constantFrom<Step>('restart', 'report', 'late-report', 'refuse', 'fail', 'choose'), { maxLength: 60 })
 
-  it('is never judged by an earlier start', () => {
+  it('is never judged by the state of an earlier start', () => {
     fc.assert(fc.property(steps, sequence => { assert.equal(play(sequence, recordOf), undefined) }), { seed: SEED, numRuns: RUNS })
   })
 
-  it('is, and that is found out, where what is learnt is kept by its id', () => {
+  it('is judged by earlier starts, which the check detects, if state is kept by id alone', () => {
     const found = fc.check(fc.property(steps, sequence => play(sequence, () => recordOf(undefined)) === undefined), { seed: SEED, numRuns: RUNS })
     assert.ok(found.failed)
   })
 
-  it('is never listed with an earlier start after a later one, in whichever order and however often entries come', () => {
+  it('is never listed with an earlier start after a later one, whatever the order and repetition of changes', () => {
     const change = fc.record({ born: fc.integer({ min: 1, max: 5 }), revision: fc.integer({ min: 1, max: 30 }), gone: fc.boolean() })
     fc.assert(fc.property(fc.array(change, { maxLength: 40 }), changes => {
       const state = new PublishedState()
