--- a/packages/fuzz/src/lib/campaign.ts
+++ b/packages/fuzz/src/lib/campaign.ts
@@ -24,13 +24,13 @@
   readonly print: (line: string) => void
 }
 
-interface Part {
+interface RunnableScenario {
   readonly name: string
   readonly promises: readonly string[]
   readonly run: (options: { seed: number, runs: number, path?: string }) => Finding
 }
 
-const parts: readonly Part[] = [
+const parts: readonly RunnableScenario[] = [
   { name: weightsScenario.name, promises: weightsScenario.promises, run: options => runScenario(weightsScenario, realWeightsParts, options) },
   { name: requestScenario.name, promises: requestScenario.promises, run: options => runScenario(requestScenario, realRequestParts, options) },
   { name: configurationScenario.name, promises: configurationScenario.promises, run: options => runScenario(configurationScenario, realConfigurationParts, options) },
--- a/packages/fuzz/src/lib/configuration-world.ts
+++ b/packages/fuzz/src/lib/configuration-world.ts
@@ -14,16 +14,16 @@
 export interface ConfigurationParts {
   readonly ledger: (source: string) => RevisionLedger<Configuration>
   /** Whether processes compare revisions with random peers. */
-  readonly compares: boolean
+  readonly comparesWithPeers: boolean
   /** Whether a starting process asks its peers before it adopts a revision from the service. */
-  readonly joins: boolean
+  readonly joinsThroughSeeds: boolean
 }
 
 /** The product's own parts. */
 export const realConfigurationParts: ConfigurationParts = {
   ledger: source => new RevisionLedger(source, checkConfiguration),
-  compares: true,
-  joins: true
+  comparesWithPeers: true,
+  joinsThroughSeeds: true
 }
 
 interface Member {
@@ -31,9 +31,9 @@
   process: Process
   spread: Spread
   /** The highest revision that this incarnation has adopted. */
-  highest: number
+  highestRevision: number
   /** The highest revision held at the start by the seeds, if this incarnation has been able to reach them all since; otherwise 0. */
-  knownToSeeds: number
+  seedRevision: number
   readonly startedAt: number
 }
 
@@ -41,20 +41,20 @@
 
 const SOURCE = 'fuzz'
 const ZONES = ['koshi', 'bagmati', 'gandaki'] as const
-const MEMBERS = 9
+const MEMBER_COUNT = 9
 /** Times are in milliseconds. */
-const TICK = 100
+const TICK_INTERVAL = 100
 const CALL_TIMEOUT = 1_000
 const READ_TIMEOUT = 1_500
-const WATCH_WAIT = 2_500
+const WATCH_TIMEOUT = 2_500
 const SERVICE_LATENCY = 3
 /** Longer than a starting process waits for its seeds before it adopts a revision. */
 const JOIN_TIME = 3_000
 /** Required time from the publication of a revision until it is in force everywhere. */
 const IN_FORCE_WITHIN = 9_000
 
-const goodDocument = { models: {}, pools: {}, services: {}, organisations: {} }
-const badDocument = { models: {}, pools: { drafting: { model: 'none', version: 'v1' } }, services: {}, organisations: {} }
+const validDocument = { models: {}, pools: {}, services: {}, organisations: {} }
+const invalidDocument = { models: {}, pools: { drafting: { model: 'none', version: 'v1' } }, services: {}, organisations: {} }
 
 /** Simulation of the processes and the configuration service. */
 export class ConfigurationWorld {
@@ -67,20 +67,20 @@
 
   constructor (seed: number, private readonly _parts: ConfigurationParts = realConfigurationParts) {
     this.world = new World(seed)
-    const records: InstanceRecord[] = Array.from({ length: MEMBERS }, (_, index) => ({
+    const records: InstanceRecord[] = Array.from({ length: MEMBER_COUNT }, (_, index) => ({
       instance: `process-${index}`, availabilityZone: ZONES[index % ZONES.length] ?? '', role: 'agent', address: `10.0.0.${index}:1`, endpoint: 'p', state: 'live'
     }))
     this._instances = { source: SOURCE, revision: 1, document: { instances: records } }
-    this._publishDocument(goodDocument)
-    for (const record of records) this.members.push(this._start(record))
+    this._publishDocument(validDocument)
+    for (const record of records) this.members.push(this._startMember(record))
   }
 
   /** Publishes a document; the service orders concurrent publications. */
-  publish (good: boolean): void { this._publishDocument(good ? goodDocument : badDocument) }
+  publish (valid: boolean): void { this._publishDocument(valid ? validDocument : invalidDocument) }
 
   /** Clears the expectation from the seeds for processes that have not joined yet, since they may no longer reach their seeds. */
-  private _disturbed (): void {
-    for (const member of this.members) if (this.world.now - member.startedAt < JOIN_TIME) member.knownToSeeds = 0
+  private _clearSeedRevisions (): void {
+    for (const member of this.members) if (this.world.now - member.startedAt < JOIN_TIME) member.seedRevision = 0
   }
 
   setService (state: ServiceState): void { this._service = state }
@@ -90,13 +90,13 @@
     const at = index % this.members.length
     const old = this.members[at] as Member
     this.world.kill(old.process)
-    this._disturbed()
-    this.members[at] = this._start(old.record)
+    this._clearSeedRevisions()
+    this.members[at] = this._startMember(old.record)
   }
 
   freeze (index: number): void {
     this.world.freeze((this.members[index % this.members.length] as Member).process)
-    this._disturbed()
+    this._clearSeedRevisions()
   }
 
   thawAll (): void { for (const member of this.members) this.world.thaw(member.process) }
@@ -106,7 +106,7 @@
     if (left === right) return
     this.world.cut(left, right)
     if (bothWays) this.world.cut(right, left)
-    this._disturbed()
+    this._clearSeedRevisions()
   }
 
   cutPlatform (zone: number): void { this.world.cut('platform', ZONES[zone % ZONES.length] ?? '') }
@@ -117,11 +117,11 @@
    * has replaced and that no connected process has adopted is no longer available.
    */
   quiet (): void {
-    const expected = this._service === 'normal' ? this.members.map(member => ({ member, newest: this._newestFor(member) })) : []
+    const expected = this._service === 'normal' ? this.members.map(member => ({ member, newest: this._newestObtainable(member) })) : []
     this.world.advance(IN_FORCE_WITHIN)
     for (const { member, newest } of expected) {
       if (member.spread.revision('configuration') < newest) {
-        this.world.violate(`in-force: ${member.process.name} is at ${member.spread.revision('configuration')}, not ${newest}, after ${IN_FORCE_WITHIN} ms`)
+        this.world.recordViolation(`in-force: ${member.process.name} is at ${member.spread.revision('configuration')}, not ${newest}, after ${IN_FORCE_WITHIN} ms`)
       }
     }
   }
@@ -137,24 +137,24 @@
   }
 
   /** Returns the newest revision that a process can obtain, or 0 if it is frozen or cut off from the platform. */
-  private _newestFor (member: Member): number {
+  private _newestObtainable (member: Member): number {
     const group = this._connected(member)
-    if (!group.some(({ process }) => this.world.platformReaches(process))) return 0
+    if (!group.some(({ process }) => this.world.connectedToPlatform(process))) return 0
     const shown = this._published.at(-1)
     const held = group.map(({ spread }) => spread.revision('configuration'))
-    return Math.max(0, shown?.document === goodDocument ? shown.revision : 0, ...held)
+    return Math.max(0, shown?.document === validDocument ? shown.revision : 0, ...held)
   }
 
   /** Returns the running members connected to one, directly or through others; none if that member is not running. */
   private _connected (start: Member): Member[] {
-    const awake = this.members.filter(member => member.process.alive && !member.process.frozen)
-    if (!awake.includes(start)) return []
+    const running = this.members.filter(member => member.process.alive && !member.process.frozen)
+    if (!running.includes(start)) return []
     const group = new Set([start])
     for (let size = 0; size < group.size;) {
       size = group.size
-      for (const member of awake) {
-        const near = [...group].some(other => this.world.connected(member.process, other.process) && this.world.connected(other.process, member.process))
-        if (near) group.add(member)
+      for (const member of running) {
+        const adjacent = [...group].some(other => this.world.connected(member.process, other.process) && this.world.connected(other.process, member.process))
+        if (adjacent) group.add(member)
       }
     }
     return [...group]
@@ -164,38 +164,38 @@
     this._published.push({ source: SOURCE, revision: this._published.length + 1, document })
   }
 
-  private _start (record: InstanceRecord): Member {
+  private _startMember (record: InstanceRecord): Member {
     const { world } = this
-    const process = new Process(record.instance, record.availabilityZone, `${record.instance}.${this._incarnations++}`, world.between(0, 1e6))
-    const seeds = this._parts.joins ? ['10.0.0.0:1', '10.0.0.1:1', '10.0.0.2:1'] : []
+    const process = new Process(record.instance, record.availabilityZone, `${record.instance}.${this._incarnations++}`, world.uniform(0, 1e6))
+    const seeds = this._parts.joinsThroughSeeds ? ['10.0.0.0:1', '10.0.0.1:1', '10.0.0.2:1'] : []
     const spread = new Spread({ ...record, seeds, source: SOURCE }, () => world.random(), world.clock(process), undefined, this._parts.ledger)
-    const member: Member = { record, process, spread, highest: 0, knownToSeeds: this._knownToSeeds(process), startedAt: world.now }
+    const member: Member = { record, process, spread, highestRevision: 0, seedRevision: this._seedRevisionFor(process), startedAt: world.now }
     const tick = (): void => {
-      this._carryOut(member, spread.tick(world.clock(process)))
-      world.after(TICK, process, tick)
+      this._execute(member, spread.tick(world.clock(process)))
+      world.after(TICK_INTERVAL, process, tick)
     }
-    world.after(world.between(0, TICK), process, tick)
+    world.after(world.uniform(0, TICK_INTERVAL), process, tick)
     return member
   }
 
   /** Returns the newest revision of the first three members, which are the seeds, if the process reaches them all, and 0 otherwise. */
-  private _knownToSeeds (process: Process): number {
+  private _seedRevisionFor (process: Process): number {
     const seeds = this.members.slice(0, 3).filter(seed => seed.process.name !== process.name)
     const reachable = seeds.every(seed => seed.process.alive && !seed.process.frozen && this.world.connected(process, seed.process) && this.world.connected(seed.process, process))
     return reachable ? Math.max(0, ...seeds.map(seed => seed.spread.revision('configuration'))) : 0
   }
 
-  private _carryOut (member: Member, effects: readonly SpreadEffect[]): void {
+  private _execute (member: Member, effects: readonly SpreadEffect[]): void {
     for (const effect of effects) this._handlers[effect.type](member, effect as never)
   }
 
   private readonly _handlers: { readonly [Type in SpreadEffect['type']]: (member: Member, effect: Extract<SpreadEffect, { type: Type }>) => void } = {
-    'read-service': (member, { topic, after, watch }) => this._read(member, topic, after, watch ? WATCH_WAIT : 0),
-    compare: (member, { address }) => { if (this._parts.compares) this._compare(member, address) },
+    'read-service': (member, { topic, after, watch }) => this._read(member, topic, after, watch ? WATCH_TIMEOUT : 0),
+    compare: (member, { address }) => { if (this._parts.comparesWithPeers) this._compare(member, address) },
     push: (member, { address, documents }) => {
-      const to = this._at(address)
+      const to = this._memberAt(address)
       if (to === undefined) return
-      this.world.send(member.process, to.process, () => this._carryOut(to, to.spread.received(documents, 'pushed', this.world.clock(to.process))))
+      this.world.send(member.process, to.process, () => this._execute(to, to.spread.received(documents, 'pushed', this.world.clock(to.process))))
     },
     adopted: (member, { topic, revision }) => { if (topic === 'configuration') this._adopted(member, revision) },
     refused: () => {}
@@ -203,16 +203,16 @@
 
   private _adopted (member: Member, revision: number): void {
     const name = member.process.incarnation
-    if (revision < member.highest) this.world.violate(`never-reverts: ${name} reverted from ${member.highest} to ${revision}`)
-    if (revision < member.knownToSeeds) this.world.violate(`never-reverts: ${name} adopted ${revision} although its seeds held ${member.knownToSeeds}`)
-    if (this._published[revision - 1]?.document !== goodDocument) this.world.violate(`accepted-only: ${name} adopted the invalid revision ${revision}`)
-    member.highest = Math.max(member.highest, revision)
+    if (revision < member.highestRevision) this.world.recordViolation(`never-reverts: ${name} reverted from ${member.highestRevision} to ${revision}`)
+    if (revision < member.seedRevision) this.world.recordViolation(`never-reverts: ${name} adopted ${revision} although its seeds held ${member.seedRevision}`)
+    if (this._published[revision - 1]?.document !== validDocument) this.world.recordViolation(`accepted-only: ${name} adopted the invalid revision ${revision}`)
+    member.highestRevision = Math.max(member.highestRevision, revision)
   }
 
   private _compare (member: Member, address: string): void {
     const { world } = this
     const from = member.process
-    const to = this._at(address)
+    const to = this._memberAt(address)
     world.call(from, to?.process, () => {
       const peer = to as Member
       const now = world.clock(peer.process)
@@ -221,9 +221,9 @@
       return { reply, note: peer.spread.note(now) }
     }, CALL_TIMEOUT, answer => {
       const now = world.clock(from)
-      if (answer === 'unreachable') return this._carryOut(member, member.spread.unanswered(address, now))
-      this._carryOut(member, member.spread.received(answer.reply, 'compared', now))
-      this._carryOut(member, member.spread.answered(address, answer.note, now))
+      if (answer === 'unreachable') return this._execute(member, member.spread.unanswered(address, now))
+      this._execute(member, member.spread.received(answer.reply, 'compared', now))
+      this._execute(member, member.spread.answered(address, answer.note, now))
     })
   }
 
@@ -235,26 +235,26 @@
     const answer = (what: Published | 'unchanged' | 'unreachable'): void => {
       if (answered) return
       answered = true
-      this._carryOut(member, spread.serviceAnswered(topic, what, world.clock(process)))
+      this._execute(member, spread.serviceAnswered(topic, what, world.clock(process)))
     }
-    const until = world.now + wait
-    const look = (): void => {
+    const deadline = world.now + wait
+    const poll = (): void => {
       if (answered) return
-      if (this._service === 'down' || !world.platformReaches(process)) return
-      const newest = this._shown(topic)
+      if (this._service === 'down' || !world.connectedToPlatform(process)) return
+      const newest = this._served(topic)
       const show = newest !== undefined && (newest.revision > after || this._service === 'stale')
       if (show) world.after(SERVICE_LATENCY, process, () => answer(newest))
-      else if (world.now >= until) world.after(SERVICE_LATENCY, process, () => answer('unchanged'))
-      else world.after(50, undefined, look)
+      else if (world.now >= deadline) world.after(SERVICE_LATENCY, process, () => answer('unchanged'))
+      else world.after(50, undefined, poll)
     }
-    world.after(SERVICE_LATENCY, undefined, look)
+    world.after(SERVICE_LATENCY, undefined, poll)
     world.after(wait + READ_TIMEOUT, process, () => answer('unreachable'))
   }
 
-  private _shown (topic: Topic): Published | undefined {
+  private _served (topic: Topic): Published | undefined {
     if (topic === 'instances') return this._instances
     return this._service === 'stale' ? this._published[0] : this._published.at(-1)
   }
 
-  private _at (address: string): Member | undefined { return this.members.find(member => member.record.address === address) }
+  private _memberAt (address: string): Member | undefined { return this.members.find(member => member.record.address === address) }
 }
--- a/packages/fuzz/src/lib/limit-world.ts
+++ b/packages/fuzz/src/lib/limit-world.ts
@@ -15,19 +15,19 @@
 export interface LimitParts {
   readonly limits: (entries: (now: number) => number | undefined, draw: () => number) => Pick<EndpointLimits, 'heard' | 'told' | 'corrections' | 'report' | 'known' | 'sparedFor' | 'isDue' | 'sent'>
   /** Whether entries share the limits that they receive. */
-  readonly tells: boolean
+  readonly sharesLimits: boolean
 }
 
 /** The product's own parts. */
-export const realLimitParts: LimitParts = { limits: (...given) => new EndpointLimits(...given), tells: true }
+export const realLimitParts: LimitParts = { limits: (...given) => new EndpointLimits(...given), sharesLimits: true }
 
 interface Entry {
   process: Process
   limits: ReturnType<LimitParts['limits']>
   /** When it received the first answer that announces the current limit, by endpoint. */
-  readonly toldBy: Map<number, number>
+  readonly limitReceivedAt: Map<number, number>
   /** Requests of this entry do not count until then, because it was restarted or cut off. */
-  excusedUntil: number
+  exemptUntil: number
 }
 
 interface Endpoint {
@@ -42,32 +42,32 @@
 
 const ZONES = ['koshi', 'bagmati', 'gandaki'] as const
 const FLEETS = [6, 24, 98] as const
-const ENDPOINTS = 4
+const ENDPOINT_COUNT = 4
 /** Requests per second to all endpoints without a burst. */
-const RATE = 60
+const USUAL_RATE = 60
 /** Largest delay of an answer, the share of answers that many others overtake, and the largest additional delay of those; in milliseconds. */
-const LONGEST_ANSWER = 300
-const OVERTAKEN = 0.03
-const LONGEST_WAY = 700
+const MAX_ANSWER_DELAY = 300
+const OVERTAKEN_SHARE = 0.03
+const MAX_OVERTAKEN_DELAY = 700
 /**
  * The operators' bound: the window, the factor and the number of requests by which a limit may be exceeded in it, and the time allowed
  * until entries apply a limit, in the fleet and at an entry that has received it; times in milliseconds.
  */
-const STRETCH = 4_000
+const WINDOW = 4_000
 const ALLOWED_FACTOR = 1.5
-const ALLOWED_BEYOND = 5
-const NOTICE_TIME = 3_000
-const HEEDED_AFTER = 500
+const ALLOWED_EXTRA = 5
+const FLEET_NOTICE_TIME = 3_000
+const ENTRY_NOTICE_TIME = 500
 /** Share of the entries that a broadcast of one entry reaches. */
-const REACHED_SHARE = 0.6
+const BROADCAST_SHARE = 0.6
 /** Interval at which an entry compares its limits with those of another, in milliseconds. */
-const COMPARE_PAUSE = 5_000
+const COMPARE_INTERVAL = 5_000
 /**
  * All entries use an endpoint again within a minute after its limit has ended, if the limit allowed at least about one request in three
  * seconds; in milliseconds, and requests per second.
  */
-const KNOWN_AGAIN = 60_000
-const LEAST_KNOWN_AGAIN = 0.3
+const RECOVERY_TIME = 60_000
+const MIN_RECOVERING_LIMIT = 0.3
 
 /** Simulation of entries and endpoints. */
 export class LimitWorld {
@@ -75,25 +75,25 @@
   private readonly _entries: Entry[] = []
   private readonly _endpoints: Endpoint[] = []
   private _loadUntil = 0
-  private _cut = false
+  private _partitioned = false
 
   constructor (seed: number, private readonly _parts: LimitParts = realLimitParts) {
     this.world = new World(seed)
     const entries = this.world.pick(FLEETS) ?? FLEETS[0]
-    for (let index = 0; index < entries; index += 1) this._entries.push(this._start(index, entries))
-    for (let index = 0; index < ENDPOINTS; index += 1) this._endpoints.push({ limit: undefined, since: 0, lowest: 0, endedAt: -Infinity, arrivals: [] })
-    if (_parts.tells) this._compare()
+    for (let index = 0; index < entries; index += 1) this._entries.push(this._startEntry(index, entries))
+    for (let index = 0; index < ENDPOINT_COUNT; index += 1) this._endpoints.push({ limit: undefined, since: 0, lowest: 0, endedAt: -Infinity, arrivals: [] })
+    if (_parts.sharesLimits) this._compare()
   }
 
   /** Schedules requests for some time, at a multiple of the usual rate. */
   load (milliseconds: number, factor: number): void {
     this._loadUntil = Math.max(this._loadUntil, this.world.now + milliseconds)
-    this._next(this.world.now + milliseconds, factor)
+    this._scheduleRequest(this.world.now + milliseconds, factor)
   }
 
   /** Makes an endpoint announce a new limit, in requests per second. */
   name (index: number, limit: number): void {
-    const endpoint = this._endpoints[index % ENDPOINTS] as Endpoint
+    const endpoint = this._endpoints[index % ENDPOINT_COUNT] as Endpoint
     // The time allowed until entries apply the limit starts again each time the limit is lowered.
     if (endpoint.limit === undefined || limit < endpoint.limit) endpoint.since = this.world.now
     endpoint.lowest = endpoint.limit === undefined ? limit : Math.min(endpoint.lowest, limit)
@@ -102,21 +102,21 @@
 
   /** Ends the limit of an endpoint. */
   end (index: number): void {
-    const endpoint = this._endpoints[index % ENDPOINTS] as Endpoint
+    const endpoint = this._endpoints[index % ENDPOINT_COUNT] as Endpoint
     if (endpoint.limit === undefined) return
     endpoint.limit = undefined
     endpoint.endedAt = this.world.now
-    for (const entry of this._entries) entry.toldBy.delete(index % ENDPOINTS)
+    for (const entry of this._entries) entry.limitReceivedAt.delete(index % ENDPOINT_COUNT)
   }
 
   /** Kills and restarts an entry. */
   restart (index: number): void {
     const place = index % this._entries.length
     this.world.kill((this._entries[place] as Entry).process)
-    const entry = this._start(place, this._entries.length)
-    entry.excusedUntil = this.world.now + NOTICE_TIME
+    const entry = this._startEntry(place, this._entries.length)
+    entry.exemptUntil = this.world.now + FLEET_NOTICE_TIME
     this._entries[place] = entry
-    this._tellKnown(entry)
+    this._sendKnownLimits(entry)
   }
 
   /** Partitions a zone from all others. */
@@ -126,16 +126,16 @@
       this.world.cut(zone, other)
       this.world.cut(other, zone)
     }
-    this._cut = true
+    this._partitioned = true
   }
 
   heal (): void {
     this.world.heal()
-    if (!this._cut) return
-    this._cut = false
+    if (!this._partitioned) return
+    this._partitioned = false
     for (const entry of this._entries) {
-      entry.excusedUntil = this.world.now + NOTICE_TIME
-      this._tellKnown(entry)
+      entry.exemptUntil = this.world.now + FLEET_NOTICE_TIME
+      this._sendKnownLimits(entry)
     }
   }
 
@@ -143,84 +143,84 @@
   settle (): void {
     this.world.advance(Math.max(0, this._loadUntil - this.world.now))
     this.heal()
-    this.load(KNOWN_AGAIN + STRETCH, 1)
-    this.world.advance(STRETCH)
-    for (let index = 0; index < ENDPOINTS; index += 1) this.end(index)
-    this.world.advance(KNOWN_AGAIN)
+    this.load(RECOVERY_TIME + WINDOW, 1)
+    this.world.advance(WINDOW)
+    for (let index = 0; index < ENDPOINT_COUNT; index += 1) this.end(index)
+    this.world.advance(RECOVERY_TIME)
     for (const [index, { endedAt, lowest }] of this._endpoints.entries()) {
-      const sparing = this._entries.filter(({ limits }) => limits.sparedFor(nameOf(index), this.world.now) !== undefined)
-      if (endedAt > -Infinity && lowest >= LEAST_KNOWN_AGAIN && sparing.length > 0) this.world.violate(`limit-ends: ${sparing.length} of ${this._entries.length} entries avoid an endpoint that has announced no limit for ${KNOWN_AGAIN} ms`)
+      const avoiding = this._entries.filter(({ limits }) => limits.sparedFor(startName(index), this.world.now) !== undefined)
+      if (endedAt > -Infinity && lowest >= MIN_RECOVERING_LIMIT && avoiding.length > 0) this.world.recordViolation(`limit-ends: ${avoiding.length} of ${this._entries.length} entries avoid an endpoint that has announced no limit for ${RECOVERY_TIME} ms`)
     }
   }
 
-  private _start (index: number, entries: number): Entry {
+  private _startEntry (index: number, entries: number): Entry {
     const process = new Process(`entry-${index}`, ZONES[index % ZONES.length] ?? '', `${index}.${this.world.now}`, 0)
-    return { process, limits: this._parts.limits(() => entries, () => this.world.random()), toldBy: new Map(), excusedUntil: -Infinity }
+    return { process, limits: this._parts.limits(() => entries, () => this.world.random()), limitReceivedAt: new Map(), exemptUntil: -Infinity }
   }
 
-  private _next (until: number, factor: number): void {
-    this.world.after(this.world.between(0, 2_000 / (RATE * factor)), undefined, () => {
+  private _scheduleRequest (until: number, factor: number): void {
+    this.world.after(this.world.uniform(0, 2_000 / (USUAL_RATE * factor)), undefined, () => {
       if (this.world.now > until) return
       this._request(this.world.pick(this._entries) as Entry)
-      this._next(until, factor)
+      this._scheduleRequest(until, factor)
     })
   }
 
   private _request (entry: Entry): void {
     const { process, limits } = entry
     const askedAt = this.world.now
-    const open = [...this._endpoints.keys()].filter(index => limits.sparedFor(nameOf(index), askedAt) === undefined)
-    const due = open.filter(place => limits.isDue(nameOf(place), askedAt))
+    const open = [...this._endpoints.keys()].filter(index => limits.sparedFor(startName(index), askedAt) === undefined)
+    const due = open.filter(place => limits.isDue(startName(place), askedAt))
     const index = this.world.pick(due.length > 0 ? due : open)
     if (index === undefined) return
-    limits.sent(nameOf(index), askedAt)
-    this.world.after(this.world.between(1, 5), undefined, () => this._arrive(entry, process, index))
-    this.world.after(this.world.between(5, LONGEST_ANSWER), undefined, () => {
+    limits.sent(startName(index), askedAt)
+    this.world.after(this.world.uniform(1, 5), undefined, () => this._arrive(entry, process, index))
+    this.world.after(this.world.uniform(5, MAX_ANSWER_DELAY), undefined, () => {
       const { limit } = this._endpoints[index] as Endpoint
-      const way = this.world.random() < OVERTAKEN ? this.world.between(5, LONGEST_WAY) : this.world.between(1, 5)
-      this.world.after(way, process, () => this._answered(entry, index, limit, askedAt))
+      const networkDelay = this.world.random() < OVERTAKEN_SHARE ? this.world.uniform(5, MAX_OVERTAKEN_DELAY) : this.world.uniform(1, 5)
+      this.world.after(networkDelay, process, () => this._answered(entry, index, limit, askedAt))
     })
   }
 
   private _answered (entry: Entry, index: number, limit: number | undefined, askedAt: number): void {
     const { now } = this.world
     const endpoint = this._endpoints[index] as Endpoint
-    if (limit !== undefined && endpoint.limit !== undefined && !entry.toldBy.has(index)) entry.toldBy.set(index, now)
-    const change = entry.limits.heard(nameOf(index), { limit, askedAt, heardAt: now }, now)
-    if (change !== undefined) this._tell(entry, entry.limits.report(nameOf(index), now))
+    if (limit !== undefined && endpoint.limit !== undefined && !entry.limitReceivedAt.has(index)) entry.limitReceivedAt.set(index, now)
+    const change = entry.limits.heard(startName(index), { limit, askedAt, heardAt: now }, now)
+    if (change !== undefined) this._broadcast(entry, entry.limits.report(startName(index), now))
   }
 
   private _arrive (entry: Entry, process: Process, index: number): void {
     const { now } = this.world
     const endpoint = this._endpoints[index] as Endpoint
-    endpoint.arrivals = endpoint.arrivals.filter(({ at }) => at > now - STRETCH)
+    endpoint.arrivals = endpoint.arrivals.filter(({ at }) => at > now - WINDOW)
     endpoint.arrivals.push({ at: now, entry, process })
-    if (endpoint.limit === undefined || now < endpoint.since + NOTICE_TIME) return
-    const counted = endpoint.arrivals.filter(arrival => arrival.at >= endpoint.since + NOTICE_TIME && this._counts(arrival, index))
-    const allowed = ALLOWED_FACTOR * endpoint.limit * STRETCH / 1_000 + ALLOWED_BEYOND
-    if (counted.length > allowed) this.world.violate(`within-limit: ${counted.length} requests of ${this._entries.length} entries reached an endpoint with a limit of ${endpoint.limit} per second`)
+    if (endpoint.limit === undefined || now < endpoint.since + FLEET_NOTICE_TIME) return
+    const counted = endpoint.arrivals.filter(arrival => arrival.at >= endpoint.since + FLEET_NOTICE_TIME && this._counts(arrival, index))
+    const allowed = ALLOWED_FACTOR * endpoint.limit * WINDOW / 1_000 + ALLOWED_EXTRA
+    if (counted.length > allowed) this.world.recordViolation(`within-limit: ${counted.length} requests of ${this._entries.length} entries reached an endpoint with a limit of ${endpoint.limit} per second`)
   }
 
   private _counts ({ at, entry, process }: Endpoint['arrivals'][number], index: number): boolean {
-    const toldAt = entry.toldBy.get(index) ?? Infinity
-    return process.alive && !this._cut && at >= toldAt + HEEDED_AFTER && at >= entry.excusedUntil
+    const receivedAt = entry.limitReceivedAt.get(index) ?? Infinity
+    return process.alive && !this._partitioned && at >= receivedAt + ENTRY_NOTICE_TIME && at >= entry.exemptUntil
   }
 
   /** Broadcasts the limits that one entry received; agents forward them to the entries that follow them. */
-  private _tell (from: Entry, news: LimitNews): void {
-    if (!this._parts.tells) return
+  private _broadcast (from: Entry, news: LimitNews): void {
+    if (!this._parts.sharesLimits) return
     for (const entry of this._entries) {
-      if (entry === from || this.world.random() >= REACHED_SHARE || !this.world.connected(from.process, entry.process)) continue
-      this._tellOne(entry, news)
+      if (entry === from || this.world.random() >= BROADCAST_SHARE || !this.world.connected(from.process, entry.process)) continue
+      this._deliver(entry, news)
     }
   }
 
   /** Sends the known limits to an entry that reaches the agents again. */
-  private _tellKnown (entry: Entry): void {
-    if (!this._parts.tells) return
+  private _sendKnownLimits (entry: Entry): void {
+    if (!this._parts.sharesLimits) return
     for (const zone of ZONES) {
       const other = this.world.pick(this._entries.filter(({ process }) => process.availabilityZone === zone)) as Entry
-      this._tellOne(entry, other.limits.known(this.world.now))
+      this._deliver(entry, other.limits.known(this.world.now))
     }
   }
 
@@ -230,19 +230,19 @@
       const other = this.world.pick(this._entries) as Entry
       const news = entry.limits.known(this.world.now)
       if (news.length === 0 || !this.world.connected(entry.process, other.process)) continue
-      this._tellOne(other, news)
+      this._deliver(other, news)
       const corrections = other.limits.corrections(news, this.world.now)
-      if (corrections.length > 0) this._tellOne(entry, corrections)
+      if (corrections.length > 0) this._deliver(entry, corrections)
     }
-    this.world.after(COMPARE_PAUSE, undefined, () => this._compare())
+    this.world.after(COMPARE_INTERVAL, undefined, () => this._compare())
   }
 
-  private _tellOne (entry: Entry, news: LimitNews): void {
-    this.world.after(this.world.between(2, 16), entry.process, () => {
+  private _deliver (entry: Entry, news: LimitNews): void {
+    this.world.after(this.world.uniform(2, 16), entry.process, () => {
       const { now } = this.world
-      for (const { start } of entry.limits.told(news, now)) this._tell(entry, entry.limits.report(start, now))
+      for (const { start } of entry.limits.told(news, now)) this._broadcast(entry, entry.limits.report(start, now))
     })
   }
 }
 
-function nameOf (index: number): string { return `endpoint-${index}` }
+function startName (index: number): string { return `endpoint-${index}` }
--- a/packages/fuzz/src/lib/published-parts.ts
+++ b/packages/fuzz/src/lib/published-parts.ts
@@ -11,15 +11,15 @@
   readonly state: () => PublishedState
   readonly cursor: (state: PublishedState) => Pick<StoreCursor, 'followed' | 'next' | 'judge'>
   /** Whether a process keeps its state when the store begins a new epoch. */
-  readonly carries: boolean
+  readonly keepsStateAcrossEpochs: boolean
   /** Whether endpoint records carry the count of their writes. */
-  readonly counts: boolean
+  readonly countsWrites: boolean
 }
 
 /** The product's own parts. */
 export const realPublishedParts: PublishedParts = {
   state: () => new PublishedState(),
   cursor: state => new StoreCursor(state, publishedTopics),
-  carries: true,
-  counts: true
+  keepsStateAcrossEpochs: true,
+  countsWrites: true
 }
--- a/packages/fuzz/src/lib/published-world.ts
+++ b/packages/fuzz/src/lib/published-world.ts
@@ -26,19 +26,19 @@
   readonly process: Process
   state: PublishedState
   cursor: ReturnType<PublishedParts['cursor']>
-  readonly book: RelayBook
+  readonly relayBook: RelayBook
   /** The process must hold acknowledged changes from then on, unless it is disturbed again. */
-  excusedUntil: number
+  exemptUntil: number
   /** The highest versions that it has held, and the endpoints that it has seen draining. */
   configuration: number
   version: number
   readonly leaving: Set<string>
   /** Whether calls to a relay and to the store are in flight. */
-  awaits: { relay: boolean, store: boolean }
+  inFlight: { relay: boolean, store: boolean }
 }
 
 /** An acknowledged change, and the check that a process holds it. */
-interface Acknowledged {
+interface AcknowledgedChange {
   readonly what: string
   readonly at: number
   readonly holds: (state: PublishedState) => boolean
@@ -46,29 +46,29 @@
 
 const ZONES = ['koshi', 'bagmati', 'gandaki'] as const
 const FLEETS = [6, 24] as const
-const RELAYS = 3
+const RELAY_COUNT = 3
 const ENDPOINTS = 5
-const MOST_ENDPOINTS = 10
+const MAX_ENDPOINTS = 10
 const MODEL = 'drafting'
 /** Interval of a process's steps, in which it queries the store, sends its note as a relay, or follows relays; in milliseconds. */
-const STEP = 100
-const NEWS_TIMEOUT = 800
+const STEP_INTERVAL = 100
+const DELTA_TIMEOUT = 800
 /**
  * Largest delays of an answer of the store, usually and for the share of answers that many others overtake; in milliseconds. A longer
  * delay would count as a disturbance of the store.
  */
-const USUAL_ANSWER = 40
-const OVERTAKEN = 0.03
-const LONGEST_ANSWER = 700
+const MAX_USUAL_ANSWER_DELAY = 40
+const OVERTAKEN_SHARE = 0.03
+const MAX_ANSWER_DELAY = 700
 /** Longest outage of the store, and largest age of the snapshot that it is restored from, in milliseconds. */
-const LONGEST_AWAY = 2_600
-const OLDEST_COPY = 4_000
+const MAX_OUTAGE = 2_600
+const MAX_SNAPSHOT_AGE = 4_000
 /** Operators and endpoints repeat their writes within this time after a restore, in milliseconds. */
-const REWRITTEN_WITHIN = 600
+const REWRITE_TIME = 600
 /** Acknowledged changes are in force after the first time, at processes undisturbed for the second; in milliseconds. */
 const IN_FORCE_WITHIN = 2_000
-const CONTACT = 3_000
-const CHECK_PAUSE = 100
+const UNDISTURBED_TIME = 3_000
+const CHECK_INTERVAL = 100
 
 /** Simulation of the store and the processes that follow it. */
 export class PublishedWorld {
@@ -76,11 +76,11 @@
   private readonly _store: RestorableStore
   private readonly _members: Member[] = []
   private readonly _platform = new Process('store', 'platform', 'store', 0)
-  private readonly _acknowledged: Acknowledged[] = []
+  private readonly _acknowledged: AcknowledgedChange[] = []
   private _version = 1
   private _modelVersion = 0
   private _endpoints: EndpointRecord[] = []
-  private _begun = 0
+  private _startedEndpoints = 0
   private _storeUp = true
   private _stableFrom = 0
 
@@ -92,9 +92,9 @@
     this._store = new RestorableStore(this.world)
     const drawn = this.world.pick(FLEETS) ?? FLEETS[0]
     this._writeConfiguration()
-    for (let count = 0; count < ENDPOINTS; count += 1) this._begin()
-    for (let index = 0; index < (processes ?? drawn); index += 1) this._members.push(this._start(index))
-    this._check()
+    for (let count = 0; count < ENDPOINTS; count += 1) this._startEndpoint()
+    for (let index = 0; index < (processes ?? drawn); index += 1) this._members.push(this._startMember(index))
+    this._checkInForce()
   }
 
   /** Publishes the next configuration. */
@@ -118,9 +118,9 @@
   /** Marks an endpoint as draining, after another one has started. */
   drain (index: number): void {
     const record = this._endpoints[index % this._endpoints.length]
-    if (!this._storeUp || record === undefined || record.draining || this._endpoints.length >= MOST_ENDPOINTS) return
-    this._begin()
-    this._rewrite(record.id, { draining: true })
+    if (!this._storeUp || record === undefined || record.draining || this._endpoints.length >= MAX_ENDPOINTS) return
+    this._startEndpoint()
+    this._writeEndpoint(record.id, { draining: true })
     this._acknowledge(`the drain of ${record.id}`, state => state.endpoints().every(({ id, draining }) => id !== record.id || draining))
   }
 
@@ -135,19 +135,19 @@
 
   /** Starts an endpoint, which lists itself. */
   begin (): void {
-    if (!this._storeUp || this._endpoints.length >= MOST_ENDPOINTS) return
-    const id = this._begin()
+    if (!this._storeUp || this._endpoints.length >= MAX_ENDPOINTS) return
+    const id = this._startEndpoint()
     this._acknowledge(`the beginning of ${id}`, state => state.endpoints().some(record => record.id === id) || !this._endpoints.some(record => record.id === id))
   }
 
   /** Makes the store unavailable for some time. */
-  interrupt (share: number): void { this._away(share, () => {}) }
+  interrupt (share: number): void { this._interruptStore(share, () => {}) }
 
   /** Makes the store unavailable for some time and restores it from an older snapshot. */
   restore (away: number, age: number): void {
-    this._away(away, () => {
-      this._store.restore(age * OLDEST_COPY)
-      this._writeAgain()
+    this._interruptStore(away, () => {
+      this._store.restore(age * MAX_SNAPSHOT_AGE)
+      this._repeatWrites()
     })
   }
 
@@ -159,7 +159,7 @@
     const at = index % this._members.length
     const killed = this._members[at]
     if (killed !== undefined) this.world.kill(killed.process)
-    this._members[at] = this._start(at)
+    this._members[at] = this._startMember(at)
   }
 
   /** Partitions a zone from the platform and from all other zones. */
@@ -174,22 +174,22 @@
   /** Restores all links. */
   heal (): void {
     this.world.heal()
-    for (const member of this._members) member.excusedUntil = this.world.now + CONTACT
+    for (const member of this._members) member.exemptUntil = this.world.now + UNDISTURBED_TIME
   }
 
   /** Ends all disturbances and waits until acknowledged changes must be in force. */
   settle (): void {
     this.heal()
-    this.world.advance(LONGEST_AWAY + CONTACT + IN_FORCE_WITHIN)
+    this.world.advance(MAX_OUTAGE + UNDISTURBED_TIME + IN_FORCE_WITHIN)
   }
 
-  private _away (share: number, back: () => void): void {
+  private _interruptStore (share: number, back: () => void): void {
     if (!this._storeUp) return
     this._storeUp = false
-    this.world.after(share * LONGEST_AWAY, undefined, () => {
+    this.world.after(share * MAX_OUTAGE, undefined, () => {
       back()
       this._storeUp = true
-      this._stableFrom = this.world.now + CONTACT
+      this._stableFrom = this.world.now + UNDISTURBED_TIME
     })
   }
 
@@ -203,103 +203,103 @@
     if (wanted.version > 0) this._store.put('version', revision => ({ type: 'wanted-version', revision, wanted }))
   }
 
-  private _begin (): string {
-    const id = `endpoint-${this._begun++}`
+  private _startEndpoint (): string {
+    const id = `endpoint-${this._startedEndpoints++}`
     const record = { id, service: 'desk', address: `${id}:80`, availabilityZone: this.world.pick(ZONES) ?? '', slots: 1, draining: false, models: [], writings: 0 }
     this._endpoints.push(record)
-    this._rewrite(id, {})
+    this._writeEndpoint(id, {})
     return id
   }
 
   /** Writes an endpoint's record, which counts its writes. */
-  private _rewrite (id: string, part: Partial<EndpointRecord>): void {
+  private _writeEndpoint (id: string, part: Partial<EndpointRecord>): void {
     const before = this._endpoints.find(record => record.id === id)
     if (before === undefined) return
     const record = { ...before, ...part, writings: (before.writings ?? 0) + 1 }
     this._endpoints = this._endpoints.map(other => other.id === id ? record : other)
-    this._store.put(id, revision => ({ type: 'endpoint', revision, record: this._parts.counts ? record : { ...record, writings: undefined } }))
+    this._store.put(id, revision => ({ type: 'endpoint', revision, record: this._parts.countsWrites ? record : { ...record, writings: undefined } }))
   }
 
   /** Operators and endpoints repeat their latest writes, each after a random delay. */
-  private _writeAgain (): void {
-    const soon = (write: () => void): void => this.world.after(this.world.between(0, REWRITTEN_WITHIN), undefined, () => {
+  private _repeatWrites (): void {
+    const soon = (write: () => void): void => this.world.after(this.world.uniform(0, REWRITE_TIME), undefined, () => {
       if (this._storeUp) write()
       else soon(write)
     })
     soon(() => this._writeConfiguration())
     soon(() => this._writeVersion())
-    for (const { id } of this._endpoints) soon(() => this._rewrite(id, {}))
+    for (const { id } of this._endpoints) soon(() => this._writeEndpoint(id, {}))
     for (const id of this._store.endpoints().filter(listed => !this._endpoints.some(record => record.id === listed))) soon(() => this._store.remove(id))
   }
 
-  private _acknowledge (what: string, holds: Acknowledged['holds']): void { this._acknowledged.push({ what, at: this.world.now, holds }) }
+  private _acknowledge (what: string, holds: AcknowledgedChange['holds']): void { this._acknowledged.push({ what, at: this.world.now, holds }) }
 
-  private _start (index: number): Member {
+  private _startMember (index: number): Member {
     const process = new Process(`process-${index}`, ZONES[index % ZONES.length] ?? '', `process-${index}`, 0)
     const state = this._parts.state()
     const place = { availabilityZone: process.availabilityZone, regionOf: (zone: string) => zone }
     const awaits = { relay: false, store: false }
-    const member: Member = { index, process, state, cursor: this._parts.cursor(state), book: new RelayBook(place), excusedUntil: this.world.now + CONTACT, configuration: 0, version: 0, leaving: new Set(), awaits }
-    this.world.after(this.world.between(0, STEP), process, () => this._step(member))
+    const member: Member = { index, process, state, cursor: this._parts.cursor(state), relayBook: new RelayBook(place), exemptUntil: this.world.now + UNDISTURBED_TIME, configuration: 0, version: 0, leaving: new Set(), inFlight: awaits }
+    this.world.after(this.world.uniform(0, STEP_INTERVAL), process, () => this._step(member))
     return member
   }
 
-  private _isRelay ({ index }: Member): boolean { return index < RELAYS }
+  private _isRelay ({ index }: Member): boolean { return index < RELAY_COUNT }
 
   private _step (member: Member): void {
     const { world } = this
-    world.after(STEP, member.process, () => this._step(member))
+    world.after(STEP_INTERVAL, member.process, () => this._step(member))
     member.state.expire(world.now)
-    if (this._isRelay(member)) this._tellNote(member)
-    else this._hearRelays(member)
-    if (this._isRelay(member) || !member.book.confirmed(member.state.epoch, world.now)) this._askStore(member)
+    if (this._isRelay(member)) this._sendNote(member)
+    else this._followRelays(member)
+    if (this._isRelay(member) || !member.relayBook.confirmed(member.state.epoch, world.now)) this._queryStore(member)
   }
 
-  private _tellNote (relay: Member): void {
+  private _sendNote (relay: Member): void {
     const { state, process } = relay
     const note = { availabilityZone: process.availabilityZone, followed: state.note, held: state.held, fresh: this._reachesStore(relay) && state.complete }
-    for (const follower of this._members.slice(RELAYS)) this.world.send(process, follower.process, () => follower.book.heard(process.name, note, this.world.now))
+    for (const follower of this._members.slice(RELAY_COUNT)) this.world.send(process, follower.process, () => follower.relayBook.heard(process.name, note, this.world.now))
   }
 
-  private _hearRelays (member: Member): void {
-    const { state, book, process } = member
+  private _followRelays (member: Member): void {
+    const { state, relayBook: book, process } = member
     for (const topic of publishedTopics) state.followed(topic, book.followedBy(state.held, topic, this.world.now))
     const address = book.ahead(state.held, publishedTopics, new Set(), this.world.now)
     const relay = this._members.find(other => other.process.name === address)
-    if (relay === undefined || member.awaits.relay) return
-    member.awaits.relay = true
+    if (relay === undefined || member.inFlight.relay) return
+    member.inFlight.relay = true
     const { note } = state
-    this.world.call(process, relay.process, () => relay.state.since(note, this.world.now), NEWS_TIMEOUT, delta => {
-      member.awaits.relay = false
+    this.world.call(process, relay.process, () => relay.state.since(note, this.world.now), DELTA_TIMEOUT, delta => {
+      member.inFlight.relay = false
       if (delta === 'unreachable') return
-      this._follow(member, delta.upTo.epoch)
+      this._enterEpoch(member, delta.upTo.epoch)
       member.state.takeDelta(delta, this.world.now)
-      this._lookBack(member)
+      this._checkRegression(member)
     })
   }
 
   private _reachesStore ({ process }: Member): boolean { return this._storeUp && this.world.connected(process, this._platform) }
 
-  private _askStore (member: Member): void {
-    if (member.awaits.store || !this._reachesStore(member)) return
-    member.awaits.store = true
+  private _queryStore (member: Member): void {
+    if (member.inFlight.store || !this._reachesStore(member)) return
+    member.inFlight.store = true
     const call = member.cursor.next
     const answer = this._answer(call, member.cursor.followed)
-    const longest = this.world.random() < OVERTAKEN ? LONGEST_ANSWER : USUAL_ANSWER
-    this.world.after(this.world.between(1, longest), member.process, () => this._take(member, call, answer))
+    const longest = this.world.random() < OVERTAKEN_SHARE ? MAX_ANSWER_DELAY : MAX_USUAL_ANSWER_DELAY
+    this.world.after(this.world.uniform(1, longest), member.process, () => this._applyAnswer(member, call, answer))
   }
 
   private _answer (call: StoreCall, after: number): StoreAnswer {
     const { epoch, revision } = this._store
     if (call === 'read') return { type: 'changes', epoch, upTo: revision, changes: this._store.items() }
-    const changes = this._store.since(after)
+    const changes = this._store.changesSince(after)
     return changes === undefined ? { type: 'history-lost', epoch, upTo: 0, changes: [] } : { type: 'changes', epoch, upTo: revision, changes }
   }
 
-  private _take (member: Member, call: StoreCall, answer: StoreAnswer): void {
-    member.awaits.store = false
+  private _applyAnswer (member: Member, call: StoreCall, answer: StoreAnswer): void {
+    member.inFlight.store = false
     if (member.cursor.judge(call, answer) !== 'take') return
-    this._follow(member, answer.epoch)
+    this._enterEpoch(member, answer.epoch)
     const { state } = member
     const { now } = this.world
     for (const topic of publishedTopics) {
@@ -308,11 +308,11 @@
       else for (const change of changes) state.take(change, now)
       state.followed(topic, answer.upTo)
     }
-    this._lookBack(member)
+    this._checkRegression(member)
   }
 
-  private _follow (member: Member, epoch: number): void {
-    if (epoch > member.state.epoch && member.state.complete && !this._parts.carries) {
+  private _enterEpoch (member: Member, epoch: number): void {
+    if (epoch > member.state.epoch && member.state.complete && !this._parts.keepsStateAcrossEpochs) {
       member.state = this._parts.state()
       member.cursor = this._parts.cursor(member.state)
     }
@@ -320,31 +320,31 @@
   }
 
   /** Checks that a process has not reverted to an older state than it has held before. */
-  private _lookBack (member: Member): void {
+  private _checkRegression (member: Member): void {
     const { state, process } = member
     const [configuration, version] = [state.configuration?.version ?? 0, state.wanted(MODEL)?.version ?? 0]
-    if (configuration < member.configuration) this.world.violate(`never-back: ${process.name} reverted from configuration ${member.configuration} to ${configuration}`)
-    if (version < member.version) this.world.violate(`never-back: ${process.name} reverted from version ${member.version} to ${version}`)
+    if (configuration < member.configuration) this.world.recordViolation(`never-back: ${process.name} reverted from configuration ${member.configuration} to ${configuration}`)
+    if (version < member.version) this.world.recordViolation(`never-back: ${process.name} reverted from version ${member.version} to ${version}`)
     member.configuration = Math.max(configuration, member.configuration)
     member.version = Math.max(version, member.version)
     for (const { id, draining } of state.endpoints()) {
       if (draining) member.leaving.add(id)
-      else if (member.leaving.has(id)) this.world.violate(`never-back: ${process.name} lists ${id} as ready although it is draining`)
+      else if (member.leaving.has(id)) this.world.recordViolation(`never-back: ${process.name} lists ${id} as ready although it is draining`)
     }
   }
 
-  private _check (): void {
+  private _checkInForce (): void {
     const { now } = this.world
-    this.world.after(CHECK_PAUSE, undefined, () => this._check())
+    this.world.after(CHECK_INTERVAL, undefined, () => this._checkInForce())
     if (!this._storeUp || now < this._stableFrom) return
     const due = this._acknowledged.filter(({ at }) => now - at >= IN_FORCE_WITHIN)
     for (const member of this._members) {
-      if (!this.world.connected(member.process, this._platform)) member.excusedUntil = now + CONTACT
-      if (now < member.excusedUntil) continue
-      const lacking = due.find(({ holds }) => !holds(member.state))
-      if (lacking === undefined) continue
-      this.world.violate(`in-force-after-restore: ${member.process.name} of ${this._members.length} lacks ${lacking.what}, ${Math.round(now - lacking.at)} ms after it was acknowledged`)
-      member.excusedUntil = Infinity
+      if (!this.world.connected(member.process, this._platform)) member.exemptUntil = now + UNDISTURBED_TIME
+      if (now < member.exemptUntil) continue
+      const missing = due.find(({ holds }) => !holds(member.state))
+      if (missing === undefined) continue
+      this.world.recordViolation(`in-force-after-restore: ${member.process.name} of ${this._members.length} lacks ${missing.what}, ${Math.round(now - missing.at)} ms after it was acknowledged`)
+      member.exemptUntil = Infinity
     }
   }
 }
--- a/packages/fuzz/src/lib/request-actors.ts
+++ b/packages/fuzz/src/lib/request-actors.ts
@@ -10,11 +10,11 @@
 /** An agent with the state that the oracles need. */
 export interface Agent {
   process: Process
-  door: AdmissionDoor
+  admissionController: AdmissionDoor
   keeper: ClaimKeeper
   stopping: boolean
   /** When the agent first received the notice that it drains; Infinity if it does not drain. */
-  leavingSince: number
+  drainingSince: number
   /** Requests that this incarnation has dispatched and not finished, counted independently of the agent. */
   unfinished: number
 }
@@ -25,7 +25,7 @@
   readonly leaving: Set<string>
   attempts: number
   /** Receives the frames of the newest call. */
-  newest: FrameSink | undefined
+  newestSink: FrameSink | undefined
 }
 
 /** Receives the frames of one answer. */
@@ -48,6 +48,6 @@
 }
 
 /** Returns the parts of the correct answer to a request. */
-export function partsOf (id: string): string[] {
+export function expectedParts (id: string): string[] {
   return [0, 1, 2, 3].map(index => `${id}.${index};`)
 }
--- a/packages/fuzz/src/lib/request-course.ts
+++ b/packages/fuzz/src/lib/request-course.ts
@@ -11,10 +11,10 @@
 
 export const ORGANISATION = 'hall-1'
 /** Times are in milliseconds. */
-const STEP_TIMEOUT = 800
-const ADMISSION_PATIENCE = 1_000
-const ANSWER_PATIENCE = 5_000
-const MOST_TRIES = 3
+const CLAIM_STEP_TIMEOUT = 800
+const ADMISSION_TIMEOUT = 1_000
+const ANSWER_TIMEOUT = 5_000
+const MAX_ATTEMPTS = 3
 
 /** Interface of the world that the requests run in. */
 export interface RequestHost {
@@ -27,12 +27,12 @@
   dispatch (agent: Agent, run: number, submission: Submission, answer: () => void): void
   /** Sends the endpoint's answer to the entry. */
   answer (agent: Agent, entry: Entry, id: string, own: FrameSink): void
-  tellCaller (submission: Submission, outcome: Outcome): void
-  tellWhole (submission: Submission, text: string): void
+  reportOutcome (submission: Submission, outcome: Outcome): void
+  reportComplete (submission: Submission, text: string): void
 }
 
 /** Callbacks for an answer that is being received. */
-interface Collected {
+interface AnswerHandlers {
   /** Returns whether further frames are ignored. */
   readonly over: () => boolean
   readonly whole: (text: string) => void
@@ -40,7 +40,7 @@
 }
 
 /** Executes the requests of one run on behalf of their entries. */
-export class RequestCourse {
+export class RequestRunner {
   constructor (private readonly _host: RequestHost, private readonly _parts: RequestParts) {}
 
   /** Executes a request, trying one agent after another. */
@@ -49,15 +49,15 @@
   private _try (entry: Entry, submission: Submission, tried: Set<string>, attempt: number, sent: number): void {
     const open = this._host.agents.filter(agent => !tried.has(agent.process.name) && !entry.leaving.has(agent.process.name))
     const agent = this._host.world.pick(open)
-    const late = this._host.world.clock(entry.process) >= submission.deadline
-    if (agent === undefined || attempt > MOST_TRIES || late) return this._host.tellCaller(submission, sent > 0 ? this._parts.lostMeans : 'not-run')
+    const deadlinePassed = this._host.world.clock(entry.process) >= submission.deadline
+    if (agent === undefined || attempt > MAX_ATTEMPTS || deadlinePassed) return this._host.reportOutcome(submission, sent > 0 ? this._parts.lostOutcome : 'not-run')
     tried.add(agent.process.name)
-    const again = (wasSent: boolean): void => this._try(entry, submission, tried, attempt + 1, sent + (wasSent ? 1 : 0))
-    if (submission.neverRepeat) this._tryOnce(entry, submission, agent.process.name, () => again(false))
-    else this._tryRepeatable(entry, submission, agent, again)
+    const retry = (wasSent: boolean): void => this._try(entry, submission, tried, attempt + 1, sent + (wasSent ? 1 : 0))
+    if (submission.neverRepeat) this._tryOnce(entry, submission, agent.process.name, () => retry(false))
+    else this._tryRepeatable(entry, submission, agent, retry)
   }
 
-  private _tryRepeatable (entry: Entry, submission: Submission, agent: Agent, again: (sent: boolean) => void): void {
+  private _tryRepeatable (entry: Entry, submission: Submission, agent: Agent, retry: (sent: boolean) => void): void {
     const { world } = this._host
     let ended = false
     const end = (next: () => void): void => {
@@ -67,78 +67,78 @@
     }
     const answer = this._collect(entry, {
       over: () => ended,
-      whole: text => end(() => this._host.tellWhole(submission, text)),
-      broken: () => end(() => again(true))
+      whole: text => end(() => this._host.reportComplete(submission, text)),
+      broken: () => end(() => retry(true))
     })
-    world.after(ANSWER_PATIENCE, entry.process, () => end(() => answer.text === '' ? again(true) : this._host.tellCaller(submission, 'cut')))
+    world.after(ANSWER_TIMEOUT, entry.process, () => end(() => answer.text === '' ? retry(true) : this._host.reportOutcome(submission, 'cut')))
     world.call(entry.process, agent.process, () => {
-      const admission = agent.door.run(world.now)
+      const admission = agent.admissionController.run(world.now)
       if (admission.type === 'admitted') {
         this._host.dispatch(agent, admission.run, submission, () => this._host.answer(agent, entry, submission.id, answer.sink))
       }
       return admission
-    }, ADMISSION_PATIENCE, reply => {
-      if (reply === 'unreachable') end(() => again(true))
-      else if (reply.type === 'refused') end(() => again(false))
+    }, ADMISSION_TIMEOUT, reply => {
+      if (reply === 'unreachable') end(() => retry(true))
+      else if (reply.type === 'refused') end(() => retry(false))
     })
   }
 
   private _tryOnce (entry: Entry, submission: Submission, agentName: string, elsewhere: () => void): void {
     const names = this._host.agents.map(agent => agent.process.name)
     const attempt = this._parts.attempt(`${entry.process.incarnation}:${entry.attempts++}`, agentName, this._parts.keepers(names, ORGANISATION, submission.id), 'body')
-    const carryOut = (effects: readonly OnceEffect[]): void => { for (const effect of effects) this._carryOut(effect, attempt, entry, submission, elsewhere, carryOut) }
-    carryOut(attempt.begin())
+    const execute = (effects: readonly OnceEffect[]): void => { for (const effect of effects) this._execute(effect, attempt, entry, submission, elsewhere, execute) }
+    execute(attempt.begin())
   }
 
-  private _carryOut (effect: OnceEffect, attempt: OnceAttempt, entry: Entry, submission: Submission, elsewhere: () => void, carryOut: (effects: readonly OnceEffect[]) => void): void {
+  private _execute (effect: OnceEffect, attempt: OnceAttempt, entry: Entry, submission: Submission, elsewhere: () => void, execute: (effects: readonly OnceEffect[]) => void): void {
     const { world } = this._host
     const from = entry.process
     const agent = this._host.named(attempt.agent)
     const keeper = 'keeper' in effect ? this._host.named(effect.keeper) : undefined
     switch (effect.type) {
       case 'send-offer':
-        return world.call(from, agent?.process, () => this._host.offer(agent as Agent), STEP_TIMEOUT, reply => carryOut(attempt.offered(reply)))
+        return world.call(from, agent?.process, () => this._host.offer(agent as Agent), CLAIM_STEP_TIMEOUT, reply => execute(attempt.offered(reply)))
       case 'send-claim':
-        return world.call(from, keeper?.process, () => (keeper as Agent).keeper.claim(ORGANISATION, submission.id, attempt.attempt, 'body', world.clock((keeper as Agent).process)), STEP_TIMEOUT, reply => carryOut(attempt.claimed(effect.keeper, reply)))
+        return world.call(from, keeper?.process, () => (keeper as Agent).keeper.claim(ORGANISATION, submission.id, attempt.attempt, 'body', world.clock((keeper as Agent).process)), CLAIM_STEP_TIMEOUT, reply => execute(attempt.claimed(effect.keeper, reply)))
       case 'send-release':
-        return world.call(from, keeper?.process, () => (keeper as Agent).keeper.release(ORGANISATION, submission.id, attempt.attempt), STEP_TIMEOUT, () => {})
+        return world.call(from, keeper?.process, () => (keeper as Agent).keeper.release(ORGANISATION, submission.id, attempt.attempt), CLAIM_STEP_TIMEOUT, () => {})
       case 'send-go':
-        return this._go(effect.ticket, attempt, entry, submission, agent, carryOut)
+        return this._sendGo(effect.ticket, attempt, entry, submission, agent, execute)
       case 'send-cancel':
-        return world.call(from, agent?.process, () => (agent as Agent).door.cancel(effect.ticket), ADMISSION_PATIENCE, reply => carryOut(attempt.cancelled(reply)))
+        return world.call(from, agent?.process, () => (agent as Agent).admissionController.cancel(effect.ticket), ADMISSION_TIMEOUT, reply => execute(attempt.cancelled(reply)))
       case 'try-elsewhere':
         return elsewhere()
       case 'give-up':
-        return this._host.tellCaller(submission, effect.failure.outcome)
+        return this._host.reportOutcome(submission, effect.failure.outcome)
       case 'started':
     }
   }
 
-  private _go (ticket: string, attempt: OnceAttempt, entry: Entry, submission: Submission, agent: Agent | undefined, carryOut: (effects: readonly OnceEffect[]) => void): void {
+  private _sendGo (ticket: string, attempt: OnceAttempt, entry: Entry, submission: Submission, agent: Agent | undefined, execute: (effects: readonly OnceEffect[]) => void): void {
     const { world } = this._host
     const answer = this._collect(entry, {
       over: () => submission.told !== undefined,
-      whole: text => this._host.tellWhole(submission, text),
+      whole: text => this._host.reportComplete(submission, text),
       broken: () => {}
     })
     const admit = (): Admission => {
       const at = agent as Agent
-      const admission = at.door.go(ticket, world.clock(at.process))
+      const admission = at.admissionController.go(ticket, world.clock(at.process))
       if (admission.type === 'admitted') {
         this._host.dispatch(at, admission.run, submission, () => this._host.answer(at, entry, submission.id, answer.sink))
       }
       return admission
     }
-    world.after(ANSWER_PATIENCE, entry.process, () => { if (submission.told === undefined && !attempt.committed) this._host.tellCaller(submission, this._parts.lostMeans) })
-    world.call(entry.process, agent?.process, admit, ADMISSION_PATIENCE, reply => {
-      if (reply === 'unreachable') carryOut(attempt.lost())
-      else if (reply.type === 'refused') carryOut(attempt.refused(reply.reason))
-      else carryOut(attempt.started())
+    world.after(ANSWER_TIMEOUT, entry.process, () => { if (submission.told === undefined && !attempt.committed) this._host.reportOutcome(submission, this._parts.lostOutcome) })
+    world.call(entry.process, agent?.process, admit, ADMISSION_TIMEOUT, reply => {
+      if (reply === 'unreachable') execute(attempt.lost())
+      else if (reply.type === 'refused') execute(attempt.refused(reply.reason))
+      else execute(attempt.started())
     })
   }
 
   /** Assembles an answer from its parts. */
-  private _collect (entry: Entry, { over, whole, broken }: Collected): { readonly sink: FrameSink, readonly text: string } {
+  private _collect (entry: Entry, { over, whole, broken }: AnswerHandlers): { readonly sink: FrameSink, readonly text: string } {
     const stream = this._parts.stream()
     let text = ''
     const take = (progress: ReturnType<AnswerStream<string>['part']>): void => {
@@ -148,7 +148,7 @@
       if (progress.whole) whole(text)
     }
     const sink: FrameSink = { part: part => take(stream.part(part)), end: count => take(stream.end(count)) }
-    entry.newest = sink
+    entry.newestSink = sink
     return { sink, get text () { return text } }
   }
 }
--- a/packages/fuzz/src/lib/routed-world.ts
+++ b/packages/fuzz/src/lib/routed-world.ts
@@ -28,7 +28,7 @@
 export type RoutedRoute = Pick<Route, 'kind' | 'maxAttempts' | 'resumable'>
 
 /** How an endpoint responds to a request. */
-export type Treatment = 'answer' | 'shed' | 'cut' | 'fail' | 'reject' | 'answer-plainly' | 'vanish'
+export type EndpointBehaviour = 'answer' | 'shed' | 'cut' | 'fail' | 'reject' | 'answer-plainly' | 'vanish'
 
 interface Entry {
   process: Process
@@ -47,17 +47,17 @@
 }
 
 const ZONES = ['koshi', 'bagmati', 'gandaki'] as const
-const ENTRIES = 12
-const EVENTS = 6
+const ENTRY_COUNT = 12
+const EVENTS_PER_STREAM = 6
 /** The window of the operators' bound on retries, in milliseconds. */
-const WINDOW = 10_000
-const TERMS: RetryTerms = { ratio: 0.2, slack: 24, window: WINDOW }
+const RETRY_WINDOW = 10_000
+const RETRY_LIMITS: RetryTerms = { ratio: 0.2, slack: 24, window: RETRY_WINDOW }
 /** Interval at which agents report how many entries reach them, in milliseconds. */
-const TELL_PAUSE = 500
+const COUNT_REPORT_INTERVAL = 500
 /** Deadline of a request, in milliseconds. */
-const PATIENCE = 6_000
+const REQUEST_TIMEOUT = 6_000
 /** Upper bound of the time from an action to the last request that it schedules, in milliseconds. */
-const LONGEST_PLAN = 30_000
+const MAX_SCHEDULE_TIME = 30_000
 const routes: readonly RoutedRoute[] = [
   { kind: 'streaming', maxAttempts: 2, resumable: true },
   { kind: 'streaming', maxAttempts: 3, resumable: true },
@@ -68,36 +68,36 @@
 export class RoutedWorld {
   readonly world: World
   private readonly _entries: Entry[] = []
-  private readonly _requests: number[] = []
-  private readonly _extras: number[] = []
+  private readonly _requestTimes: number[] = []
+  private readonly _retryTimes: number[] = []
   /** How endpoints respond to a share of the new requests and of the resumed ones. */
-  private _treatments: Record<RetryPurpose, { treatment: Treatment, share: number }> = {
-    begin: { treatment: 'answer', share: 0 },
-    'go-on': { treatment: 'answer', share: 0 }
+  private _behaviours: Record<RetryPurpose, { behaviour: EndpointBehaviour, share: number }> = {
+    begin: { behaviour: 'answer', share: 0 },
+    'go-on': { behaviour: 'answer', share: 0 }
   }
 
   private _incarnations = 0
 
   constructor (seed: number, private readonly _parts: RoutedParts = realRoutedParts) {
     this.world = new World(seed)
-    for (let index = 0; index < ENTRIES; index += 1) this._entries.push(this._start(index))
-    this._tellCounts()
+    for (let index = 0; index < ENTRY_COUNT; index += 1) this._entries.push(this._startEntry(index))
+    this._reportCounts()
   }
 
   /** Schedules requests over a period. */
   load (count: number, milliseconds: number): void {
-    for (let index = 0; index < count; index += 1) this.world.after(this.world.between(0, milliseconds), undefined, () => this._request())
+    for (let index = 0; index < count; index += 1) this.world.after(this.world.uniform(0, milliseconds), undefined, () => this._startRequest())
   }
 
   /** Sets how endpoints respond to a share of the attempts; they answer the others in full. */
-  treat (purpose: RetryPurpose, treatment: Treatment, share: number): void { this._treatments[purpose] = { treatment, share } }
+  setBehaviour (purpose: RetryPurpose, treatment: EndpointBehaviour, share: number): void { this._behaviours[purpose] = { behaviour: treatment, share } }
 
   /** Kills and restarts a share of the entries. */
   restart (share: number): void {
     for (const [index, { process }] of this._entries.entries()) {
       if (this.world.random() >= share) continue
       this.world.kill(process)
-      this._entries[index] = this._start(index)
+      this._entries[index] = this._startEntry(index)
     }
   }
 
@@ -112,53 +112,53 @@
 
   /** Waits for the scheduled requests, ends all disturbances and checks the retry bound. */
   settle (): void {
-    this.world.advance(LONGEST_PLAN)
+    this.world.advance(MAX_SCHEDULE_TIME)
     this.world.heal()
-    this.treat('begin', 'answer', 0)
-    this.treat('go-on', 'answer', 0)
-    this.world.advance(PATIENCE)
+    this.setBehaviour('begin', 'answer', 0)
+    this.setBehaviour('go-on', 'answer', 0)
+    this.world.advance(REQUEST_TIMEOUT)
     this._checkRetries()
   }
 
-  private _start (index: number): Entry {
+  private _startEntry (index: number): Entry {
     const process = new Process(`entry-${index}`, ZONES[index % ZONES.length] ?? '', `entry-${index}.${this._incarnations++}`, 0)
     const fleet = this._parts.fleet(ZONES.map(availabilityZone => ({ availabilityZone, listed: 1, followed: 1 })))
-    return { process, fleet, allowance: this._parts.allowance(TERMS, now => fleet.estimate(now), this.world.now) }
+    return { process, fleet, allowance: this._parts.allowance(RETRY_LIMITS, now => fleet.estimate(now), this.world.now) }
   }
 
   /** The agent of each zone counts the entries that reach it and reports the count to them. */
-  private _tellCounts (): void {
+  private _reportCounts (): void {
     for (const zone of ZONES) {
       const agent = new Process(`agent-${zone}`, zone, `agent-${zone}`, 0)
-      const heard = this._entries.filter(({ process }) => this.world.connected(process, agent))
-      for (const { fleet } of heard) fleet.heard(zone, agent.name, heard.length / ZONES.length, this.world.now)
+      const reachable = this._entries.filter(({ process }) => this.world.connected(process, agent))
+      for (const { fleet } of reachable) fleet.heard(zone, agent.name, reachable.length / ZONES.length, this.world.now)
     }
-    this.world.after(TELL_PAUSE, undefined, () => this._tellCounts())
+    this.world.after(COUNT_REPORT_INTERVAL, undefined, () => this._reportCounts())
   }
 
-  private _request (): void {
+  private _startRequest (): void {
     const { world } = this
     const entry = world.pick(this._entries) as Entry
-    this._requests.push(world.now)
+    this._requestTimes.push(world.now)
     entry.allowance.requested(world.now)
     const route = world.pick(routes) as RoutedRoute
-    this._send({ entry, process: entry.process, course: this._parts.course(route), deadline: world.now + PATIENCE, arrivals: 0, events: 0 })
+    this._send({ entry, process: entry.process, course: this._parts.course(route), deadline: world.now + REQUEST_TIMEOUT, arrivals: 0, events: 0 })
   }
 
   private _send (request: Request): void {
     const { world } = this
-    const { treatment, share } = this._treatments[request.events > 0 ? 'go-on' : 'begin']
-    const treated: Treatment = world.random() < share ? treatment : 'answer'
-    world.after(world.between(1, 5), request.process, () => {
-      if (request.arrivals > 0) this._extras.push(world.now)
+    const { behaviour: treatment, share } = this._behaviours[request.events > 0 ? 'go-on' : 'begin']
+    const applied: EndpointBehaviour = world.random() < share ? treatment : 'answer'
+    world.after(world.uniform(1, 5), request.process, () => {
+      if (request.arrivals > 0) this._retryTimes.push(world.now)
       request.arrivals += 1
-      this._treatRequest[treated](request)
+      this._respond[applied](request)
     })
   }
 
-  private readonly _treatRequest: Record<Treatment, (request: Request) => void> = {
-    answer: request => this._writeEvents(request, EVENTS, { type: 'answered', status: 200, stream: true }),
-    cut: request => this._writeEvents(request, Math.min(EVENTS - 1, request.events + 1 + Math.floor(this.world.random() * 3)), { type: 'broken', connection: 'lost', detail: 'reset' }),
+  private readonly _respond: Record<EndpointBehaviour, (request: Request) => void> = {
+    answer: request => this._writeEvents(request, EVENTS_PER_STREAM, { type: 'answered', status: 200, stream: true }),
+    cut: request => this._writeEvents(request, Math.min(EVENTS_PER_STREAM - 1, request.events + 1 + Math.floor(this.world.random() * 3)), { type: 'broken', connection: 'lost', detail: 'reset' }),
     shed: request => this._end(request, { type: 'not-run', reason: 'full' }),
     fail: request => this._end(request, { type: 'answered', status: 500, stream: false }),
     reject: request => this._end(request, { type: 'answered', status: 404, stream: false }),
@@ -168,7 +168,7 @@
 
   private _writeEvents (request: Request, upTo: number, end: AttemptEnd): void {
     if (request.events >= upTo) return this._end(request, end)
-    this.world.after(this.world.between(1, 30), request.process, () => {
+    this.world.after(this.world.uniform(1, 30), request.process, () => {
       request.events += 1
       request.course.begun()
       this._writeEvents(request, upTo, end)
@@ -177,31 +177,31 @@
 
   private _end (request: Request, end: AttemptEnd): void {
     const { world } = this
-    world.after(world.between(1, 5), request.process, () => {
+    world.after(world.uniform(1, 5), request.process, () => {
       const step = request.course.ended(end, {
         timeLeft: world.now < request.deadline, suspect: false, elsewhere: () => true, spendRetry: purpose => request.entry.allowance.trySpend(purpose, world.now)
       })
-      this._follow(request, end, step)
+      this._applyStep(request, end, step)
     })
   }
 
-  private _follow (request: Request, end: AttemptEnd, step: NextStep): void {
+  private _applyStep (request: Request, end: AttemptEnd, step: NextStep): void {
     if (step.type === 'try-next' || step.type === 'resume') return this._send(request)
     if (step.type !== 'pass-on') return
     // Once events are sent, the caller has a success status and can see only whether the end of the stream arrived.
     const success = request.events > 0 || (end.type === 'answered' && end.status < 300 && end.stream)
-    if (success && request.events < EVENTS) this.world.violate(`whole-stream: a caller received ${request.events} of ${EVENTS} events as a complete stream`)
+    if (success && request.events < EVENTS_PER_STREAM) this.world.recordViolation(`whole-stream: a caller received ${request.events} of ${EVENTS_PER_STREAM} events as a complete stream`)
   }
 
   /** Checks the retry bound in every window that ends with a retry. */
   private _checkRetries (): void {
     const within = (times: readonly number[], from: number, to: number): number => times.filter(time => time > from && time <= to).length
-    for (const to of this._extras) {
-      const requests = Math.max(...[0, WINDOW / 2, WINDOW].map(earlier => within(this._requests, to - earlier - WINDOW, to - earlier)))
-      const extras = within(this._extras, to - WINDOW, to)
-      const bound = TERMS.ratio * requests + TERMS.slack
-      if (extras <= bound) continue
-      this.world.violate(`retry-bound: ${extras} retries for ${requests} requests, ${Math.floor(bound)} allowed`)
+    for (const to of this._retryTimes) {
+      const requests = Math.max(...[0, RETRY_WINDOW / 2, RETRY_WINDOW].map(earlier => within(this._requestTimes, to - earlier - RETRY_WINDOW, to - earlier)))
+      const retries = within(this._retryTimes, to - RETRY_WINDOW, to)
+      const bound = RETRY_LIMITS.ratio * requests + RETRY_LIMITS.slack
+      if (retries <= bound) continue
+      this.world.recordViolation(`retry-bound: ${retries} retries for ${requests} requests, ${Math.floor(bound)} allowed`)
       return
     }
   }
--- a/packages/fuzz/src/lib/scenario.ts
+++ b/packages/fuzz/src/lib/scenario.ts
@@ -14,10 +14,10 @@
 export interface Action<Subject> {
   readonly name: string
   /** Number of random integers that the action takes. */
-  readonly draws: number
+  readonly valueCount: number
   /** Relative frequency among the actions; 1 if absent. */
   readonly weight?: number
-  readonly run: (subject: Subject, drawn: readonly number[]) => void
+  readonly run: (subject: Subject, values: readonly number[]) => void
 }
 
 /** Interface that a world implements to be fuzzed. */
@@ -46,27 +46,27 @@
   readonly path: string
 }
 
-interface Done {
+interface RunModel {
   readonly actions: string[]
 }
 
-const MOST_COMMANDS = 40
-const LARGEST_DRAW = 1_000
-const LARGEST_SEED = 0x7fffffff
+const MAX_COMMANDS = 40
+const MAX_DRAW = 1_000
+const MAX_SEED = 0x7fffffff
 
-class ActionCommand<Kind extends Subject> implements fc.Command<Done, Kind> {
-  constructor (private readonly _action: Action<Kind>, private readonly _drawn: readonly number[], private readonly _pause: number) {}
+class ActionCommand<Kind extends Subject> implements fc.Command<RunModel, Kind> {
+  constructor (private readonly _action: Action<Kind>, private readonly _values: readonly number[], private readonly _delay: number) {}
 
   check (): boolean { return true }
 
-  run (done: Done, subject: Kind): void {
+  run (done: RunModel, subject: Kind): void {
     done.actions.push(this._action.name)
-    this._action.run(subject, this._drawn)
-    subject.world.advance(this._pause)
+    this._action.run(subject, this._values)
+    subject.world.advance(this._delay)
     throwIfViolated(subject)
   }
 
-  toString (): string { return `${this._action.name}(${this._drawn.join(', ')}) +${this._pause} ms` }
+  toString (): string { return `${this._action.name}(${this._values.join(', ')}) +${this._delay} ms` }
 }
 
 class ViolationError extends Error {}
@@ -75,10 +75,10 @@
   if (subject.world.violations.length > 0) throw new ViolationError(subject.world.violations.join('; '))
 }
 
-function commandOf<Kind extends Subject> (action: Action<Kind>): fc.Arbitrary<fc.Command<Done, Kind>> {
-  const drawn = fc.array(fc.integer({ min: 0, max: LARGEST_DRAW }), { minLength: action.draws, maxLength: action.draws })
+function commandArbitrary<Kind extends Subject> (action: Action<Kind>): fc.Arbitrary<fc.Command<RunModel, Kind>> {
+  const valuesArbitrary = fc.array(fc.integer({ min: 0, max: MAX_DRAW }), { minLength: action.valueCount, maxLength: action.valueCount })
   const pause = fc.oneof(fc.constant(0), fc.integer({ min: 1, max: 60 }), fc.integer({ min: 60, max: 3_000 }))
-  return fc.tuple(drawn, pause).map(([numbers, milliseconds]) => new ActionCommand(action, numbers, milliseconds))
+  return fc.tuple(valuesArbitrary, pause).map(([values, milliseconds]) => new ActionCommand(action, values, milliseconds))
 }
 
 /**
@@ -91,12 +91,12 @@
 export function runScenario<Kind extends Subject, Parts> (scenario: Scenario<Kind, Parts>, parts: Parts, options: { seed: number, runs: number, path?: string }): Finding {
   let commands = 0
   let runs = 0
-  const arbitraries = scenario.actions.flatMap(action => Array.from({ length: action.weight ?? 1 }, () => commandOf(action)))
-  const property = fc.property(fc.integer({ min: 1, max: LARGEST_SEED }), fc.commands(arbitraries, { maxCommands: MOST_COMMANDS, size: 'max' }), (seed, cases) => {
+  const arbitraries = scenario.actions.flatMap(action => Array.from({ length: action.weight ?? 1 }, () => commandArbitrary(action)))
+  const property = fc.property(fc.integer({ min: 1, max: MAX_SEED }), fc.commands(arbitraries, { maxCommands: MAX_COMMANDS, size: 'max' }), (seed, commandSequence) => {
     runs += 1
-    const done: Done = { actions: [] }
+    const done: RunModel = { actions: [] }
     const subject = scenario.create(seed, parts)
-    fc.modelRun(() => ({ model: done, real: subject }), cases)
+    fc.modelRun(() => ({ model: done, real: subject }), commandSequence)
     subject.settle()
     commands += done.actions.length
     throwIfViolated(subject)
--- a/packages/fuzz/src/lib/scenarios.ts
+++ b/packages/fuzz/src/lib/scenarios.ts
@@ -10,17 +10,17 @@
 import { PublishedWorld } from './published-world.js'
 import type { RequestParts } from './request-parts.js'
 import { RequestWorld } from './request-world.js'
-import { RoutedWorld, type RoutedParts, type Treatment } from './routed-world.js'
+import { RoutedWorld, type RoutedParts, type EndpointBehaviour } from './routed-world.js'
 import type { Scenario } from './scenario.js'
 import { SuspectWorld, type SuspectParts } from './suspect-world.js'
 import { WeightsWorld, type WeightsParts } from './weights-world.js'
 
-const IDS = 3
+const ID_COUNT = 3
 /** Times are in milliseconds. */
-const LONGEST_AGENT_FREEZE = 6_000
-const LONGEST_ENTRY_FREEZE = 30_000
+const MAX_AGENT_FREEZE = 6_000
+const MAX_ENTRY_FREEZE = 30_000
 /** Duration of the exchange of offer, claims and go. */
-const LONGEST_STEP = 50
+const MAX_EXCHANGE_TIME = 50
 
 /** Requests: complete answers, truthful not-run outcomes, at-most-once execution, draining and planned stops. */
 export const requestScenario: Scenario<RequestWorld, RequestParts> = {
@@ -28,56 +28,56 @@
   promises: ['whole-answer', 'not-run', 'at-most-once', 'leaving', 'planned-stop'],
   create: (seed, parts) => new RequestWorld(seed, parts),
   actions: [
-    { name: 'submit-once', draws: 2, weight: 6, run: (subject, [id = 0, entry = 0]) => subject.submitOnce(id % IDS, entry) },
-    { name: 'issue', draws: 0, run: subject => subject.issue() },
-    { name: 'lose-keepers', draws: 3, run: (subject, [entry = 0, agent = 0, delay = 0]) => subject.loseKeepers(entry, agent, delay) },
-    { name: 'submit-issued', draws: 2, weight: 4, run: (subject, [id = 0, entry = 0]) => subject.submitIssued(id, entry) },
-    { name: 'submit-repeatable', draws: 2, weight: 3, run: (subject, [id = 0, entry = 0]) => subject.submit(`any-${id}`, entry, false) },
-    { name: 'kill-agent', draws: 1, run: (subject, [agent = 0]) => subject.kill(agent) },
-    { name: 'replace-agent', draws: 1, run: (subject, [agent = 0]) => subject.replace(agent) },
-    { name: 'replace-rack', draws: 1, run: (subject, [agent = 0]) => subject.replaceRack(agent) },
+    { name: 'submit-once', valueCount: 2, weight: 6, run: (subject, [id = 0, entry = 0]) => subject.submitOnce(id % ID_COUNT, entry) },
+    { name: 'issue', valueCount: 0, run: subject => subject.issue() },
+    { name: 'lose-keepers', valueCount: 3, run: (subject, [entry = 0, agent = 0, delay = 0]) => subject.loseKeepers(entry, agent, delay) },
+    { name: 'submit-issued', valueCount: 2, weight: 4, run: (subject, [id = 0, entry = 0]) => subject.submitIssued(id, entry) },
+    { name: 'submit-repeatable', valueCount: 2, weight: 3, run: (subject, [id = 0, entry = 0]) => subject.submit(`any-${id}`, entry, false) },
+    { name: 'kill-agent', valueCount: 1, run: (subject, [agent = 0]) => subject.kill(agent) },
+    { name: 'replace-agent', valueCount: 1, run: (subject, [agent = 0]) => subject.replace(agent) },
+    { name: 'replace-rack', valueCount: 1, run: (subject, [agent = 0]) => subject.replaceRack(agent) },
     {
       name: 'submit-and-freeze',
-      draws: 4,
+      valueCount: 4,
       weight: 2,
       run: (subject, [id = 0, entry = 0, delay = 0, length = 0]) => {
-        subject.submitOnce(id % IDS, entry)
-        subject.world.after(delay / 1_000 * LONGEST_STEP, undefined, () => subject.freezeOffered(length / 1_000 * LONGEST_AGENT_FREEZE))
+        subject.submitOnce(id % ID_COUNT, entry)
+        subject.world.after(delay / 1_000 * MAX_EXCHANGE_TIME, undefined, () => subject.freezeOfferingAgent(length / 1_000 * MAX_AGENT_FREEZE))
       }
     },
     {
       name: 'submit-and-mute',
-      draws: 3,
+      valueCount: 3,
       weight: 2,
       run: (subject, [id = 0, entry = 0, delay = 0]) => {
-        subject.submitOnce(id % IDS, entry)
-        subject.world.after(delay / 1_000 * LONGEST_STEP, undefined, () => subject.muteOffered())
+        subject.submitOnce(id % ID_COUNT, entry)
+        subject.world.after(delay / 1_000 * MAX_EXCHANGE_TIME, undefined, () => subject.muteOfferingAgent())
       }
     },
-    { name: 'replace-entry', draws: 1, run: (subject, [entry = 0]) => subject.replaceEntry(entry) },
+    { name: 'replace-entry', valueCount: 1, run: (subject, [entry = 0]) => subject.replaceEntry(entry) },
     {
       name: 'freeze-agent',
-      draws: 2,
+      valueCount: 2,
       run: (subject, [agent = 0, length = 0]) => {
         subject.freezeAgent(agent)
-        subject.world.after(length / 1_000 * LONGEST_AGENT_FREEZE, undefined, () => subject.thawAgent(agent))
+        subject.world.after(length / 1_000 * MAX_AGENT_FREEZE, undefined, () => subject.thawAgent(agent))
       }
     },
     {
       name: 'freeze-entry',
-      draws: 2,
+      valueCount: 2,
       run: (subject, [entry = 0, length = 0]) => {
         subject.freezeEntry(entry)
-        subject.world.after(length / 1_000 * LONGEST_ENTRY_FREEZE, undefined, () => subject.thawEntry(entry))
+        subject.world.after(length / 1_000 * MAX_ENTRY_FREEZE, undefined, () => subject.thawEntry(entry))
       }
     },
-    { name: 'cut-one-way', draws: 2, run: (subject, [from = 0, to = 0]) => subject.cut(from, to, false) },
-    { name: 'cut-both-ways', draws: 2, run: (subject, [from = 0, to = 0]) => subject.cut(from, to, true) },
-    { name: 'cut-platform', draws: 1, run: (subject, [zone = 0]) => subject.cutPlatform(zone) },
-    { name: 'heal', draws: 0, run: subject => subject.world.heal() },
-    { name: 'list-leaving', draws: 1, run: (subject, [agent = 0]) => subject.listLeaving(agent) },
-    { name: 'order-leaving', draws: 1, run: (subject, [agent = 0]) => subject.orderLeaving(agent) },
-    { name: 'stop-agent', draws: 1, run: (subject, [agent = 0]) => subject.stopAgent(agent) }
+    { name: 'cut-one-way', valueCount: 2, run: (subject, [from = 0, to = 0]) => subject.cut(from, to, false) },
+    { name: 'cut-both-ways', valueCount: 2, run: (subject, [from = 0, to = 0]) => subject.cut(from, to, true) },
+    { name: 'cut-platform', valueCount: 1, run: (subject, [zone = 0]) => subject.cutPlatform(zone) },
+    { name: 'heal', valueCount: 0, run: subject => subject.world.heal() },
+    { name: 'list-leaving', valueCount: 1, run: (subject, [agent = 0]) => subject.listDraining(agent) },
+    { name: 'order-leaving', valueCount: 1, run: (subject, [agent = 0]) => subject.orderDraining(agent) },
+    { name: 'stop-agent', valueCount: 1, run: (subject, [agent = 0]) => subject.stopAgent(agent) }
   ]
 }
 
@@ -87,27 +87,27 @@
   promises: ['whole-version', 'one-version', 'reaches-all'],
   create: (seed, parts) => new WeightsWorld(seed, parts),
   actions: [
-    { name: 'request', draws: 1, weight: 5, run: (subject, [agent = 0]) => subject.request(agent) },
-    { name: 'want', draws: 1, weight: 2, run: (subject, [version = 0]) => subject.want(version) },
-    { name: 'kill', draws: 1, run: (subject, [agent = 0]) => subject.kill(agent) },
-    { name: 'replace', draws: 1, run: (subject, [agent = 0]) => subject.replace(agent, false) },
-    { name: 'replace-frozen', draws: 1, run: (subject, [agent = 0]) => subject.replace(agent, true) },
-    { name: 'freeze', draws: 1, run: (subject, [agent = 0]) => subject.freeze(agent) },
-    { name: 'thaw', draws: 0, run: subject => subject.thawAll() },
-    { name: 'cut', draws: 2, run: (subject, [from = 0, to = 0]) => subject.cut(from, to) },
-    { name: 'heal', draws: 0, run: subject => subject.world.heal() },
-    { name: 'corrupt', draws: 1, run: (subject, [agent = 0]) => subject.corrupt(agent) },
-    { name: 'origin', draws: 1, run: (subject, [well = 0]) => subject.setOrigin(well % 2 === 0) }
+    { name: 'request', valueCount: 1, weight: 5, run: (subject, [agent = 0]) => subject.request(agent) },
+    { name: 'want', valueCount: 1, weight: 2, run: (subject, [version = 0]) => subject.want(version) },
+    { name: 'kill', valueCount: 1, run: (subject, [agent = 0]) => subject.kill(agent) },
+    { name: 'replace', valueCount: 1, run: (subject, [agent = 0]) => subject.replace(agent, false) },
+    { name: 'replace-frozen', valueCount: 1, run: (subject, [agent = 0]) => subject.replace(agent, true) },
+    { name: 'freeze', valueCount: 1, run: (subject, [agent = 0]) => subject.freeze(agent) },
+    { name: 'thaw', valueCount: 0, run: subject => subject.thawAll() },
+    { name: 'cut', valueCount: 2, run: (subject, [from = 0, to = 0]) => subject.cut(from, to) },
+    { name: 'heal', valueCount: 0, run: subject => subject.world.heal() },
+    { name: 'corrupt', valueCount: 1, run: (subject, [agent = 0]) => subject.corrupt(agent) },
+    { name: 'origin', valueCount: 1, run: (subject, [well = 0]) => subject.setOrigin(well % 2 === 0) }
   ]
 }
 
-const treatments: readonly Treatment[] = ['answer', 'shed', 'cut', 'fail', 'reject', 'answer-plainly', 'vanish']
-const MOST_REQUESTS = 200
-const LONGEST_LOAD = 4_000
+const behaviours: readonly EndpointBehaviour[] = ['answer', 'shed', 'cut', 'fail', 'reject', 'answer-plainly', 'vanish']
+const MAX_REQUESTS = 200
+const MAX_LOAD_TIME = 4_000
 /** Longer than two windows of the retry bound, in milliseconds. */
-const SAVED_FOR = 25_000
+const IDLE_TIME = 25_000
 
-function treatmentOf (drawn: number): Treatment { return treatments[drawn % treatments.length] ?? 'answer' }
+function behaviourOf (drawn: number): EndpointBehaviour { return behaviours[drawn % behaviours.length] ?? 'answer' }
 
 /** Requests that go directly to endpoints: no partial stream looks complete, and the retries of all entries stay within their bound. */
 export const routedScenario: Scenario<RoutedWorld, RoutedParts> = {
@@ -115,33 +115,33 @@
   promises: ['whole-stream', 'retry-bound'],
   create: (seed, parts) => new RoutedWorld(seed, parts),
   actions: [
-    { name: 'load', draws: 2, weight: 6, run: (subject, [count = 0, length = 0]) => subject.load(Math.ceil(count / 1_000 * MOST_REQUESTS), length / 1_000 * LONGEST_LOAD) },
-    { name: 'treat-new', draws: 2, weight: 3, run: (subject, [drawn = 0, share = 0]) => subject.treat('begin', treatmentOf(drawn), share / 1_000) },
-    { name: 'treat-resumed', draws: 2, weight: 3, run: (subject, [drawn = 0, share = 0]) => subject.treat('go-on', treatmentOf(drawn), share / 1_000) },
+    { name: 'load', valueCount: 2, weight: 6, run: (subject, [count = 0, length = 0]) => subject.load(Math.ceil(count / 1_000 * MAX_REQUESTS), length / 1_000 * MAX_LOAD_TIME) },
+    { name: 'treat-new', valueCount: 2, weight: 3, run: (subject, [drawn = 0, share = 0]) => subject.setBehaviour('begin', behaviourOf(drawn), share / 1_000) },
+    { name: 'treat-resumed', valueCount: 2, weight: 3, run: (subject, [drawn = 0, share = 0]) => subject.setBehaviour('go-on', behaviourOf(drawn), share / 1_000) },
     {
       // Spends the accumulated retry budget at once, after the requests that earned it have left the window that counts. Some
       // zones may be cut off meanwhile.
       name: 'save-then-fail',
-      draws: 2,
+      valueCount: 2,
       weight: 2,
       run: (subject, [count = 0, cuts = 0]) => {
         for (let zone = 0; zone < cuts % 3; zone += 1) subject.cutZone(zone)
-        subject.treat('begin', 'answer', 0)
-        subject.load(MOST_REQUESTS * 2, LONGEST_LOAD)
-        subject.world.after(SAVED_FOR, undefined, () => {
-          subject.treat('begin', 'shed', 1)
-          subject.load(Math.ceil(count / 1_000 * MOST_REQUESTS), LONGEST_LOAD / 4)
+        subject.setBehaviour('begin', 'answer', 0)
+        subject.load(MAX_REQUESTS * 2, MAX_LOAD_TIME)
+        subject.world.after(IDLE_TIME, undefined, () => {
+          subject.setBehaviour('begin', 'shed', 1)
+          subject.load(Math.ceil(count / 1_000 * MAX_REQUESTS), MAX_LOAD_TIME / 4)
         })
       }
     },
-    { name: 'restart', draws: 1, weight: 2, run: (subject, [share = 0]) => subject.restart(share / 1_000) },
-    { name: 'cut-zone', draws: 1, weight: 2, run: (subject, [zone = 0]) => subject.cutZone(zone) },
-    { name: 'heal', draws: 0, run: subject => subject.world.heal() }
+    { name: 'restart', valueCount: 1, weight: 2, run: (subject, [share = 0]) => subject.restart(share / 1_000) },
+    { name: 'cut-zone', valueCount: 1, weight: 2, run: (subject, [zone = 0]) => subject.cutZone(zone) },
+    { name: 'heal', valueCount: 0, run: subject => subject.world.heal() }
   ]
 }
 
-const MOST_REPEATS = 40
-const LONGEST_REPEAT = 8_000
+const MAX_REPEATS = 40
+const MAX_REPEAT_TIME = 8_000
 
 /** Requests that crash endpoints: the fleet holds such a request back after three crashes, and holds back no other request. */
 export const suspectScenario: Scenario<SuspectWorld, SuspectParts> = {
@@ -149,20 +149,20 @@
   promises: ['few-ends', 'no-innocents'],
   create: (seed, parts) => new SuspectWorld(seed, parts),
   actions: [
-    { name: 'load', draws: 2, weight: 4, run: (subject, [count = 0, length = 0]) => subject.load(Math.ceil(count / 1_000 * MOST_REQUESTS), length / 1_000 * LONGEST_LOAD) },
-    { name: 'repeat', draws: 3, weight: 4, run: (subject, [which = 0, count = 0, length = 0]) => subject.repeat(which, Math.ceil(count / 1_000 * MOST_REPEATS), length / 1_000 * LONGEST_REPEAT) },
-    { name: 'reset-connections', draws: 1, weight: 2, run: (subject, [entry = 0]) => subject.resetConnections(entry) },
-    { name: 'end-one', draws: 1, weight: 2, run: (subject, [endpoint = 0]) => subject.endOne(endpoint) },
-    { name: 'restart', draws: 1, weight: 2, run: (subject, [entry = 0]) => subject.restart(entry) },
-    { name: 'cut-zone', draws: 1, run: (subject, [zone = 0]) => subject.cutZone(zone) },
-    { name: 'heal', draws: 0, weight: 2, run: subject => subject.heal() }
+    { name: 'load', valueCount: 2, weight: 4, run: (subject, [count = 0, length = 0]) => subject.load(Math.ceil(count / 1_000 * MAX_REQUESTS), length / 1_000 * MAX_LOAD_TIME) },
+    { name: 'repeat', valueCount: 3, weight: 4, run: (subject, [which = 0, count = 0, length = 0]) => subject.repeat(which, Math.ceil(count / 1_000 * MAX_REPEATS), length / 1_000 * MAX_REPEAT_TIME) },
+    { name: 'reset-connections', valueCount: 1, weight: 2, run: (subject, [entry = 0]) => subject.resetConnections(entry) },
+    { name: 'end-one', valueCount: 1, weight: 2, run: (subject, [endpoint = 0]) => subject.crashOne(endpoint) },
+    { name: 'restart', valueCount: 1, weight: 2, run: (subject, [entry = 0]) => subject.restart(entry) },
+    { name: 'cut-zone', valueCount: 1, run: (subject, [zone = 0]) => subject.cutZone(zone) },
+    { name: 'heal', valueCount: 0, weight: 2, run: subject => subject.heal() }
   ]
 }
 
 /** Limits that overloaded endpoints announce, in requests per second; the first two have occurred in service. */
 const LIMITS = [1.1, 1.7, 0, 0.3, 5, 20] as const
 /** Largest factor by which a burst exceeds the usual load. */
-const LARGEST_BURST = 6
+const MAX_BURST_FACTOR = 6
 
 /** Limits that endpoints announce: all entries together stay within them, and learn when they end. */
 export const limitScenario: Scenario<LimitWorld, LimitParts> = {
@@ -170,13 +170,13 @@
   promises: ['within-limit', 'limit-ends'],
   create: (seed, parts) => new LimitWorld(seed, parts),
   actions: [
-    { name: 'load', draws: 1, weight: 6, run: (subject, [length = 0]) => subject.load(length / 1_000 * 2 * LONGEST_LOAD, 1) },
-    { name: 'burst', draws: 2, weight: 2, run: (subject, [length = 0, factor = 0]) => subject.load(length / 1_000 * LONGEST_LOAD, 1 + factor / 1_000 * LARGEST_BURST) },
-    { name: 'name-limit', draws: 2, weight: 3, run: (subject, [endpoint = 0, limit = 0]) => subject.name(endpoint, LIMITS[limit % LIMITS.length] ?? LIMITS[0]) },
-    { name: 'end-limit', draws: 1, run: (subject, [endpoint = 0]) => subject.end(endpoint) },
-    { name: 'restart', draws: 1, weight: 2, run: (subject, [entry = 0]) => subject.restart(entry) },
-    { name: 'cut-zone', draws: 1, run: (subject, [zone = 0]) => subject.cutZone(zone) },
-    { name: 'heal', draws: 0, weight: 2, run: subject => subject.heal() }
+    { name: 'load', valueCount: 1, weight: 6, run: (subject, [length = 0]) => subject.load(length / 1_000 * 2 * MAX_LOAD_TIME, 1) },
+    { name: 'burst', valueCount: 2, weight: 2, run: (subject, [length = 0, factor = 0]) => subject.load(length / 1_000 * MAX_LOAD_TIME, 1 + factor / 1_000 * MAX_BURST_FACTOR) },
+    { name: 'name-limit', valueCount: 2, weight: 3, run: (subject, [endpoint = 0, limit = 0]) => subject.name(endpoint, LIMITS[limit % LIMITS.length] ?? LIMITS[0]) },
+    { name: 'end-limit', valueCount: 1, run: (subject, [endpoint = 0]) => subject.end(endpoint) },
+    { name: 'restart', valueCount: 1, weight: 2, run: (subject, [entry = 0]) => subject.restart(entry) },
+    { name: 'cut-zone', valueCount: 1, run: (subject, [zone = 0]) => subject.cutZone(zone) },
+    { name: 'heal', valueCount: 0, weight: 2, run: subject => subject.heal() }
   ]
 }
 
@@ -186,17 +186,17 @@
   promises: ['in-force-after-restore', 'never-back'],
   create: (seed, parts) => new PublishedWorld(seed, parts),
   actions: [
-    { name: 'publish', draws: 0, weight: 4, run: subject => subject.publish() },
-    { name: 'name', draws: 0, run: subject => subject.name() },
-    { name: 'begin', draws: 0, weight: 2, run: subject => subject.begin() },
-    { name: 'drain', draws: 1, weight: 3, run: (subject, [endpoint = 0]) => subject.drain(endpoint) },
-    { name: 'leave', draws: 1, weight: 2, run: (subject, [endpoint = 0]) => subject.leave(endpoint) },
-    { name: 'interrupt', draws: 1, run: (subject, [away = 0]) => subject.interrupt(away / 1_000) },
-    { name: 'restore', draws: 2, weight: 3, run: (subject, [away = 0, age = 0]) => subject.restore(away / 1_000, age / 1_000) },
-    { name: 'forget', draws: 0, run: subject => subject.forget() },
-    { name: 'restart', draws: 1, run: (subject, [member = 0]) => subject.restart(member) },
-    { name: 'cut-zone', draws: 1, run: (subject, [zone = 0]) => subject.cutZone(zone) },
-    { name: 'heal', draws: 0, weight: 2, run: subject => subject.heal() }
+    { name: 'publish', valueCount: 0, weight: 4, run: subject => subject.publish() },
+    { name: 'name', valueCount: 0, run: subject => subject.name() },
+    { name: 'begin', valueCount: 0, weight: 2, run: subject => subject.begin() },
+    { name: 'drain', valueCount: 1, weight: 3, run: (subject, [endpoint = 0]) => subject.drain(endpoint) },
+    { name: 'leave', valueCount: 1, weight: 2, run: (subject, [endpoint = 0]) => subject.leave(endpoint) },
+    { name: 'interrupt', valueCount: 1, run: (subject, [away = 0]) => subject.interrupt(away / 1_000) },
+    { name: 'restore', valueCount: 2, weight: 3, run: (subject, [away = 0, age = 0]) => subject.restore(away / 1_000, age / 1_000) },
+    { name: 'forget', valueCount: 0, run: subject => subject.forget() },
+    { name: 'restart', valueCount: 1, run: (subject, [member = 0]) => subject.restart(member) },
+    { name: 'cut-zone', valueCount: 1, run: (subject, [zone = 0]) => subject.cutZone(zone) },
+    { name: 'heal', valueCount: 0, weight: 2, run: subject => subject.heal() }
   ]
 }
 
@@ -208,24 +208,24 @@
   promises: ['in-force', 'never-reverts', 'accepted-only'],
   create: (seed, parts) => new ConfigurationWorld(seed, parts),
   actions: [
-    { name: 'publish', draws: 0, weight: 3, run: subject => subject.publish(true) },
+    { name: 'publish', valueCount: 0, weight: 3, run: subject => subject.publish(true) },
     {
       name: 'publish-two-at-once',
-      draws: 0,
+      valueCount: 0,
       run: subject => {
         subject.publish(true)
         subject.publish(true)
       }
     },
-    { name: 'publish-invalid', draws: 0, run: subject => subject.publish(false) },
-    { name: 'service', draws: 1, weight: 2, run: (subject, [state = 0]) => subject.setService(serviceStates[state % serviceStates.length] ?? 'normal') },
-    { name: 'restart', draws: 1, weight: 2, run: (subject, [member = 0]) => subject.restart(member) },
-    { name: 'freeze', draws: 1, run: (subject, [member = 0]) => subject.freeze(member) },
-    { name: 'thaw', draws: 0, run: subject => subject.thawAll() },
-    { name: 'cut-one-way', draws: 2, run: (subject, [from = 0, to = 0]) => subject.cutZones(from, to, false) },
-    { name: 'cut-both-ways', draws: 2, run: (subject, [from = 0, to = 0]) => subject.cutZones(from, to, true) },
-    { name: 'cut-platform', draws: 1, run: (subject, [zone = 0]) => subject.cutPlatform(zone) },
-    { name: 'heal', draws: 0, run: subject => subject.world.heal() },
-    { name: 'quiet', draws: 0, weight: 2, run: subject => subject.quiet() }
+    { name: 'publish-invalid', valueCount: 0, run: subject => subject.publish(false) },
+    { name: 'service', valueCount: 1, weight: 2, run: (subject, [state = 0]) => subject.setService(serviceStates[state % serviceStates.length] ?? 'normal') },
+    { name: 'restart', valueCount: 1, weight: 2, run: (subject, [member = 0]) => subject.restart(member) },
+    { name: 'freeze', valueCount: 1, run: (subject, [member = 0]) => subject.freeze(member) },
+    { name: 'thaw', valueCount: 0, run: subject => subject.thawAll() },
+    { name: 'cut-one-way', valueCount: 2, run: (subject, [from = 0, to = 0]) => subject.cutZones(from, to, false) },
+    { name: 'cut-both-ways', valueCount: 2, run: (subject, [from = 0, to = 0]) => subject.cutZones(from, to, true) },
+    { name: 'cut-platform', valueCount: 1, run: (subject, [zone = 0]) => subject.cutPlatform(zone) },
+    { name: 'heal', valueCount: 0, run: subject => subject.world.heal() },
+    { name: 'quiet', valueCount: 0, weight: 2, run: subject => subject.quiet() }
   ]
 }
--- a/packages/fuzz/src/lib/suspect-world.ts
+++ b/packages/fuzz/src/lib/suspect-world.ts
@@ -14,13 +14,13 @@
 export interface SuspectParts {
   readonly suspects: () => SuspectRequests
   /** Whether entries report losses to agents. */
-  readonly tells: boolean
+  readonly reportsToAgents: boolean
   /** Whether agents send the known losses to restarted entries. */
-  readonly tellsNewcomers: boolean
+  readonly informsRestartedEntries: boolean
 }
 
 /** The product's own parts. */
-export const realSuspectParts: SuspectParts = { suspects: () => new SuspectRequests(), tells: true, tellsNewcomers: true }
+export const realSuspectParts: SuspectParts = { suspects: () => new SuspectRequests(), reportsToAgents: true, informsRestartedEntries: true }
 
 interface Member {
   process: Process
@@ -40,30 +40,30 @@
   readonly fingerprint: string
   readonly fatal: boolean
   /** Whether this is the caller's repeat of a request that was not answered. */
-  readonly again: boolean
+  readonly isRepeat: boolean
   attempts: number
 }
 
 const ZONES = ['koshi', 'bagmati', 'gandaki'] as const
-const ENTRIES = 6
-const ENDPOINTS = 12
-const FATAL = ['fa00000000000001', 'fa00000000000002'] as const
-const MOST_ATTEMPTS = 2
+const ENTRY_COUNT = 6
+const ENDPOINT_COUNT = 12
+const FATAL_FINGERPRINTS = ['fa00000000000001', 'fa00000000000002'] as const
+const MAX_ATTEMPTS = 2
 /** How long an endpoint takes to restart, in milliseconds. */
-const DOWN_TIME = 3_000
+const RESTART_TIME = 3_000
 /** Duration of a harmless request, and the longest time until a fatal one crashes its endpoint, in milliseconds. */
 const RUN_TIME = 1_200
-const TIME_TO_END = 80
+const MAX_TIME_TO_CRASH = 80
 /** Delay after which a caller repeats a failed request, once, in milliseconds. */
-const RETURN_TIME = 100
+const CALLER_RETRY_DELAY = 100
 /** Time allowed for the fleet to recognise a fatal request, in milliseconds, and the sends of it allowed after that. */
-const NOTICE_TIME = 3_000
-const MOST_SENDS_AFTER = 3
+const DETECTION_TIME = 3_000
+const MAX_SENDS_AFTER_DETECTION = 3
 /** Number of losses after which a request must be held back. */
 const DECISIVE_LOSSES = 3
 /** Interval of the entries' reports, in milliseconds, and the number of agents that receive each. */
-const TELL_PAUSE = 100
-const TOLD_AGENTS = 6
+const REPORT_INTERVAL = 100
+const AGENTS_PER_REPORT = 6
 /** Upper bound of the duration of everything that is in progress, in milliseconds. */
 const SETTLE_TIME = 10_000
 
@@ -74,55 +74,55 @@
   private readonly _agents: Member[] = []
   private readonly _endpoints: Endpoint[] = []
   /** By fingerprint: the times of the crashes, and the number of sends after the time allowed since the decisive one. */
-  private readonly _ends = new Map<string, number[]>()
-  private readonly _sendsAfter = new Map<string, number>()
-  private _innocent = 0
+  private readonly _crashTimes = new Map<string, number[]>()
+  private readonly _sendsAfterDetection = new Map<string, number>()
+  private _harmlessRequests = 0
   /** Sends do not count while entries or links are disturbed, nor for the time allowed after that. */
   private _disturbedUntil = -Infinity
 
   constructor (seed: number, private readonly _parts: SuspectParts = realSuspectParts) {
     this.world = new World(seed)
-    for (let index = 0; index < ENTRIES; index += 1) this._entries.push(this._start(`entry-${index}`, index))
-    for (let index = 0; index < ENDPOINTS; index += 1) {
-      this._agents.push(this._start(`agent-${index}`, index))
+    for (let index = 0; index < ENTRY_COUNT; index += 1) this._entries.push(this._startMember(`entry-${index}`, index))
+    for (let index = 0; index < ENDPOINT_COUNT; index += 1) {
+      this._agents.push(this._startMember(`agent-${index}`, index))
       this._endpoints.push({ start: 0, downUntil: -Infinity, running: new Set() })
     }
-    this._tell()
+    this._reportLosses()
   }
 
   /** Schedules harmless requests over a period. */
   load (count: number, milliseconds: number): void {
     for (let index = 0; index < count; index += 1) {
-      this.world.after(this.world.between(0, milliseconds), undefined, () => this._request((this._innocent += 1).toString(16).padStart(16, '0'), false, false))
+      this.world.after(this.world.uniform(0, milliseconds), undefined, () => this._request((this._harmlessRequests += 1).toString(16).padStart(16, '0'), false, false))
     }
   }
 
   /** Schedules repeats of one fatal request over a period, each through a random entry. */
   repeat (which: number, count: number, milliseconds: number): void {
-    const fingerprint = FATAL[which % FATAL.length] ?? FATAL[0]
-    for (let index = 0; index < count; index += 1) this.world.after(this.world.between(0, milliseconds), undefined, () => this._request(fingerprint, true, false))
+    const fingerprint = FATAL_FINGERPRINTS[which % FATAL_FINGERPRINTS.length] ?? FATAL_FINGERPRINTS[0]
+    for (let index = 0; index < count; index += 1) this.world.after(this.world.uniform(0, milliseconds), undefined, () => this._request(fingerprint, true, false))
   }
 
   /** Resets an entry's connections to all endpoints, which keep running. */
   resetConnections (index: number): void {
-    const { process } = this._entries[index % ENTRIES] as Member
+    const { process } = this._entries[index % ENTRY_COUNT] as Member
     for (const [number, endpoint] of this._endpoints.entries()) {
-      for (const attempt of endpoint.running) if (attempt.process === process) this._lost(number, attempt)
+      for (const attempt of endpoint.running) if (attempt.process === process) this._loseAttempt(number, attempt)
     }
   }
 
   /** Crashes an endpoint without a request as the cause. */
-  endOne (index: number): void { this._endEndpoint(index % ENDPOINTS) }
+  crashOne (index: number): void { this._crashEndpoint(index % ENDPOINT_COUNT) }
 
   /** Kills and restarts an entry. */
   restart (index: number): void {
-    const place = index % ENTRIES
+    const place = index % ENTRY_COUNT
     this.world.kill((this._entries[place] as Member).process)
-    const entry = this._start(`entry-${place}`, place)
+    const entry = this._startMember(`entry-${place}`, place)
     this._entries[place] = entry
-    this._disturb()
-    if (!this._parts.tellsNewcomers) return
-    for (const agent of this._agents) this._pass(agent, [entry], { losses: agent.suspects.known(this.world.now), answers: [] })
+    this._suspendCounting()
+    if (!this._parts.informsRestartedEntries) return
+    for (const agent of this._agents) this._forward(agent, [entry], { losses: agent.suspects.known(this.world.now), answers: [] })
   }
 
   /** Partitions a zone from all others. */
@@ -137,7 +137,7 @@
 
   heal (): void {
     this.world.heal()
-    if (this._disturbedUntil === Infinity) this._disturb()
+    if (this._disturbedUntil === Infinity) this._suspendCounting()
   }
 
   settle (): void {
@@ -145,20 +145,20 @@
     this.world.advance(SETTLE_TIME)
   }
 
-  private _disturb (): void { this._disturbedUntil = Math.max(this._disturbedUntil, this.world.now + NOTICE_TIME) }
+  private _suspendCounting (): void { this._disturbedUntil = Math.max(this._disturbedUntil, this.world.now + DETECTION_TIME) }
 
-  private _start (name: string, index: number): Member {
+  private _startMember (name: string, index: number): Member {
     return { process: new Process(name, ZONES[index % ZONES.length] ?? '', `${name}.${this.world.now}`, 0), suspects: this._parts.suspects() }
   }
 
   private _request (fingerprint: string, fatal: boolean, again: boolean): void {
     const entry = this.world.pick(this._entries) as Member
-    if (entry.suspects.standing(fingerprint, this.world.now) !== 'held-back') return this._send({ entry, process: entry.process, fingerprint, fatal, again, attempts: 0 })
-    if (!fatal) this.world.violate(`no-innocents: request ${fingerprint} is held back when its caller repeats it`)
+    if (entry.suspects.standing(fingerprint, this.world.now) !== 'held-back') return this._send({ entry, process: entry.process, fingerprint, fatal, isRepeat: again, attempts: 0 })
+    if (!fatal) this.world.recordViolation(`no-innocents: request ${fingerprint} is held back when its caller repeats it`)
   }
 
   private _send (attempt: Attempt): void {
-    const up = [...this._endpoints.keys()].filter(index => this._up(index) && this.world.connected(attempt.process, (this._agents[index] as Member).process))
+    const up = [...this._endpoints.keys()].filter(index => this._isUp(index) && this.world.connected(attempt.process, (this._agents[index] as Member).process))
     const index = this.world.pick(up)
     if (index === undefined) return
     attempt.attempts += 1
@@ -166,79 +166,79 @@
     const endpoint = this._endpoints[index] as Endpoint
     const { start } = endpoint
     endpoint.running.add(attempt)
-    this.world.after(attempt.fatal ? this.world.between(1, TIME_TO_END) : RUN_TIME, undefined, () => {
+    this.world.after(attempt.fatal ? this.world.uniform(1, MAX_TIME_TO_CRASH) : RUN_TIME, undefined, () => {
       if (endpoint.start !== start || !endpoint.running.has(attempt)) return
-      if (attempt.fatal) return this._endEndpoint(index, attempt.fingerprint)
+      if (attempt.fatal) return this._crashEndpoint(index, attempt.fingerprint)
       endpoint.running.delete(attempt)
       const { now } = this.world
       const cleared = attempt.entry.suspects.answered(attempt.fingerprint, now)
-      if (cleared) this._tellAgents(attempt.entry, { losses: [], answers: [{ fingerprint: attempt.fingerprint, age: 0 }] })
+      if (cleared) this._reportToAgents(attempt.entry, { losses: [], answers: [{ fingerprint: attempt.fingerprint, age: 0 }] })
     })
-    this._showLife(index, attempt, start)
+    this._sendEvents(index, attempt, start)
   }
 
   /** Sends stream events, which show the entry that the endpoint is alive. */
-  private _showLife (index: number, attempt: Attempt, start: number): void {
+  private _sendEvents (index: number, attempt: Attempt, start: number): void {
     const endpoint = this._endpoints[index] as Endpoint
-    this.world.after(this.world.between(50, 100), attempt.process, () => {
+    this.world.after(this.world.uniform(50, 100), attempt.process, () => {
       if (endpoint.start !== start || !endpoint.running.has(attempt)) return
-      attempt.entry.suspects.lived(nameOf(index, start), this.world.now)
-      this._showLife(index, attempt, start)
+      attempt.entry.suspects.lived(startName(index, start), this.world.now)
+      this._sendEvents(index, attempt, start)
     })
   }
 
-  private _up (index: number): boolean { return (this._endpoints[index] as Endpoint).downUntil <= this.world.now }
+  private _isUp (index: number): boolean { return (this._endpoints[index] as Endpoint).downUntil <= this.world.now }
 
-  private _endEndpoint (index: number, under?: string): void {
+  private _crashEndpoint (index: number, fingerprint?: string): void {
     const endpoint = this._endpoints[index] as Endpoint
-    if (!this._up(index)) return
-    if (under !== undefined) this._ends.set(under, [...this._ends.get(under) ?? [], this.world.now])
-    for (const attempt of endpoint.running) this._lost(index, attempt)
+    if (!this._isUp(index)) return
+    if (fingerprint !== undefined) this._crashTimes.set(fingerprint, [...this._crashTimes.get(fingerprint) ?? [], this.world.now])
+    for (const attempt of endpoint.running) this._loseAttempt(index, attempt)
     endpoint.start += 1
-    endpoint.downUntil = this.world.now + DOWN_TIME
+    endpoint.downUntil = this.world.now + RESTART_TIME
   }
 
-  private _lost (index: number, attempt: Attempt): void {
+  private _loseAttempt (index: number, attempt: Attempt): void {
     const { start, running } = this._endpoints[index] as Endpoint
     running.delete(attempt)
-    this.world.after(this.world.between(1, 5), attempt.process, () => {
+    this.world.after(this.world.uniform(1, 5), attempt.process, () => {
       const { now } = this.world
-      attempt.entry.suspects.lost(attempt.fingerprint, nameOf(index, start), now)
-      if (attempt.attempts < MOST_ATTEMPTS && attempt.entry.suspects.standing(attempt.fingerprint, now) === 'clear') return this._send(attempt)
-      if (!attempt.fatal && !attempt.again) this.world.after(RETURN_TIME, undefined, () => this._request(attempt.fingerprint, false, true))
+      attempt.entry.suspects.lost(attempt.fingerprint, startName(index, start), now)
+      if (attempt.attempts < MAX_ATTEMPTS && attempt.entry.suspects.standing(attempt.fingerprint, now) === 'clear') return this._send(attempt)
+      if (!attempt.fatal && !attempt.isRepeat) this.world.after(CALLER_RETRY_DELAY, undefined, () => this._request(attempt.fingerprint, false, true))
     })
   }
 
   private _countSend (fingerprint: string): void {
     const { now } = this.world
-    const decisive = this._ends.get(fingerprint)?.[DECISIVE_LOSSES - 1]
-    if (decisive === undefined || now - decisive <= NOTICE_TIME || now <= this._disturbedUntil) return
-    const sends = (this._sendsAfter.get(fingerprint) ?? 0) + 1
-    this._sendsAfter.set(fingerprint, sends)
-    if (sends > MOST_SENDS_AFTER) this.world.violate(`few-ends: a request was sent ${sends} more times, long after it had crashed three endpoints`)
+    const decisive = this._crashTimes.get(fingerprint)?.[DECISIVE_LOSSES - 1]
+    if (decisive === undefined || now - decisive <= DETECTION_TIME || now <= this._disturbedUntil) return
+    const sends = (this._sendsAfterDetection.get(fingerprint) ?? 0) + 1
+    this._sendsAfterDetection.set(fingerprint, sends)
+    if (sends > MAX_SENDS_AFTER_DETECTION) this.world.recordViolation(`few-ends: a request was sent ${sends} more times, long after it had crashed three endpoints`)
   }
 
-  private _tell (): void {
-    for (const entry of this._entries) this._tellAgents(entry, { losses: entry.suspects.takeConfirmed(this.world.now), answers: [] })
-    this.world.after(TELL_PAUSE, undefined, () => this._tell())
+  private _reportLosses (): void {
+    for (const entry of this._entries) this._reportToAgents(entry, { losses: entry.suspects.takeConfirmed(this.world.now), answers: [] })
+    this.world.after(REPORT_INTERVAL, undefined, () => this._reportLosses())
   }
 
-  private _tellAgents (entry: Member, news: SuspectNews): void {
-    if (isEmpty(news) || !this._parts.tells) return
-    const reached = this._agents.filter(({ process }) => this.world.connected(entry.process, process))
-    for (let told = 0; told < TOLD_AGENTS && reached.length > 0; told += 1) {
-      const [agent] = reached.splice(Math.floor(this.world.random() * reached.length), 1) as [Member]
-      this.world.after(this.world.between(1, 8), agent.process, () => this._pass(agent, this._entries, agent.suspects.heard(news, this.world.now)))
+  private _reportToAgents (entry: Member, news: SuspectNews): void {
+    if (isEmpty(news) || !this._parts.reportsToAgents) return
+    const reachable = this._agents.filter(({ process }) => this.world.connected(entry.process, process))
+    for (let told = 0; told < AGENTS_PER_REPORT && reachable.length > 0; told += 1) {
+      const [agent] = reachable.splice(Math.floor(this.world.random() * reachable.length), 1) as [Member]
+      this.world.after(this.world.uniform(1, 8), agent.process, () => this._forward(agent, this._entries, agent.suspects.heard(news, this.world.now)))
     }
   }
 
-  private _pass (agent: Member, entries: readonly Member[], news: SuspectNews): void {
+  private _forward (agent: Member, entries: readonly Member[], news: SuspectNews): void {
     if (isEmpty(news)) return
     for (const entry of entries) {
       if (!this.world.connected(agent.process, entry.process)) continue
-      this.world.after(this.world.between(1, 8), entry.process, () => {
+      this.world.after(this.world.uniform(1, 8), entry.process, () => {
         const { losses, answers } = entry.suspects.heard(news, this.world.now)
-        this._tellAgents(entry, { losses: losses.filter(({ fingerprint }) => entry.suspects.standing(fingerprint, this.world.now) !== 'clear'), answers })
+        this._reportToAgents(entry, { losses: losses.filter(({ fingerprint }) => entry.suspects.standing(fingerprint, this.world.now) !== 'clear'), answers })
       })
     }
   }
@@ -246,4 +246,4 @@
 
 function isEmpty ({ losses, answers }: SuspectNews): boolean { return losses.length + answers.length === 0 }
 
-function nameOf (index: number, start: number): string { return `endpoint-${index}@${start}` }
+function startName (index: number, start: number): string { return `endpoint-${index}@${start}` }
--- a/packages/fuzz/src/lib/variants.ts
+++ b/packages/fuzz/src/lib/variants.ts
@@ -57,50 +57,50 @@
 }
 
 /** Orders changes by revision alone and ignores epochs. */
-class EpochlessState extends PublishedState {
+class EpochIgnoringState extends PublishedState {
   override enter (): false { return false }
 }
 
 /** Accepts the changes of a watch from any epoch. */
-class HastyCursor extends StoreCursor {
+class EpochIgnoringCursor extends StoreCursor {
   override judge (_call: StoreCall, { type }: StoreAnswerKind): AnswerVerdict { return type === 'changes' ? 'take' : super.judge('watch', { type }) }
 }
 
 /** Does not apply limits to its own requests. */
-class DeafLimits extends EndpointLimits {
+class IgnoredLimits extends EndpointLimits {
   override sparedFor (): undefined { return undefined }
 }
 
 /** Records no losses, as if each attempt were another request, which is what identification by the caller's ids would amount to. */
-class ForgetfulSuspects extends SuspectRequests {
+class NonRecordingSuspects extends SuspectRequests {
   override lost (): void {}
 }
 
 /** Holds a request back after its first lost attempt. */
-class HastySuspects extends SuspectRequests {
+class FirstLossSuspects extends SuspectRequests {
   override standing (fingerprint: string, now: number): Standing { return this.lossesOf(fingerprint, now).length > 0 ? 'held-back' : 'clear' }
 }
 
 /** Forwards any complete answer, even if the caller already has part of a stream. */
-class HastyCourse extends AttemptCourse {
+class AnyAnswerTracker extends AttemptCourse {
   override ended (end: AttemptEnd, bounds: AttemptBounds): NextStep {
     return end.type === 'answered' && this.sent > 0 ? { type: 'pass-on' } : super.ended(end, bounds)
   }
 }
 
 /** Starts with a budget of retries that no requests have earned. */
-class GenerousAllowance extends RetryAllowance {
-  private _given = 5
+class PrefilledAllowance extends RetryAllowance {
+  private _prefilled = 5
 
   override trySpend (purpose: RetryPurpose, now: number): boolean {
-    if (this._given === 0) return super.trySpend(purpose, now)
-    this._given -= 1
+    if (this._prefilled === 0) return super.trySpend(purpose, now)
+    this._prefilled -= 1
     return true
   }
 }
 
 /** Estimates the size of the fleet from the latest count of reachable entries alone. */
-class ShortSightedFleet {
+class LatestCountFleet {
   private _count: number | undefined
 
   heard (_zone: string, _agent: string, count: number): boolean {
@@ -112,7 +112,7 @@
 }
 
 /** Forwards the parts of an answer in the order in which they arrive. */
-class HastyStream extends AnswerStream<string> {
+class UnorderedStream extends AnswerStream<string> {
   private _parts = 0
   private _expected = -1
   override get whole (): boolean { return this._parts === this._expected }
@@ -128,7 +128,7 @@
 }
 
 /** Reports an answer as complete when its end arrives, even if parts are missing. */
-class TrustingStream extends AnswerStream<string> {
+class EarlyCompleteStream extends AnswerStream<string> {
   override end (count: number): AnswerProgress<string> {
     const progress = super.end(count)
     return progress.type === 'parts' ? { ...progress, whole: true } : progress
@@ -136,7 +136,7 @@
 }
 
 /** Confirms the cancellation of an unused ticket, but leaves the ticket valid. */
-class NoTombstoneDoor extends AdmissionDoor {
+class NoTombstoneController extends AdmissionDoor {
   override cancel (ticket: string): CancelReply {
     return ticket.startsWith(this.incarnation) && this._unused.has(ticket) ? 'never-started' : super.cancel(ticket)
   }
@@ -157,7 +157,7 @@
 }
 
 /** Treats an unanswered cancellation as proof that the request did not run. */
-class OptimisticAttempt extends OnceAttempt {
+class SilenceAsProofAttempt extends OnceAttempt {
   override cancelled (reply: CancelReply | 'unreachable'): OnceEffect[] {
     if (reply !== 'unreachable') return super.cancelled(reply)
     return [{ type: 'give-up', failure: requestFailure('no-endpoint', 'not-run', 'no answer') }]
@@ -165,12 +165,12 @@
 }
 
 /** Vouches for every claim and records none. */
-class ForgetfulKeeper extends ClaimKeeper {
+class NonRecordingKeeper extends ClaimKeeper {
   override claim (): ClaimReply { return { type: 'vouched' } }
 }
 
 /** Releases a claim for any attempt, not only the one that made it. */
-class GivingKeeper extends ClaimKeeper {
+class AnyReleaseKeeper extends ClaimKeeper {
   private readonly _holders = new Map<string, string>()
 
   override claim (...[organisation, id, attempt, body, now]: Parameters<ClaimKeeper['claim']>): ClaimReply {
@@ -183,7 +183,7 @@
 }
 
 /** Vouches before it has run for a whole repeat window. */
-class HastyKeeper extends ClaimKeeper {
+class YoungVouchingKeeper extends ClaimKeeper {
   override claim (...[organisation, id, attempt, body, now]: Parameters<ClaimKeeper['claim']>): ClaimReply {
     const reply = super.claim(organisation, id, attempt, body, now)
     return reply.type === 'young' ? { type: 'vouched' } : reply
@@ -191,7 +191,7 @@
 }
 
 /** Vouches for issued ids that name another incarnation of this keeper. */
-class StrangerKeeper extends ClaimKeeper {
+class OtherIncarnationKeeper extends ClaimKeeper {
   override claim (...[organisation, id, attempt, body, now]: Parameters<ClaimKeeper['claim']>): ClaimReply {
     const reply = super.claim(organisation, id, attempt, body, now)
     return reply.type === 'stranger' ? { type: 'vouched' } : reply
@@ -199,26 +199,26 @@
 }
 
 /** Ignores orders to drain. */
-class StayingDoor extends AdmissionDoor {
+class NonDrainingController extends AdmissionDoor {
   override leave (): boolean { return false }
 }
 
 /** Reports no requests in progress. */
-class CarelessDoor extends AdmissionDoor {
+class UncountedController extends AdmissionDoor {
   override get running (): number { return 0 }
 }
 
 /** Keeps admitting requests during a switch of versions. */
-class OpenDoor extends AdmissionDoor {
+class SwitchIgnoringController extends AdmissionDoor {
   override setSwitching (): void {}
 }
 
 /** Adopts revisions without regard to their order; validation depends on the given function. */
-class CredulousLedger extends RevisionLedger<Configuration> {
+class NonOrderingLedger extends RevisionLedger<Configuration> {
   private _last: Published | undefined
 
-  constructor (source: string, private readonly _checkIt: (input: unknown) => Checked<Configuration, DocumentFailure>, private readonly _onlyUpward: boolean) {
-    super(source, _checkIt)
+  constructor (source: string, private readonly _validate: (input: unknown) => Checked<Configuration, DocumentFailure>, private readonly _onlyNewer: boolean) {
+    super(source, _validate)
   }
 
   override get revision (): number { return this._last?.revision ?? 0 }
@@ -226,55 +226,55 @@
   override get published (): Published | undefined { return this._last }
   override offer (published: Published): Acceptance {
     if (published.revision === this.revision) return { type: 'same' }
-    if (this._onlyUpward && published.revision < this.revision) return { type: 'same' }
-    const checked = this._checkIt(published.document)
+    if (this._onlyNewer && published.revision < this.revision) return { type: 'same' }
+    const checked = this._validate(published.document)
     if ('failure' in checked) return { type: 'refused', failure: checked.failure }
     this._last = published
     return { type: 'adopted', revision: published.revision }
   }
 }
 
-const takeAnything = (input: unknown): Checked<Configuration, DocumentFailure> => ({ value: input as Configuration })
+const acceptAny = (input: unknown): Checked<Configuration, DocumentFailure> => ({ value: input as Configuration })
 
 /** All variants. */
 export const variants: readonly Variant[] = [
   weights('chunks-unverified', 'whole-version', { verify: () => true }),
-  weights('load-before-whole', 'whole-version', { waitsForWhole: false, looksAgain: false }),
-  weights('door-open-while-switching', 'one-version', { door: (incarnation, slots) => new OpenDoor(incarnation, slots) }),
-  weights('running-not-counted', 'one-version', { door: (incarnation, slots) => new CarelessDoor(incarnation, slots) }),
-  weights('old-agents-unfenced', 'reaches-all', { takesOver: false }),
-  requests('parts-as-they-come', 'whole-answer', { stream: () => new HastyStream() }),
-  requests('end-taken-for-whole', 'whole-answer', { stream: () => new TrustingStream() }),
-  requests('frames-to-newest-call', 'whole-answer', { framesByCall: false }),
-  requests('silence-taken-for-proof', 'not-run', { attempt: (...given) => new OptimisticAttempt(...given) }),
-  requests('cancel-without-tombstone', 'at-most-once', { door: (incarnation, slots) => new NoTombstoneDoor(incarnation, slots) }),
-  requests('lost-taken-for-not-run', 'not-run', { lostMeans: 'not-run' }),
-  requests('keepers-forget', 'at-most-once', { keeper: (incarnation, policy) => new ForgetfulKeeper(incarnation, policy) }),
-  requests('young-keepers-vouch', 'at-most-once', { keeper: (incarnation, policy) => new HastyKeeper(incarnation, policy) }),
-  requests('strangers-vouch', 'at-most-once', { keeper: (incarnation, policy) => new StrangerKeeper(incarnation, policy) }),
+  weights('load-before-whole', 'whole-version', { waitsForCompleteVersion: false, rechecksStaging: false }),
+  weights('door-open-while-switching', 'one-version', { admissionController: (incarnation, slots) => new SwitchIgnoringController(incarnation, slots) }),
+  weights('running-not-counted', 'one-version', { admissionController: (incarnation, slots) => new UncountedController(incarnation, slots) }),
+  weights('old-agents-unfenced', 'reaches-all', { enforcesFence: false }),
+  requests('parts-as-they-come', 'whole-answer', { stream: () => new UnorderedStream() }),
+  requests('end-taken-for-whole', 'whole-answer', { stream: () => new EarlyCompleteStream() }),
+  requests('frames-to-newest-call', 'whole-answer', { bindsFramesToCall: false }),
+  requests('silence-taken-for-proof', 'not-run', { attempt: (...given) => new SilenceAsProofAttempt(...given) }),
+  requests('cancel-without-tombstone', 'at-most-once', { admissionController: (incarnation, slots) => new NoTombstoneController(incarnation, slots) }),
+  requests('lost-taken-for-not-run', 'not-run', { lostOutcome: 'not-run' }),
+  requests('keepers-forget', 'at-most-once', { keeper: (incarnation, policy) => new NonRecordingKeeper(incarnation, policy) }),
+  requests('young-keepers-vouch', 'at-most-once', { keeper: (incarnation, policy) => new YoungVouchingKeeper(incarnation, policy) }),
+  requests('strangers-vouch', 'at-most-once', { keeper: (incarnation, policy) => new OtherIncarnationKeeper(incarnation, policy) }),
   requests('one-vouch-is-enough', 'at-most-once', { keepers: (...given) => ({ ...realRequestParts.keepers(...given), needed: 1 }) }),
-  requests('anyone-releases', 'at-most-once', { keeper: (incarnation, policy) => new GivingKeeper(incarnation, policy) }),
-  requests('orders-ignored', 'leaving', { door: (incarnation, slots) => new StayingDoor(incarnation, slots) }),
-  requests('list-ignored', 'leaving', { heedsList: false }),
-  requests('stop-without-count', 'planned-stop', { door: (incarnation, slots) => new CarelessDoor(incarnation, slots) }),
-  requests('stop-without-patience', 'planned-stop', { stopPatience: 200 }),
-  configuration('downward-allowed', 'never-reverts', { ledger: source => new CredulousLedger(source, takeAnything, false) }),
-  configuration('start-without-peers', 'never-reverts', { joins: false }),
-  configuration('invalid-allowed', 'accepted-only', { ledger: source => new CredulousLedger(source, takeAnything, true) }),
-  configuration('no-comparisons', 'in-force', { compares: false }),
-  routed('any-answer-ends-a-stream', 'whole-stream', { course: route => new HastyCourse(route) }),
-  routed('retries-at-birth', 'retry-bound', { allowance: (...given) => new GenerousAllowance(...given) }),
+  requests('anyone-releases', 'at-most-once', { keeper: (incarnation, policy) => new AnyReleaseKeeper(incarnation, policy) }),
+  requests('orders-ignored', 'leaving', { admissionController: (incarnation, slots) => new NonDrainingController(incarnation, slots) }),
+  requests('list-ignored', 'leaving', { followsInstanceList: false }),
+  requests('stop-without-count', 'planned-stop', { admissionController: (incarnation, slots) => new UncountedController(incarnation, slots) }),
+  requests('stop-without-patience', 'planned-stop', { stopTimeout: 200 }),
+  configuration('downward-allowed', 'never-reverts', { ledger: source => new NonOrderingLedger(source, acceptAny, false) }),
+  configuration('start-without-peers', 'never-reverts', { joinsThroughSeeds: false }),
+  configuration('invalid-allowed', 'accepted-only', { ledger: source => new NonOrderingLedger(source, acceptAny, true) }),
+  configuration('no-comparisons', 'in-force', { comparesWithPeers: false }),
+  routed('any-answer-ends-a-stream', 'whole-stream', { course: route => new AnyAnswerTracker(route) }),
+  routed('retries-at-birth', 'retry-bound', { allowance: (...given) => new PrefilledAllowance(...given) }),
   routed('every-entry-has-all-retries', 'retry-bound', { allowance: (terms, _entries, now) => new RetryAllowance(terms, () => 1, now) }),
-  routed('cut-off-entries-not-counted', 'retry-bound', { fleet: () => new ShortSightedFleet() }),
-  limits('limits-not-heeded', 'within-limit', { limits: (...given) => new DeafLimits(...given) }),
+  routed('cut-off-entries-not-counted', 'retry-bound', { fleet: () => new LatestCountFleet() }),
+  limits('limits-not-heeded', 'within-limit', { limits: (...given) => new IgnoredLimits(...given) }),
   limits('each-entry-has-the-whole-limit', 'within-limit', { limits: (_entries, draw) => new EndpointLimits(() => 1, draw) }),
-  limits('ends-of-limits-not-told', 'limit-ends', { tells: false }),
-  published('epochs-ignored', 'in-force-after-restore', { state: () => new EpochlessState() }),
-  published('watches-go-on', 'in-force-after-restore', { cursor: state => new HastyCursor(state, publishedTopics) }),
-  published('copies-taken-for-all', 'never-back', { carries: false }),
-  published('writings-not-counted', 'never-back', { counts: false }),
-  suspects('losses-forgotten', 'few-ends', { suspects: () => new ForgetfulSuspects() }),
-  suspects('each-entry-for-itself', 'few-ends', { tells: false }),
-  suspects('newcomers-not-told', 'few-ends', { tellsNewcomers: false }),
-  suspects('held-back-at-once', 'no-innocents', { suspects: () => new HastySuspects() })
+  limits('ends-of-limits-not-told', 'limit-ends', { sharesLimits: false }),
+  published('epochs-ignored', 'in-force-after-restore', { state: () => new EpochIgnoringState() }),
+  published('watches-go-on', 'in-force-after-restore', { cursor: state => new EpochIgnoringCursor(state, publishedTopics) }),
+  published('copies-taken-for-all', 'never-back', { keepsStateAcrossEpochs: false }),
+  published('writings-not-counted', 'never-back', { countsWrites: false }),
+  suspects('losses-forgotten', 'few-ends', { suspects: () => new NonRecordingSuspects() }),
+  suspects('each-entry-for-itself', 'few-ends', { reportsToAgents: false }),
+  suspects('newcomers-not-told', 'few-ends', { informsRestartedEntries: false }),
+  suspects('held-back-at-once', 'no-innocents', { suspects: () => new FirstLossSuspects() })
 ]
--- a/packages/fuzz/src/lib/world.ts
+++ b/packages/fuzz/src/lib/world.ts
@@ -10,7 +10,7 @@
 import { uniformFloat64 } from 'pure-rand/distribution/uniformFloat64'
 import { xoroshiro128plus } from 'pure-rand/generator/xoroshiro128plus'
 
-interface Event {
+interface ScheduledEvent {
   readonly at: number
   readonly order: number
   /** The process that the event belongs to: the event is dropped if the process is dead and deferred while it is frozen. */
@@ -19,9 +19,9 @@
 }
 
 /** Network latencies, in milliseconds. */
-const LEAST_LATENCY = 0.5
-const MOST_LATENCY = 8
-const REFUSED_AFTER = 2
+const MIN_LATENCY = 0.5
+const MAX_LATENCY = 8
+const CONNECTION_REFUSAL_DELAY = 2
 
 /** One incarnation of a process. */
 export class Process {
@@ -40,7 +40,7 @@
   now = 0
   /** Violations of promises; empty if all promises held. */
   readonly violations: string[] = []
-  private readonly _events: Event[] = []
+  private readonly _events: ScheduledEvent[] = []
   private readonly _cuts = new Set<string>()
   private _order = 0
   private readonly _generator: ReturnType<typeof xoroshiro128plus>
@@ -53,7 +53,7 @@
   random (): number { return uniformFloat64(this._generator) }
 
   /** Returns a uniformly distributed number between two bounds. */
-  between (least: number, most: number): number { return least + (most - least) * this.random() }
+  uniform (min: number, max: number): number { return min + (max - min) * this.random() }
 
   /** Returns a random item, or `undefined` if there are none. */
   pick<Item> (items: readonly Item[]): Item | undefined { return items[Math.floor(this.random() * items.length)] }
@@ -61,16 +61,16 @@
   /** Returns the time by a process's own clock. */
   clock (process: Process): number { return this.now + process.skew }
 
-  violate (text: string): void { this.violations.push(`${Math.round(this.now)} ms: ${text}`) }
+  recordViolation (text: string): void { this.violations.push(`${Math.round(this.now)} ms: ${text}`) }
 
   /** Schedules a callback, as an event of a process if one is given. */
   after (delay: number, process: Process | undefined, run: () => void): void {
-    const event: Event = { at: this.now + Math.max(0, delay), order: this._order++, process, run }
+    const event: ScheduledEvent = { at: this.now + Math.max(0, delay), order: this._order++, process, run }
     let low = 0
     let high = this._events.length
     while (low < high) {
       const middle = (low + high) >> 1
-      const other = this._events[middle] as Event
+      const other = this._events[middle] as ScheduledEvent
       if (other.at < event.at || (other.at === event.at && other.order < event.order)) low = middle + 1
       else high = middle
     }
@@ -100,14 +100,14 @@
   }
 
   /** Returns whether a process and the platform reach each other. */
-  platformReaches (process: Process): boolean {
+  connectedToPlatform (process: Process): boolean {
     return !this._cuts.has(`platform>${process.availabilityZone}`) && !this._cuts.has(`${process.availabilityZone}>platform`)
   }
 
   /** Sends a message one way; it is lost if the link is cut when it is sent or when it is due to arrive. */
   send (from: Process, to: Process, deliver: () => void): void {
     if (!this.connected(from, to)) return
-    this.after(this.between(LEAST_LATENCY, MOST_LATENCY), to, () => { if (this.connected(from, to)) deliver() })
+    this.after(this.uniform(MIN_LATENCY, MAX_LATENCY), to, () => { if (this.connected(from, to)) deliver() })
   }
 
   /**
@@ -115,14 +115,14 @@
    * is thawed, it handles its timeout and a late answer in either order.
    */
   call<Answer> (from: Process, to: Process | undefined, handle: () => Answer, timeout: number, done: (answer: Answer | 'unreachable') => void): void {
-    let settled = false
+    let isSettled = false
     const settle = (answer: Answer | 'unreachable'): void => {
-      if (settled) return
-      settled = true
+      if (isSettled) return
+      isSettled = true
       done(answer)
     }
     this.after(timeout, from, () => settle('unreachable'))
-    if (to === undefined || (!to.alive && this.connected(from, to))) this.after(REFUSED_AFTER, from, () => settle('unreachable'))
+    if (to === undefined || (!to.alive && this.connected(from, to))) this.after(CONNECTION_REFUSAL_DELAY, from, () => settle('unreachable'))
     else this.send(from, to, () => { this.reply(to, from, handle(), settle) })
   }
 
@@ -141,12 +141,12 @@
   thaw (process: Process): void {
     if (!process.frozen) return
     process.frozen = false
-    const missed = process.deferred.splice(0)
-    if (this.random() < 0.5) missed.reverse()
-    for (const run of missed) if (process.alive) run()
+    const deferred = process.deferred.splice(0)
+    if (this.random() < 0.5) deferred.reverse()
+    for (const run of deferred) if (process.alive) run()
   }
 
-  private _run ({ process, run }: Event): void {
+  private _run ({ process, run }: ScheduledEvent): void {
     if (process === undefined) run()
     else if (process.alive && process.frozen) process.deferred.push(run)
     else if (process.alive) run()
--- a/packages/fuzz/src/test/starts_test.ts
+++ b/packages/fuzz/src/test/starts_test.ts
@@ -10,7 +10,7 @@
 
 const SEED = 7
 const RUNS = 300
-const AVOIDED = 100
+const AVOIDED_TIME = 100
 const service: ServiceDescription = {
   name: 'pool',
   maxConnections: 100,
@@ -32,7 +32,7 @@
  */
 function play (steps: readonly Step[], told: (born: number) => EndpointRecord): string | undefined {
   const chooser = new EndpointChooser({ availabilityZone: 'hall', regionOf: () => 'here' }, () => 0)
-  let [born, now, heard, avoidedUntil] = [1, 0, false, 0]
+  let [born, now, hasReport, avoidedUntil] = [1, 0, false, 0]
   let record = told(born)
   chooser.setRecords([record])
   const load = { running: 1, waiting: 0, version: 1, accepting: true, pace: 1 }
@@ -42,20 +42,20 @@
       born += 1
       record = told(born)
       chooser.setRecords([record])
-      heard = false
+      hasReport = false
       avoidedUntil = 0
     } else if (step === 'report') {
       chooser.heard(startOf(record), load, now)
-      heard = true
+      hasReport = true
     } else if (step === 'late-report') chooser.heard(startOf(told(born - 1)), { ...load, accepting: false }, now)
     else if (step === 'refuse') {
       chooser.avoid(startOf(record), 'refused', now)
-      avoidedUntil = now + AVOIDED
+      avoidedUntil = now + AVOIDED_TIME
     } else if (step === 'fail') chooser.ended(startOf(record), 'request', 'bad', now)
     else {
       const choice = chooser.choose(service, need, now)
       if ((choice !== undefined) !== (now >= avoidedUntil)) return `chosen: ${choice !== undefined} at ${now}, avoided until ${avoidedUntil}`
-      if (choice !== undefined && Number.isFinite(choice.reportAge) !== heard) return 'the choice uses a report of another start, or none'
+      if (choice !== undefined && Number.isFinite(choice.reportAge) !== hasReport) return 'the choice uses a report of another start, or none'
     }
   }
   return undefined
