--- a/packages/fuzz/src/lib/campaign.ts
+++ b/packages/fuzz/src/lib/campaign.ts
@@ -30,7 +30,7 @@
   readonly run: (options: { seed: number, runs: number, path?: string }) => Finding
 }
 
-const parts: readonly RunnableScenario[] = [
+const runnableScenarios: readonly RunnableScenario[] = [
   { name: weightsScenario.name, promises: weightsScenario.promises, run: options => runScenario(weightsScenario, realWeightsParts, options) },
   { name: requestScenario.name, promises: requestScenario.promises, run: options => runScenario(requestScenario, realRequestParts, options) },
   { name: configurationScenario.name, promises: configurationScenario.promises, run: options => runScenario(configurationScenario, realConfigurationParts, options) },
@@ -49,18 +49,18 @@
  */
 export function fuzzPromises ({ seed, runs, scenario, path, print }: CampaignOptions): boolean {
   let held = true
-  for (const part of parts) {
-    if (scenario !== undefined && scenario !== part.name) continue
-    const finding = part.run({ seed, runs, ...(path === undefined ? {} : { path }) })
-    for (const promise of part.promises) {
-      const broken = finding.violations.filter(violation => violation.includes(` ms: ${promise}:`)).length
-      print(`event=fuzz promise=${promise} scenario=${part.name} seed=${seed} runs=${finding.runs} commands=${finding.commands} violations=${broken}`)
+  for (const runnable of runnableScenarios) {
+    if (scenario !== undefined && scenario !== runnable.name) continue
+    const finding = runnable.run({ seed, runs, ...(path === undefined ? {} : { path }) })
+    for (const promise of runnable.promises) {
+      const violationCount = finding.violations.filter(violation => violation.includes(` ms: ${promise}:`)).length
+      print(`event=fuzz promise=${promise} scenario=${runnable.name} seed=${seed} runs=${finding.runs} commands=${finding.commands} violations=${violationCount}`)
     }
     if (finding.violations.length === 0) continue
     held = false
-    print(`event=violation scenario=${part.name} seed=${seed} path=${finding.path} what=${JSON.stringify(finding.violations[0])}`)
-    print(`event=case scenario=${part.name} commands=${JSON.stringify(finding.counterexample)}`)
-    print(`event=replay command="npm run fuzz -- --scenario ${part.name} --seed ${seed} --replay ${finding.path}"`)
+    print(`event=violation scenario=${runnable.name} seed=${seed} path=${finding.path} what=${JSON.stringify(finding.violations[0])}`)
+    print(`event=case scenario=${runnable.name} commands=${JSON.stringify(finding.counterexample)}`)
+    print(`event=replay command="npm run fuzz -- --scenario ${runnable.name} --seed ${seed} --replay ${finding.path}"`)
   }
   return held
 }
@@ -74,9 +74,9 @@
   let caught = true
   for (const variant of variants) {
     const finding = variant.run({ seed, runs })
-    const broken = finding.violations.some(violation => violation.includes(` ms: ${variant.promise}:`))
-    caught &&= broken
-    print(`event=negative variant=${variant.name} promise=${variant.promise} seed=${seed} runs=${finding.runs} caught=${broken} path=${finding.path || '-'} what=${JSON.stringify(finding.violations[0] ?? 'nothing')}`)
+    const detected = finding.violations.some(violation => violation.includes(` ms: ${variant.promise}:`))
+    caught &&= detected
+    print(`event=negative variant=${variant.name} promise=${variant.promise} seed=${seed} runs=${finding.runs} caught=${detected} path=${finding.path || '-'} what=${JSON.stringify(finding.violations[0] ?? 'nothing')}`)
   }
   return caught
 }
--- a/packages/fuzz/src/lib/configuration-world.ts
+++ b/packages/fuzz/src/lib/configuration-world.ts
@@ -140,9 +140,9 @@
   private _newestObtainable (member: Member): number {
     const group = this._connected(member)
     if (!group.some(({ process }) => this.world.connectedToPlatform(process))) return 0
-    const shown = this._published.at(-1)
+    const newest = this._published.at(-1)
     const held = group.map(({ spread }) => spread.revision('configuration'))
-    return Math.max(0, shown?.document === validDocument ? shown.revision : 0, ...held)
+    return Math.max(0, newest?.document === validDocument ? newest.revision : 0, ...held)
   }
 
   /** Returns the running members connected to one, directly or through others; none if that member is not running. */
@@ -232,18 +232,18 @@
     const { world } = this
     const { process, spread } = member
     let answered = false
-    const answer = (what: Published | 'unchanged' | 'unreachable'): void => {
+    const answer = (result: Published | 'unchanged' | 'unreachable'): void => {
       if (answered) return
       answered = true
-      this._execute(member, spread.serviceAnswered(topic, what, world.clock(process)))
+      this._execute(member, spread.serviceAnswered(topic, result, world.clock(process)))
     }
     const deadline = world.now + wait
     const poll = (): void => {
       if (answered) return
       if (this._service === 'down' || !world.connectedToPlatform(process)) return
       const newest = this._served(topic)
-      const show = newest !== undefined && (newest.revision > after || this._service === 'stale')
-      if (show) world.after(SERVICE_LATENCY, process, () => answer(newest))
+      const canAnswer = newest !== undefined && (newest.revision > after || this._service === 'stale')
+      if (canAnswer) world.after(SERVICE_LATENCY, process, () => answer(newest))
       else if (world.now >= deadline) world.after(SERVICE_LATENCY, process, () => answer('unchanged'))
       else world.after(50, undefined, poll)
     }
--- a/packages/fuzz/src/lib/limit-world.ts
+++ b/packages/fuzz/src/lib/limit-world.ts
@@ -41,7 +41,7 @@
 }
 
 const ZONES = ['koshi', 'bagmati', 'gandaki'] as const
-const FLEETS = [6, 24, 98] as const
+const FLEET_SIZES = [6, 24, 98] as const
 const ENDPOINT_COUNT = 4
 /** Requests per second to all endpoints without a burst. */
 const USUAL_RATE = 60
@@ -79,7 +79,7 @@
 
   constructor (seed: number, private readonly _parts: LimitParts = realLimitParts) {
     this.world = new World(seed)
-    const entries = this.world.pick(FLEETS) ?? FLEETS[0]
+    const entries = this.world.pick(FLEET_SIZES) ?? FLEET_SIZES[0]
     for (let index = 0; index < entries; index += 1) this._entries.push(this._startEntry(index, entries))
     for (let index = 0; index < ENDPOINT_COUNT; index += 1) this._endpoints.push({ limit: undefined, since: 0, lowest: 0, endedAt: -Infinity, arrivals: [] })
     if (_parts.sharesLimits) this._compare()
@@ -92,7 +92,7 @@
   }
 
   /** Makes an endpoint announce a new limit, in requests per second. */
-  name (index: number, limit: number): void {
+  setLimit (index: number, limit: number): void {
     const endpoint = this._endpoints[index % ENDPOINT_COUNT] as Endpoint
     // The time allowed until entries apply the limit starts again each time the limit is lowered.
     if (endpoint.limit === undefined || limit < endpoint.limit) endpoint.since = this.world.now
@@ -101,7 +101,7 @@
   }
 
   /** Ends the limit of an endpoint. */
-  end (index: number): void {
+  endLimit (index: number): void {
     const endpoint = this._endpoints[index % ENDPOINT_COUNT] as Endpoint
     if (endpoint.limit === undefined) return
     endpoint.limit = undefined
@@ -111,11 +111,11 @@
 
   /** Kills and restarts an entry. */
   restart (index: number): void {
-    const place = index % this._entries.length
-    this.world.kill((this._entries[place] as Entry).process)
-    const entry = this._startEntry(place, this._entries.length)
+    const position = index % this._entries.length
+    this.world.kill((this._entries[position] as Entry).process)
+    const entry = this._startEntry(position, this._entries.length)
     entry.exemptUntil = this.world.now + FLEET_NOTICE_TIME
-    this._entries[place] = entry
+    this._entries[position] = entry
     this._sendKnownLimits(entry)
   }
 
@@ -145,7 +145,7 @@
     this.heal()
     this.load(RECOVERY_TIME + WINDOW, 1)
     this.world.advance(WINDOW)
-    for (let index = 0; index < ENDPOINT_COUNT; index += 1) this.end(index)
+    for (let index = 0; index < ENDPOINT_COUNT; index += 1) this.endLimit(index)
     this.world.advance(RECOVERY_TIME)
     for (const [index, { endedAt, lowest }] of this._endpoints.entries()) {
       const avoiding = this._entries.filter(({ limits }) => limits.sparedFor(startName(index), this.world.now) !== undefined)
@@ -169,9 +169,9 @@
   private _request (entry: Entry): void {
     const { process, limits } = entry
     const askedAt = this.world.now
-    const open = [...this._endpoints.keys()].filter(index => limits.sparedFor(startName(index), askedAt) === undefined)
-    const due = open.filter(place => limits.isDue(startName(place), askedAt))
-    const index = this.world.pick(due.length > 0 ? due : open)
+    const candidates = [...this._endpoints.keys()].filter(index => limits.sparedFor(startName(index), askedAt) === undefined)
+    const due = candidates.filter(candidate => limits.isDue(startName(candidate), askedAt))
+    const index = this.world.pick(due.length > 0 ? due : candidates)
     if (index === undefined) return
     limits.sent(startName(index), askedAt)
     this.world.after(this.world.uniform(1, 5), undefined, () => this._arrive(entry, process, index))
@@ -198,7 +198,7 @@
     if (endpoint.limit === undefined || now < endpoint.since + FLEET_NOTICE_TIME) return
     const counted = endpoint.arrivals.filter(arrival => arrival.at >= endpoint.since + FLEET_NOTICE_TIME && this._counts(arrival, index))
     const allowed = ALLOWED_FACTOR * endpoint.limit * WINDOW / 1_000 + ALLOWED_EXTRA
-    if (counted.length > allowed) this.world.recordViolation(`within-limit: ${counted.length} requests of ${this._entries.length} entries reached an endpoint with a limit of ${endpoint.limit} per second`)
+    if (counted.length > allowed) this.world.recordViolation(`within-limit: ${counted.length} requests reached an endpoint with a limit of ${endpoint.limit} per second, in a fleet of ${this._entries.length} entries`)
   }
 
   private _counts ({ at, entry, process }: Endpoint['arrivals'][number], index: number): boolean {
--- a/packages/fuzz/src/lib/published-world.ts
+++ b/packages/fuzz/src/lib/published-world.ts
@@ -45,9 +45,9 @@
 }
 
 const ZONES = ['koshi', 'bagmati', 'gandaki'] as const
-const FLEETS = [6, 24] as const
+const FLEET_SIZES = [6, 24] as const
 const RELAY_COUNT = 3
-const ENDPOINTS = 5
+const INITIAL_ENDPOINTS = 5
 const MAX_ENDPOINTS = 10
 const MODEL = 'drafting'
 /** Interval of a process's steps, in which it queries the store, sends its note as a relay, or follows relays; in milliseconds. */
@@ -90,10 +90,10 @@
   constructor (seed: number, private readonly _parts: PublishedParts = realPublishedParts, processes?: number) {
     this.world = new World(seed)
     this._store = new RestorableStore(this.world)
-    const drawn = this.world.pick(FLEETS) ?? FLEETS[0]
+    const fleetSize = this.world.pick(FLEET_SIZES) ?? FLEET_SIZES[0]
     this._writeConfiguration()
-    for (let count = 0; count < ENDPOINTS; count += 1) this._startEndpoint()
-    for (let index = 0; index < (processes ?? drawn); index += 1) this._members.push(this._startMember(index))
+    for (let count = 0; count < INITIAL_ENDPOINTS; count += 1) this._startEndpoint()
+    for (let index = 0; index < (processes ?? fleetSize); index += 1) this._members.push(this._startMember(index))
     this._checkInForce()
   }
 
@@ -107,7 +107,7 @@
   }
 
   /** Publishes the next desired version of the model. */
-  name (): void {
+  publishVersion (): void {
     if (!this._storeUp) return
     this._modelVersion += 1
     this._writeVersion()
@@ -125,7 +125,7 @@
   }
 
   /** Removes an endpoint's record. */
-  leave (index: number): void {
+  removeEndpoint (index: number): void {
     const record = this._endpoints[index % this._endpoints.length]
     if (!this._storeUp || record === undefined || this._endpoints.length <= 2) return
     this._endpoints = this._endpoints.filter(({ id }) => id !== record.id)
@@ -134,7 +134,7 @@
   }
 
   /** Starts an endpoint, which lists itself. */
-  begin (): void {
+  addEndpoint (): void {
     if (!this._storeUp || this._endpoints.length >= MAX_ENDPOINTS) return
     const id = this._startEndpoint()
     this._acknowledge(`the beginning of ${id}`, state => state.endpoints().some(record => record.id === id) || !this._endpoints.some(record => record.id === id))
@@ -152,7 +152,7 @@
   }
 
   /** Discards the history of the store. */
-  forget (): void { this._store.forget() }
+  forget (): void { this._store.compact() }
 
   /** Kills and restarts a process. */
   restart (index: number): void {
@@ -183,11 +183,11 @@
     this.world.advance(MAX_OUTAGE + UNDISTURBED_TIME + IN_FORCE_WITHIN)
   }
 
-  private _interruptStore (share: number, back: () => void): void {
+  private _interruptStore (share: number, onRecovery: () => void): void {
     if (!this._storeUp) return
     this._storeUp = false
     this.world.after(share * MAX_OUTAGE, undefined, () => {
-      back()
+      onRecovery()
       this._storeUp = true
       this._stableFrom = this.world.now + UNDISTURBED_TIME
     })
@@ -222,14 +222,14 @@
 
   /** Operators and endpoints repeat their latest writes, each after a random delay. */
   private _repeatWrites (): void {
-    const soon = (write: () => void): void => this.world.after(this.world.uniform(0, REWRITE_TIME), undefined, () => {
+    const writeLater = (write: () => void): void => this.world.after(this.world.uniform(0, REWRITE_TIME), undefined, () => {
       if (this._storeUp) write()
-      else soon(write)
+      else writeLater(write)
     })
-    soon(() => this._writeConfiguration())
-    soon(() => this._writeVersion())
-    for (const { id } of this._endpoints) soon(() => this._writeEndpoint(id, {}))
-    for (const id of this._store.endpoints().filter(listed => !this._endpoints.some(record => record.id === listed))) soon(() => this._store.remove(id))
+    writeLater(() => this._writeConfiguration())
+    writeLater(() => this._writeVersion())
+    for (const { id } of this._endpoints) writeLater(() => this._writeEndpoint(id, {}))
+    for (const id of this._store.endpoints().filter(listed => !this._endpoints.some(record => record.id === listed))) writeLater(() => this._store.remove(id))
   }
 
   private _acknowledge (what: string, holds: AcknowledgedChange['holds']): void { this._acknowledged.push({ what, at: this.world.now, holds }) }
@@ -237,9 +237,9 @@
   private _startMember (index: number): Member {
     const process = new Process(`process-${index}`, ZONES[index % ZONES.length] ?? '', `process-${index}`, 0)
     const state = this._parts.state()
-    const place = { availabilityZone: process.availabilityZone, regionOf: (zone: string) => zone }
-    const awaits = { relay: false, store: false }
-    const member: Member = { index, process, state, cursor: this._parts.cursor(state), relayBook: new RelayBook(place), exemptUntil: this.world.now + UNDISTURBED_TIME, configuration: 0, version: 0, leaving: new Set(), inFlight: awaits }
+    const location = { availabilityZone: process.availabilityZone, regionOf: (zone: string) => zone }
+    const inFlight = { relay: false, store: false }
+    const member: Member = { index, process, state, cursor: this._parts.cursor(state), relayBook: new RelayBook(location), exemptUntil: this.world.now + UNDISTURBED_TIME, configuration: 0, version: 0, leaving: new Set(), inFlight }
     this.world.after(this.world.uniform(0, STEP_INTERVAL), process, () => this._step(member))
     return member
   }
@@ -262,9 +262,9 @@
   }
 
   private _followRelays (member: Member): void {
-    const { state, relayBook: book, process } = member
-    for (const topic of publishedTopics) state.followed(topic, book.followedBy(state.held, topic, this.world.now))
-    const address = book.ahead(state.held, publishedTopics, new Set(), this.world.now)
+    const { state, relayBook, process } = member
+    for (const topic of publishedTopics) state.followed(topic, relayBook.followedBy(state.held, topic, this.world.now))
+    const address = relayBook.ahead(state.held, publishedTopics, new Set(), this.world.now)
     const relay = this._members.find(other => other.process.name === address)
     if (relay === undefined || member.inFlight.relay) return
     member.inFlight.relay = true
@@ -285,8 +285,8 @@
     member.inFlight.store = true
     const call = member.cursor.next
     const answer = this._answer(call, member.cursor.followed)
-    const longest = this.world.random() < OVERTAKEN_SHARE ? MAX_ANSWER_DELAY : MAX_USUAL_ANSWER_DELAY
-    this.world.after(this.world.uniform(1, longest), member.process, () => this._applyAnswer(member, call, answer))
+    const maxDelay = this.world.random() < OVERTAKEN_SHARE ? MAX_ANSWER_DELAY : MAX_USUAL_ANSWER_DELAY
+    this.world.after(this.world.uniform(1, maxDelay), member.process, () => this._applyAnswer(member, call, answer))
   }
 
   private _answer (call: StoreCall, after: number): StoreAnswer {
--- a/packages/fuzz/src/lib/request-actors.ts
+++ b/packages/fuzz/src/lib/request-actors.ts
@@ -41,7 +41,7 @@
   readonly neverRepeat: boolean
   /** By the entry's own clock; no attempt begins after it. */
   readonly deadline: number
-  told: 'whole' | Outcome | undefined
+  outcome: 'whole' | Outcome | undefined
   /** Number of executions at endpoints that this submission caused. */
   runs: number
   text: string
--- a/packages/fuzz/src/lib/request-course.ts
+++ b/packages/fuzz/src/lib/request-course.ts
@@ -20,7 +20,7 @@
 export interface RequestHost {
   readonly world: World
   readonly agents: readonly Agent[]
-  named (agent: string): Agent | undefined
+  agentByName (agent: string): Agent | undefined
   /** Returns the agent's offer to run a request that must not repeat. */
   offer (agent: Agent): OfferReply
   /** Forwards an admitted request to its endpoint. */
@@ -34,9 +34,9 @@
 /** Callbacks for an answer that is being received. */
 interface AnswerHandlers {
   /** Returns whether further frames are ignored. */
-  readonly over: () => boolean
-  readonly whole: (text: string) => void
-  readonly broken: () => void
+  readonly isOver: () => boolean
+  readonly onComplete: (text: string) => void
+  readonly onBroken: () => void
 }
 
 /** Executes the requests of one run on behalf of their entries. */
@@ -47,8 +47,8 @@
   start (entry: Entry, submission: Submission): void { this._try(entry, submission, new Set(), 1, 0) }
 
   private _try (entry: Entry, submission: Submission, tried: Set<string>, attempt: number, sent: number): void {
-    const open = this._host.agents.filter(agent => !tried.has(agent.process.name) && !entry.leaving.has(agent.process.name))
-    const agent = this._host.world.pick(open)
+    const candidates = this._host.agents.filter(agent => !tried.has(agent.process.name) && !entry.leaving.has(agent.process.name))
+    const agent = this._host.world.pick(candidates)
     const deadlinePassed = this._host.world.clock(entry.process) >= submission.deadline
     if (agent === undefined || attempt > MAX_ATTEMPTS || deadlinePassed) return this._host.reportOutcome(submission, sent > 0 ? this._parts.lostOutcome : 'not-run')
     tried.add(agent.process.name)
@@ -66,9 +66,9 @@
       next()
     }
     const answer = this._collect(entry, {
-      over: () => ended,
-      whole: text => end(() => this._host.reportComplete(submission, text)),
-      broken: () => end(() => retry(true))
+      isOver: () => ended,
+      onComplete: text => end(() => this._host.reportComplete(submission, text)),
+      onBroken: () => end(() => retry(true))
     })
     world.after(ANSWER_TIMEOUT, entry.process, () => end(() => answer.text === '' ? retry(true) : this._host.reportOutcome(submission, 'cut')))
     world.call(entry.process, agent.process, () => {
@@ -83,18 +83,18 @@
     })
   }
 
-  private _tryOnce (entry: Entry, submission: Submission, agentName: string, elsewhere: () => void): void {
+  private _tryOnce (entry: Entry, submission: Submission, agentName: string, tryNextAgent: () => void): void {
     const names = this._host.agents.map(agent => agent.process.name)
     const attempt = this._parts.attempt(`${entry.process.incarnation}:${entry.attempts++}`, agentName, this._parts.keepers(names, ORGANISATION, submission.id), 'body')
-    const execute = (effects: readonly OnceEffect[]): void => { for (const effect of effects) this._execute(effect, attempt, entry, submission, elsewhere, execute) }
+    const execute = (effects: readonly OnceEffect[]): void => { for (const effect of effects) this._execute(effect, attempt, entry, submission, tryNextAgent, execute) }
     execute(attempt.begin())
   }
 
-  private _execute (effect: OnceEffect, attempt: OnceAttempt, entry: Entry, submission: Submission, elsewhere: () => void, execute: (effects: readonly OnceEffect[]) => void): void {
+  private _execute (effect: OnceEffect, attempt: OnceAttempt, entry: Entry, submission: Submission, tryNextAgent: () => void, execute: (effects: readonly OnceEffect[]) => void): void {
     const { world } = this._host
     const from = entry.process
-    const agent = this._host.named(attempt.agent)
-    const keeper = 'keeper' in effect ? this._host.named(effect.keeper) : undefined
+    const agent = this._host.agentByName(attempt.agent)
+    const keeper = 'keeper' in effect ? this._host.agentByName(effect.keeper) : undefined
     switch (effect.type) {
       case 'send-offer':
         return world.call(from, agent?.process, () => this._host.offer(agent as Agent), CLAIM_STEP_TIMEOUT, reply => execute(attempt.offered(reply)))
@@ -107,7 +107,7 @@
       case 'send-cancel':
         return world.call(from, agent?.process, () => (agent as Agent).admissionController.cancel(effect.ticket), ADMISSION_TIMEOUT, reply => execute(attempt.cancelled(reply)))
       case 'try-elsewhere':
-        return elsewhere()
+        return tryNextAgent()
       case 'give-up':
         return this._host.reportOutcome(submission, effect.failure.outcome)
       case 'started':
@@ -117,19 +117,19 @@
   private _sendGo (ticket: string, attempt: OnceAttempt, entry: Entry, submission: Submission, agent: Agent | undefined, execute: (effects: readonly OnceEffect[]) => void): void {
     const { world } = this._host
     const answer = this._collect(entry, {
-      over: () => submission.told !== undefined,
-      whole: text => this._host.reportComplete(submission, text),
-      broken: () => {}
+      isOver: () => submission.outcome !== undefined,
+      onComplete: text => this._host.reportComplete(submission, text),
+      onBroken: () => {}
     })
     const admit = (): Admission => {
-      const at = agent as Agent
-      const admission = at.admissionController.go(ticket, world.clock(at.process))
+      const target = agent as Agent
+      const admission = target.admissionController.go(ticket, world.clock(target.process))
       if (admission.type === 'admitted') {
-        this._host.dispatch(at, admission.run, submission, () => this._host.answer(at, entry, submission.id, answer.sink))
+        this._host.dispatch(target, admission.run, submission, () => this._host.answer(target, entry, submission.id, answer.sink))
       }
       return admission
     }
-    world.after(ANSWER_TIMEOUT, entry.process, () => { if (submission.told === undefined && !attempt.committed) this._host.reportOutcome(submission, this._parts.lostOutcome) })
+    world.after(ANSWER_TIMEOUT, entry.process, () => { if (submission.outcome === undefined && !attempt.committed) this._host.reportOutcome(submission, this._parts.lostOutcome) })
     world.call(entry.process, agent?.process, admit, ADMISSION_TIMEOUT, reply => {
       if (reply === 'unreachable') execute(attempt.lost())
       else if (reply.type === 'refused') execute(attempt.refused(reply.reason))
@@ -138,16 +138,16 @@
   }
 
   /** Assembles an answer from its parts. */
-  private _collect (entry: Entry, { over, whole, broken }: AnswerHandlers): { readonly sink: FrameSink, readonly text: string } {
+  private _collect (entry: Entry, { isOver, onComplete, onBroken }: AnswerHandlers): { readonly sink: FrameSink, readonly text: string } {
     const stream = this._parts.stream()
     let text = ''
-    const take = (progress: ReturnType<AnswerStream<string>['part']>): void => {
-      if (over()) return
-      if (progress.type === 'broken') return broken()
+    const handleProgress = (progress: ReturnType<AnswerStream<string>['part']>): void => {
+      if (isOver()) return
+      if (progress.type === 'broken') return onBroken()
       text += progress.data.join('')
-      if (progress.whole) whole(text)
+      if (progress.whole) onComplete(text)
     }
-    const sink: FrameSink = { part: part => take(stream.part(part)), end: count => take(stream.end(count)) }
+    const sink: FrameSink = { part: part => handleProgress(stream.part(part)), end: count => handleProgress(stream.end(count)) }
     entry.newestSink = sink
     return { sink, get text () { return text } }
   }
--- a/packages/fuzz/src/lib/request-world.ts
+++ b/packages/fuzz/src/lib/request-world.ts
@@ -87,7 +87,7 @@
     const entry = this.entries[entryIndex % this.entries.length] as Entry
     const { process } = entry
     const deadline = this.world.clock(process) + DEADLINE
-    const submission: Submission = { number: this.submissions.length, id, neverRepeat, deadline, told: undefined, runs: 0, text: '' }
+    const submission: Submission = { number: this.submissions.length, id, neverRepeat, deadline, outcome: undefined, runs: 0, text: '' }
     this.submissions.push(submission)
     if (!process.alive) return
     this.world.after(1, process, () => this._runner.start(entry, submission))
@@ -99,9 +99,9 @@
   replace (index: number): void {
     const old = this._agentAt(index)
     this.world.kill(old.process)
-    const fresh = this._startAgent(old.process.name, old.process.availabilityZone)
-    fresh.keeper.listed(this.world.clock(fresh.process))
-    this.agents[this.agents.indexOf(old)] = fresh
+    const replacement = this._startAgent(old.process.name, old.process.availabilityZone)
+    replacement.keeper.listed(this.world.clock(replacement.process))
+    this.agents[this.agents.indexOf(old)] = replacement
   }
 
   replaceEntry (index: number): void {
@@ -194,8 +194,8 @@
 
   private _checkPromises (): void {
     for (const submission of this.submissions) {
-      if (submission.told === 'not-run' && submission.runs > 0) this.world.recordViolation(`not-run: submission ${submission.number} of ${submission.id} ran but was reported as not run`)
-      if (submission.told === 'whole' && submission.text !== expectedParts(submission.id).join('')) this.world.recordViolation(`whole-answer: submission ${submission.number} received "${submission.text}"`)
+      if (submission.outcome === 'not-run' && submission.runs > 0) this.world.recordViolation(`not-run: submission ${submission.number} of ${submission.id} ran but was reported as not run`)
+      if (submission.outcome === 'whole' && submission.text !== expectedParts(submission.id).join('')) this.world.recordViolation(`whole-answer: submission ${submission.number} received "${submission.text}"`)
     }
   }
 
@@ -242,11 +242,11 @@
   // Outcomes reported to callers.
 
   /** Records the outcome; only the first one reported counts. */
-  reportOutcome (submission: Submission, outcome: Outcome): void { submission.told ??= outcome }
+  reportOutcome (submission: Submission, outcome: Outcome): void { submission.outcome ??= outcome }
 
   reportComplete (submission: Submission, text: string): void {
-    if (submission.told !== undefined) return
-    submission.told = 'whole'
+    if (submission.outcome !== undefined) return
+    submission.outcome = 'whole'
     submission.text = text
   }
 
@@ -256,9 +256,9 @@
 
   private _startAgent (name: string, availabilityZone: string): Agent {
     const process = new Process(name, availabilityZone, `${name}.${this._incarnations++}`, this.world.uniform(0, MAX_CLOCK_SKEW))
-    const door = this._parts.admissionController(process.incarnation, SLOTS)
-    door.setServing(true)
-    return { process, admissionController: door, keeper: this._parts.keeper(process.incarnation, KEEPER_POLICY), stopping: false, drainingSince: Infinity, unfinished: 0 }
+    const controller = this._parts.admissionController(process.incarnation, SLOTS)
+    controller.setServing(true)
+    return { process, admissionController: controller, keeper: this._parts.keeper(process.incarnation, KEEPER_POLICY), stopping: false, drainingSince: Infinity, unfinished: 0 }
   }
 
   private _startEntry (name: string, availabilityZone: string): Entry {
@@ -267,5 +267,5 @@
   }
 
   private _agentAt (index: number): Agent { return this.agents[index % this.agents.length] as Agent }
-  named (name: string): Agent | undefined { return this.agents.find(agent => agent.process.name === name) }
+  agentByName (name: string): Agent | undefined { return this.agents.find(agent => agent.process.name === name) }
 }
--- a/packages/fuzz/src/lib/restorable-store.ts
+++ b/packages/fuzz/src/lib/restorable-store.ts
@@ -45,12 +45,12 @@
   }
 
   remove (key: string): void {
-    const left = new Map(this._latest.items)
-    if (left.delete(key)) this._append({ type: 'endpoint-gone', revision: this.revision + 1, id: key }, left)
+    const remaining = new Map(this._latest.items)
+    if (remaining.delete(key)) this._append({ type: 'endpoint-gone', revision: this.revision + 1, id: key }, remaining)
   }
 
   /** Discards the history, but keeps the items. */
-  forget (): void { this._snapshots.push({ ...this._latest, at: this._clock.now, compactedRevision: this.revision, history: [] }) }
+  compact (): void { this._snapshots.push({ ...this._latest, at: this._clock.now, compactedRevision: this.revision, history: [] }) }
 
   /**
    * Restores an older snapshot and begins a new epoch.
--- a/packages/fuzz/src/lib/routed-world.ts
+++ b/packages/fuzz/src/lib/routed-world.ts
@@ -12,7 +12,7 @@
 
 /** The parts whose protections a variant may remove. */
 export interface RoutedParts {
-  readonly course: (route: RoutedRoute) => AttemptCourse
+  readonly course: (route: RoutePolicy) => AttemptCourse
   readonly allowance: (terms: RetryTerms, entries: (now: number) => number | undefined, now: number) => Pick<RetryAllowance, 'requested' | 'trySpend'>
   readonly fleet: (zones: readonly ZoneOfAgents[]) => Pick<FleetSize, 'heard' | 'estimate'>
 }
@@ -25,7 +25,7 @@
 }
 
 /** The properties of a route that govern the attempts. */
-export type RoutedRoute = Pick<Route, 'kind' | 'maxAttempts' | 'resumable'>
+export type RoutePolicy = Pick<Route, 'kind' | 'maxAttempts' | 'resumable'>
 
 /** How an endpoint responds to a request. */
 export type EndpointBehaviour = 'answer' | 'shed' | 'cut' | 'fail' | 'reject' | 'answer-plainly' | 'vanish'
@@ -58,7 +58,7 @@
 const REQUEST_TIMEOUT = 6_000
 /** Upper bound of the time from an action to the last request that it schedules, in milliseconds. */
 const MAX_SCHEDULE_TIME = 30_000
-const routes: readonly RoutedRoute[] = [
+const routes: readonly RoutePolicy[] = [
   { kind: 'streaming', maxAttempts: 2, resumable: true },
   { kind: 'streaming', maxAttempts: 3, resumable: true },
   { kind: 'streaming', maxAttempts: 2, resumable: false }
@@ -90,7 +90,7 @@
   }
 
   /** Sets how endpoints respond to a share of the attempts; they answer the others in full. */
-  setBehaviour (purpose: RetryPurpose, treatment: EndpointBehaviour, share: number): void { this._behaviours[purpose] = { behaviour: treatment, share } }
+  setBehaviour (purpose: RetryPurpose, behaviour: EndpointBehaviour, share: number): void { this._behaviours[purpose] = { behaviour, share } }
 
   /** Kills and restarts a share of the entries. */
   restart (share: number): void {
@@ -141,14 +141,14 @@
     const entry = world.pick(this._entries) as Entry
     this._requestTimes.push(world.now)
     entry.allowance.requested(world.now)
-    const route = world.pick(routes) as RoutedRoute
+    const route = world.pick(routes) as RoutePolicy
     this._send({ entry, process: entry.process, course: this._parts.course(route), deadline: world.now + REQUEST_TIMEOUT, arrivals: 0, events: 0 })
   }
 
   private _send (request: Request): void {
     const { world } = this
-    const { behaviour: treatment, share } = this._behaviours[request.events > 0 ? 'go-on' : 'begin']
-    const applied: EndpointBehaviour = world.random() < share ? treatment : 'answer'
+    const { behaviour, share } = this._behaviours[request.events > 0 ? 'go-on' : 'begin']
+    const applied: EndpointBehaviour = world.random() < share ? behaviour : 'answer'
     world.after(world.uniform(1, 5), request.process, () => {
       if (request.arrivals > 0) this._retryTimes.push(world.now)
       request.arrivals += 1
--- a/packages/fuzz/src/lib/scenario.ts
+++ b/packages/fuzz/src/lib/scenario.ts
@@ -59,8 +59,8 @@
 
   check (): boolean { return true }
 
-  run (done: RunModel, subject: Kind): void {
-    done.actions.push(this._action.name)
+  run (model: RunModel, subject: Kind): void {
+    model.actions.push(this._action.name)
     this._action.run(subject, this._values)
     subject.world.advance(this._delay)
     throwIfViolated(subject)
@@ -94,11 +94,11 @@
   const arbitraries = scenario.actions.flatMap(action => Array.from({ length: action.weight ?? 1 }, () => commandArbitrary(action)))
   const property = fc.property(fc.integer({ min: 1, max: MAX_SEED }), fc.commands(arbitraries, { maxCommands: MAX_COMMANDS, size: 'max' }), (seed, commandSequence) => {
     runs += 1
-    const done: RunModel = { actions: [] }
+    const model: RunModel = { actions: [] }
     const subject = scenario.create(seed, parts)
-    fc.modelRun(() => ({ model: done, real: subject }), commandSequence)
+    fc.modelRun(() => ({ model, real: subject }), commandSequence)
     subject.settle()
-    commands += done.actions.length
+    commands += model.actions.length
     throwIfViolated(subject)
   })
   const details = fc.check(property, { seed: options.seed, numRuns: options.runs, ...(options.path === undefined ? {} : { path: options.path }) })
--- a/packages/fuzz/src/lib/scenarios.ts
+++ b/packages/fuzz/src/lib/scenarios.ts
@@ -88,7 +88,7 @@
   create: (seed, parts) => new WeightsWorld(seed, parts),
   actions: [
     { name: 'request', valueCount: 1, weight: 5, run: (subject, [agent = 0]) => subject.request(agent) },
-    { name: 'want', valueCount: 1, weight: 2, run: (subject, [version = 0]) => subject.want(version) },
+    { name: 'want', valueCount: 1, weight: 2, run: (subject, [version = 0]) => subject.setDesiredVersion(version) },
     { name: 'kill', valueCount: 1, run: (subject, [agent = 0]) => subject.kill(agent) },
     { name: 'replace', valueCount: 1, run: (subject, [agent = 0]) => subject.replace(agent, false) },
     { name: 'replace-frozen', valueCount: 1, run: (subject, [agent = 0]) => subject.replace(agent, true) },
@@ -97,7 +97,7 @@
     { name: 'cut', valueCount: 2, run: (subject, [from = 0, to = 0]) => subject.cut(from, to) },
     { name: 'heal', valueCount: 0, run: subject => subject.world.heal() },
     { name: 'corrupt', valueCount: 1, run: (subject, [agent = 0]) => subject.corrupt(agent) },
-    { name: 'origin', valueCount: 1, run: (subject, [well = 0]) => subject.setOrigin(well % 2 === 0) }
+    { name: 'origin', valueCount: 1, run: (subject, [available = 0]) => subject.setOrigin(available % 2 === 0) }
   ]
 }
 
@@ -172,8 +172,8 @@
   actions: [
     { name: 'load', valueCount: 1, weight: 6, run: (subject, [length = 0]) => subject.load(length / 1_000 * 2 * MAX_LOAD_TIME, 1) },
     { name: 'burst', valueCount: 2, weight: 2, run: (subject, [length = 0, factor = 0]) => subject.load(length / 1_000 * MAX_LOAD_TIME, 1 + factor / 1_000 * MAX_BURST_FACTOR) },
-    { name: 'name-limit', valueCount: 2, weight: 3, run: (subject, [endpoint = 0, limit = 0]) => subject.name(endpoint, LIMITS[limit % LIMITS.length] ?? LIMITS[0]) },
-    { name: 'end-limit', valueCount: 1, run: (subject, [endpoint = 0]) => subject.end(endpoint) },
+    { name: 'name-limit', valueCount: 2, weight: 3, run: (subject, [endpoint = 0, limit = 0]) => subject.setLimit(endpoint, LIMITS[limit % LIMITS.length] ?? LIMITS[0]) },
+    { name: 'end-limit', valueCount: 1, run: (subject, [endpoint = 0]) => subject.endLimit(endpoint) },
     { name: 'restart', valueCount: 1, weight: 2, run: (subject, [entry = 0]) => subject.restart(entry) },
     { name: 'cut-zone', valueCount: 1, run: (subject, [zone = 0]) => subject.cutZone(zone) },
     { name: 'heal', valueCount: 0, weight: 2, run: subject => subject.heal() }
@@ -187,10 +187,10 @@
   create: (seed, parts) => new PublishedWorld(seed, parts),
   actions: [
     { name: 'publish', valueCount: 0, weight: 4, run: subject => subject.publish() },
-    { name: 'name', valueCount: 0, run: subject => subject.name() },
-    { name: 'begin', valueCount: 0, weight: 2, run: subject => subject.begin() },
+    { name: 'name', valueCount: 0, run: subject => subject.publishVersion() },
+    { name: 'begin', valueCount: 0, weight: 2, run: subject => subject.addEndpoint() },
     { name: 'drain', valueCount: 1, weight: 3, run: (subject, [endpoint = 0]) => subject.drain(endpoint) },
-    { name: 'leave', valueCount: 1, weight: 2, run: (subject, [endpoint = 0]) => subject.leave(endpoint) },
+    { name: 'leave', valueCount: 1, weight: 2, run: (subject, [endpoint = 0]) => subject.removeEndpoint(endpoint) },
     { name: 'interrupt', valueCount: 1, run: (subject, [away = 0]) => subject.interrupt(away / 1_000) },
     { name: 'restore', valueCount: 2, weight: 3, run: (subject, [away = 0, age = 0]) => subject.restore(away / 1_000, age / 1_000) },
     { name: 'forget', valueCount: 0, run: subject => subject.forget() },
--- a/packages/fuzz/src/lib/suspect-world.ts
+++ b/packages/fuzz/src/lib/suspect-world.ts
@@ -116,10 +116,10 @@
 
   /** Kills and restarts an entry. */
   restart (index: number): void {
-    const place = index % ENTRY_COUNT
-    this.world.kill((this._entries[place] as Member).process)
-    const entry = this._startMember(`entry-${place}`, place)
-    this._entries[place] = entry
+    const position = index % ENTRY_COUNT
+    this.world.kill((this._entries[position] as Member).process)
+    const entry = this._startMember(`entry-${position}`, position)
+    this._entries[position] = entry
     this._suspendCounting()
     if (!this._parts.informsRestartedEntries) return
     for (const agent of this._agents) this._forward(agent, [entry], { losses: agent.suspects.known(this.world.now), answers: [] })
@@ -151,15 +151,15 @@
     return { process: new Process(name, ZONES[index % ZONES.length] ?? '', `${name}.${this.world.now}`, 0), suspects: this._parts.suspects() }
   }
 
-  private _request (fingerprint: string, fatal: boolean, again: boolean): void {
+  private _request (fingerprint: string, fatal: boolean, isRepeat: boolean): void {
     const entry = this.world.pick(this._entries) as Member
-    if (entry.suspects.standing(fingerprint, this.world.now) !== 'held-back') return this._send({ entry, process: entry.process, fingerprint, fatal, isRepeat: again, attempts: 0 })
+    if (entry.suspects.standing(fingerprint, this.world.now) !== 'held-back') return this._send({ entry, process: entry.process, fingerprint, fatal, isRepeat, attempts: 0 })
     if (!fatal) this.world.recordViolation(`no-innocents: request ${fingerprint} is held back when its caller repeats it`)
   }
 
   private _send (attempt: Attempt): void {
-    const up = [...this._endpoints.keys()].filter(index => this._isUp(index) && this.world.connected(attempt.process, (this._agents[index] as Member).process))
-    const index = this.world.pick(up)
+    const available = [...this._endpoints.keys()].filter(index => this._isUp(index) && this.world.connected(attempt.process, (this._agents[index] as Member).process))
+    const index = this.world.pick(available)
     if (index === undefined) return
     attempt.attempts += 1
     if (attempt.fatal) this._countSend(attempt.fingerprint)
@@ -225,9 +225,9 @@
 
   private _reportToAgents (entry: Member, news: SuspectNews): void {
     if (isEmpty(news) || !this._parts.reportsToAgents) return
-    const reachable = this._agents.filter(({ process }) => this.world.connected(entry.process, process))
-    for (let told = 0; told < AGENTS_PER_REPORT && reachable.length > 0; told += 1) {
-      const [agent] = reachable.splice(Math.floor(this.world.random() * reachable.length), 1) as [Member]
+    const candidates = this._agents.filter(({ process }) => this.world.connected(entry.process, process))
+    for (let reported = 0; reported < AGENTS_PER_REPORT && candidates.length > 0; reported += 1) {
+      const [agent] = candidates.splice(Math.floor(this.world.random() * candidates.length), 1) as [Member]
       this.world.after(this.world.uniform(1, 8), agent.process, () => this._forward(agent, this._entries, agent.suspects.heard(news, this.world.now)))
     }
   }
--- a/packages/fuzz/src/lib/variants.ts
+++ b/packages/fuzz/src/lib/variants.ts
@@ -71,7 +71,7 @@
   override sparedFor (): undefined { return undefined }
 }
 
-/** Records no losses, as if each attempt were another request, which is what identification by the caller's ids would amount to. */
+/** Records no losses, as would happen if requests were identified by ids that callers choose anew for each attempt. */
 class NonRecordingSuspects extends SuspectRequests {
   override lost (): void {}
 }
--- a/packages/fuzz/src/lib/weights-world.ts
+++ b/packages/fuzz/src/lib/weights-world.ts
@@ -54,7 +54,7 @@
   engineSwitch: EngineSwitch
   transfer: Transfer | undefined
   revision: number
-  whole: string
+  completeDigest: string
   /** Whether this agent corrupts the chunks that it sends to peers. */
   corrupts: boolean
 }
@@ -105,7 +105,7 @@
   }
 
   /** Changes the desired version; agents learn of it after a delay. */
-  want (index: number): void {
+  setDesiredVersion (index: number): void {
     this._desiredVersion = VERSIONS[index % VERSIONS.length] ?? ''
     this._revision += 1
     for (const member of this.members) this._announceVersion(member)
@@ -164,9 +164,9 @@
   private _startMember (record: InstanceRecord, engine: Engine): Member {
     const { world } = this
     const process = new Process(record.instance, record.availabilityZone, `${record.instance}.${this._incarnations++}`, world.uniform(0, 1e6))
-    const door = this._parts.admissionController(process.incarnation, SLOTS)
+    const controller = this._parts.admissionController(process.incarnation, SLOTS)
     const member: Member = {
-      record, engine, process, admissionController: door, engineSwitch: new EngineSwitch(record.instance, door, world.clock(process)), transfer: undefined, revision: 0, whole: '', corrupts: false
+      record, engine, process, admissionController: controller, engineSwitch: new EngineSwitch(record.instance, controller, world.clock(process)), transfer: undefined, revision: 0, completeDigest: '', corrupts: false
     }
     this._repeat(member, TICK_INTERVAL, () => this._executeTransferEffects(member, member.transfer?.tick(world.clock(process)) ?? []))
     this._repeat(member, POLL_INTERVAL, () => this._poll(member))
@@ -184,17 +184,17 @@
 
   private _announceVersion (member: Member): void {
     const revision = this._revision
-    const wanted = this._desiredVersion
+    const version = this._desiredVersion
     this.world.after(this.world.uniform(0, 500), member.process, () => {
       if (revision <= member.revision) return
       member.revision = revision
-      this._startTransfer(member, wanted)
+      this._startTransfer(member, version)
     })
   }
 
   private _startTransfer (member: Member, version: string): void {
     this._executeTransferEffects(member, member.transfer?.cancel() ?? [])
-    member.whole = ''
+    member.completeDigest = ''
     member.transfer = new Transfer(member.record, this._records, version, manifestOf(version), new Set(member.engine.staging.keys()), defaultTransferPolicy)
   }
 
@@ -203,7 +203,7 @@
   private _executeTransferEffects (member: Member, effects: readonly TransferEffect[]): void {
     for (const effect of effects) {
       if (effect.type === 'fetch') this._fetch(member, effect)
-      if (effect.type === 'whole') member.whole = effect.manifestDigest
+      if (effect.type === 'whole') member.completeDigest = effect.manifestDigest
     }
   }
 
@@ -237,11 +237,11 @@
 
   private _poll (member: Member): void {
     const { engine, process } = member
-    const wanted = member.transfer === undefined ? '' : this._transferVersion(member)
+    const target = member.transfer === undefined ? '' : this._transferVersion(member)
     const report: EngineReport = { version: engine.version, loading: engine.loading, failed: engine.failed, fence: engine.fence, running: engine.reportedRunning }
     const situation = {
-      target: wanted === '' ? undefined : { manifestDigest: wanted, switchFraction: 0.5 },
-      wholeDigest: this._parts.waitsForCompleteVersion ? member.whole : wanted,
+      target: target === '' ? undefined : { manifestDigest: target, switchFraction: 0.5 },
+      wholeDigest: this._parts.waitsForCompleteVersion ? member.completeDigest : target,
       members: this._records,
       knownDigests: new Set<string>(VERSIONS)
     }
--- a/packages/fuzz/src/lib/world.ts
+++ b/packages/fuzz/src/lib/world.ts
@@ -114,20 +114,20 @@
    * Calls a process. A dead process refuses the connection; a call to a frozen or unreachable one times out. When a frozen caller
    * is thawed, it handles its timeout and a late answer in either order.
    */
-  call<Answer> (from: Process, to: Process | undefined, handle: () => Answer, timeout: number, done: (answer: Answer | 'unreachable') => void): void {
+  call<Answer> (from: Process, to: Process | undefined, handle: () => Answer, timeout: number, onSettled: (answer: Answer | 'unreachable') => void): void {
     let isSettled = false
     const settle = (answer: Answer | 'unreachable'): void => {
       if (isSettled) return
       isSettled = true
-      done(answer)
+      onSettled(answer)
     }
     this.after(timeout, from, () => settle('unreachable'))
     if (to === undefined || (!to.alive && this.connected(from, to))) this.after(CONNECTION_REFUSAL_DELAY, from, () => settle('unreachable'))
     else this.send(from, to, () => { this.reply(to, from, handle(), settle) })
   }
 
-  reply<Answer> (from: Process, to: Process, answer: Answer, take: (answer: Answer) => void): void {
-    this.send(from, to, () => take(answer))
+  reply<Answer> (from: Process, to: Process, answer: Answer, deliver: (answer: Answer) => void): void {
+    this.send(from, to, () => deliver(answer))
   }
 
   kill (process: Process): void {
--- a/packages/fuzz/src/test/promises_test.ts
+++ b/packages/fuzz/src/test/promises_test.ts
@@ -93,7 +93,7 @@
     for (let seed = 1; seed <= 20; seed += 1) {
       const subject = new WeightsWorld(seed)
       subject.world.advance(8_000)
-      subject.want(1)
+      subject.setDesiredVersion(1)
       subject.replace(1, true)
       for (let index = 0; index < 40; index += 1) {
         subject.request(1)
--- a/packages/fuzz/src/test/starts_test.ts
+++ b/packages/fuzz/src/test/starts_test.ts
@@ -27,34 +27,34 @@
 /**
  * Applies steps to a chooser.
  *
- * @param told Creates the record that the chooser receives for a start; the variant's record does not identify the start.
+ * @param createRecord Creates the record that the chooser receives for a start; the variant's record does not identify the start.
  * @returns What went wrong, or `undefined`.
  */
-function play (steps: readonly Step[], told: (born: number) => EndpointRecord): string | undefined {
+function applySteps (steps: readonly Step[], createRecord: (born: number) => EndpointRecord): string | undefined {
   const chooser = new EndpointChooser({ availabilityZone: 'hall', regionOf: () => 'here' }, () => 0)
   let [born, now, hasReport, avoidedUntil] = [1, 0, false, 0]
-  let record = told(born)
+  let record = createRecord(born)
   chooser.setRecords([record])
   const load = { running: 1, waiting: 0, version: 1, accepting: true, pace: 1 }
   for (const step of steps) {
     now += 10
     if (step === 'restart') {
       born += 1
-      record = told(born)
+      record = createRecord(born)
       chooser.setRecords([record])
       hasReport = false
       avoidedUntil = 0
     } else if (step === 'report') {
       chooser.heard(startOf(record), load, now)
       hasReport = true
-    } else if (step === 'late-report') chooser.heard(startOf(told(born - 1)), { ...load, accepting: false }, now)
+    } else if (step === 'late-report') chooser.heard(startOf(createRecord(born - 1)), { ...load, accepting: false }, now)
     else if (step === 'refuse') {
       chooser.avoid(startOf(record), 'refused', now)
       avoidedUntil = now + AVOIDED_TIME
     } else if (step === 'fail') chooser.ended(startOf(record), 'request', 'bad', now)
     else {
       const choice = chooser.choose(service, need, now)
-      if ((choice !== undefined) !== (now >= avoidedUntil)) return `chosen: ${choice !== undefined} at ${now}, avoided until ${avoidedUntil}`
+      if ((choice !== undefined) !== (now >= avoidedUntil)) return `chosen: ${choice !== undefined}, avoided until ${avoidedUntil}, now ${now}`
       if (choice !== undefined && Number.isFinite(choice.reportAge) !== hasReport) return 'the choice uses a report of another start, or none'
     }
   }
@@ -65,11 +65,11 @@
   const steps = fc.array(fc.constantFrom<Step>('restart', 'report', 'late-report', 'refuse', 'fail', 'choose'), { maxLength: 60 })
 
   it('is never judged by the state of an earlier start', () => {
-    fc.assert(fc.property(steps, sequence => { assert.equal(play(sequence, recordOf), undefined) }), { seed: SEED, numRuns: RUNS })
+    fc.assert(fc.property(steps, sequence => { assert.equal(applySteps(sequence, recordOf), undefined) }), { seed: SEED, numRuns: RUNS })
   })
 
   it('is judged by earlier starts, which the check detects, if state is kept by id alone', () => {
-    const found = fc.check(fc.property(steps, sequence => play(sequence, () => recordOf(undefined)) === undefined), { seed: SEED, numRuns: RUNS })
+    const found = fc.check(fc.property(steps, sequence => applySteps(sequence, () => recordOf(undefined)) === undefined), { seed: SEED, numRuns: RUNS })
     assert.ok(found.failed)
   })
 
@@ -79,8 +79,8 @@
       const state = new PublishedState()
       let newest = 0
       for (const { born, revision, gone } of changes) {
-        const told: PublishedChange = gone ? { type: 'endpoint-gone', revision, id: 'engine' } : { type: 'endpoint', revision, record: recordOf(born) }
-        state.take(told, 0)
+        const published: PublishedChange = gone ? { type: 'endpoint-gone', revision, id: 'engine' } : { type: 'endpoint', revision, record: recordOf(born) }
+        state.take(published, 0)
         const held = state.endpoints()[0]?.born
         if (held === undefined) continue
         assert.ok(held >= newest, `${held} after ${newest}`)
