--- a/packages/fuzz/src/lib/campaign.ts
+++ b/packages/fuzz/src/lib/campaign.ts
@@ -3,7 +3,7 @@
  * Copyright 2026 the drumdrift contributors
  * SPDX-License-Identifier: BSD-3-Clause
  */
-/** Runs the promises over their scenarios, and the variants that must break them, and prints a line for each. */
+/** Runs the scenarios, and the variants that must violate a promise, and prints a line for each promise or variant. */
 import { realConfigurationParts } from './configuration-world.js'
 import { realRequestParts } from './request-parts.js'
 import { runScenario, type Finding } from './scenario.js'
@@ -15,7 +15,7 @@
 import { realWeightsParts } from './weights-world.js'
 import { variants } from './variants.js'
 
-/** How a campaign is run. */
+/** Options of a campaign. */
 export interface CampaignOptions {
   readonly seed: number
   readonly runs: number
@@ -24,13 +24,13 @@
   readonly print: (line: string) => void
 }
 
-interface Part {
+interface RunnableScenario {
   readonly name: string
   readonly promises: readonly string[]
   readonly run: (options: { seed: number, runs: number, path?: string }) => Finding
 }
 
-const parts: readonly Part[] = [
+const runnableScenarios: readonly RunnableScenario[] = [
   { name: weightsScenario.name, promises: weightsScenario.promises, run: options => runScenario(weightsScenario, realWeightsParts, options) },
   { name: requestScenario.name, promises: requestScenario.promises, run: options => runScenario(requestScenario, realRequestParts, options) },
   { name: configurationScenario.name, promises: configurationScenario.promises, run: options => runScenario(configurationScenario, realConfigurationParts, options) },
@@ -41,26 +41,26 @@
 ]
 
 /**
- * Fuzzes every promise.
+ * Fuzzes every promise, or those of one scenario.
  *
- * @returns Whether all held.
+ * @returns Whether no promise was violated.
  * @example
  * const held = fuzzPromises({ seed: 7, runs: 200, print: console.log })
  */
 export function fuzzPromises ({ seed, runs, scenario, path, print }: CampaignOptions): boolean {
   let held = true
-  for (const part of parts) {
-    if (scenario !== undefined && scenario !== part.name) continue
-    const finding = part.run({ seed, runs, ...(path === undefined ? {} : { path }) })
-    for (const promise of part.promises) {
-      const broken = finding.violations.filter(violation => violation.includes(` ms: ${promise}:`)).length
-      print(`event=fuzz promise=${promise} scenario=${part.name} seed=${seed} runs=${finding.runs} commands=${finding.commands} violations=${broken}`)
+  for (const runnable of runnableScenarios) {
+    if (scenario !== undefined && scenario !== runnable.name) continue
+    const finding = runnable.run({ seed, runs, ...(path === undefined ? {} : { path }) })
+    for (const promise of runnable.promises) {
+      const violationCount = finding.violations.filter(violation => violation.includes(` ms: ${promise}:`)).length
+      print(`event=fuzz promise=${promise} scenario=${runnable.name} seed=${seed} runs=${finding.runs} commands=${finding.commands} violations=${violationCount}`)
     }
     if (finding.violations.length === 0) continue
     held = false
-    print(`event=violation scenario=${part.name} seed=${seed} path=${finding.path} what=${JSON.stringify(finding.violations[0])}`)
-    print(`event=case scenario=${part.name} commands=${JSON.stringify(finding.counterexample)}`)
-    print(`event=replay command="npm run fuzz -- --scenario ${part.name} --seed ${seed} --replay ${finding.path}"`)
+    print(`event=violation scenario=${runnable.name} seed=${seed} path=${finding.path} what=${JSON.stringify(finding.violations[0])}`)
+    print(`event=case scenario=${runnable.name} commands=${JSON.stringify(finding.counterexample)}`)
+    print(`event=replay command="npm run fuzz -- --scenario ${runnable.name} --seed ${seed} --replay ${finding.path}"`)
   }
   return held
 }
@@ -68,15 +68,15 @@
 /**
  * Runs every variant.
  *
- * @returns Whether each was found out, by its own promise.
+ * @returns Whether each variant violated the promise that it is meant to violate.
  */
 export function fuzzNegatives ({ seed, runs, print }: CampaignOptions): boolean {
   let caught = true
   for (const variant of variants) {
     const finding = variant.run({ seed, runs })
-    const broken = finding.violations.some(violation => violation.includes(` ms: ${variant.promise}:`))
-    caught &&= broken
-    print(`event=negative variant=${variant.name} promise=${variant.promise} seed=${seed} runs=${finding.runs} caught=${broken} path=${finding.path || '-'} what=${JSON.stringify(finding.violations[0] ?? 'nothing')}`)
+    const detected = finding.violations.some(violation => violation.includes(` ms: ${variant.promise}:`))
+    caught &&= detected
+    print(`event=negative variant=${variant.name} promise=${variant.promise} seed=${seed} runs=${finding.runs} caught=${detected} path=${finding.path || '-'} what=${JSON.stringify(finding.violations[0] ?? 'nothing')}`)
   }
   return caught
 }
--- a/packages/fuzz/src/lib/variants.ts
+++ b/packages/fuzz/src/lib/variants.ts
@@ -4,8 +4,8 @@
  * SPDX-License-Identifier: BSD-3-Clause
  */
 /**
- * The real parts with one protection taken out. Each must be found out by the fuzz that its promise has; a variant
- * that is not found out shows that the fuzz is blind there.
+ * Mutants of the product's parts, each with one protection removed. Fuzzing must find a violation of the promise that the
+ * protection serves; a variant that survives shows a gap in the scenario.
  */
 import {
   AdmissionDoor, AnswerStream, AttemptCourse, ClaimKeeper, EndpointLimits, OnceAttempt, PublishedState, publishedTopics, RevisionLedger, StoreCursor, type Acceptance, type Admission, type AnswerPart, type AnswerProgress, type AnswerVerdict, type CancelReply, type ClaimReply,
@@ -21,7 +21,7 @@
 import { realSuspectParts, type SuspectParts } from './suspect-world.js'
 import { realWeightsParts, type WeightsParts } from './weights-world.js'
 
-/** One variant: what is taken out, and which promise must break. */
+/** A variant, with the promise that it must violate. */
 export interface Variant {
   readonly name: string
   readonly promise: string
@@ -56,51 +56,51 @@
   return { name, promise, run: options => runScenario(publishedScenario, { ...realPublishedParts, ...change }, options) }
 }
 
-/** Orders everything by revisions alone. */
-class EpochlessState extends PublishedState {
+/** Orders changes by revision alone and ignores epochs. */
+class EpochIgnoringState extends PublishedState {
   override enter (): false { return false }
 }
 
-/** Goes on with a watch in whatever epoch it is answered. */
-class HastyCursor extends StoreCursor {
+/** Accepts the changes of a watch from any epoch. */
+class EpochIgnoringCursor extends StoreCursor {
   override judge (_call: StoreCall, { type }: StoreAnswerKind): AnswerVerdict { return type === 'changes' ? 'take' : super.judge('watch', { type }) }
 }
 
-/** Passes limits on to callers and heeds none. */
-class DeafLimits extends EndpointLimits {
+/** Does not apply limits to its own requests. */
+class IgnoredLimits extends EndpointLimits {
   override sparedFor (): undefined { return undefined }
 }
 
-/** Knows each request by the attempt only, as its caller's ids would have it. */
-class ForgetfulSuspects extends SuspectRequests {
+/** Records no losses, as would happen if requests were identified by ids that callers choose anew for each attempt. */
+class NonRecordingSuspects extends SuspectRequests {
   override lost (): void {}
 }
 
-/** Holds a request back after its first loss. */
-class HastySuspects extends SuspectRequests {
+/** Holds a request back after its first lost attempt. */
+class FirstLossSuspects extends SuspectRequests {
   override standing (fingerprint: string, now: number): Standing { return this.lossesOf(fingerprint, now).length > 0 ? 'held-back' : 'clear' }
 }
 
-/** Passes any whole answer on, whatever the caller has. */
-class HastyCourse extends AttemptCourse {
+/** Forwards any complete answer, even if the caller already has part of a stream. */
+class AnyAnswerTracker extends AttemptCourse {
   override ended (end: AttemptEnd, bounds: AttemptBounds): NextStep {
     return end.type === 'answered' && this.sent > 0 ? { type: 'pass-on' } : super.ended(end, bounds)
   }
 }
 
-/** Begins with some retries in hand. */
-class GenerousAllowance extends RetryAllowance {
-  private _given = 5
+/** Starts with a budget of retries that no requests have earned. */
+class PrefilledAllowance extends RetryAllowance {
+  private _prefilled = 5
 
   override trySpend (purpose: RetryPurpose, now: number): boolean {
-    if (this._given === 0) return super.trySpend(purpose, now)
-    this._given -= 1
+    if (this._prefilled === 0) return super.trySpend(purpose, now)
+    this._prefilled -= 1
     return true
   }
 }
 
-/** Takes the entries that it hears of now for all. */
-class ShortSightedFleet {
+/** Estimates the size of the fleet from the latest count of reachable entries alone. */
+class LatestCountFleet {
   private _count: number | undefined
 
   heard (_zone: string, _agent: string, count: number): boolean {
@@ -111,8 +111,8 @@
   estimate (): number | undefined { return this._count }
 }
 
-/** Passes parts on as they come. */
-class HastyStream extends AnswerStream<string> {
+/** Forwards the parts of an answer in the order in which they arrive. */
+class UnorderedStream extends AnswerStream<string> {
   private _parts = 0
   private _expected = -1
   override get whole (): boolean { return this._parts === this._expected }
@@ -127,16 +127,16 @@
   }
 }
 
-/** Takes the end for the whole, whatever is missing. */
-class TrustingStream extends AnswerStream<string> {
+/** Reports an answer as complete when its end arrives, even if parts are missing. */
+class EarlyCompleteStream extends AnswerStream<string> {
   override end (count: number): AnswerProgress<string> {
     const progress = super.end(count)
     return progress.type === 'parts' ? { ...progress, whole: true } : progress
   }
 }
 
-/** Says that an unused ticket is dead, but leaves it alive. */
-class NoTombstoneDoor extends AdmissionDoor {
+/** Confirms the cancellation of an unused ticket, but leaves the ticket valid. */
+class NoTombstoneController extends AdmissionDoor {
   override cancel (ticket: string): CancelReply {
     return ticket.startsWith(this.incarnation) && this._unused.has(ticket) ? 'never-started' : super.cancel(ticket)
   }
@@ -156,21 +156,21 @@
   private readonly _unused = new Set<string>()
 }
 
-/** Takes silence for proof. */
-class OptimisticAttempt extends OnceAttempt {
+/** Treats an unanswered cancellation as proof that the request did not run. */
+class SilenceAsProofAttempt extends OnceAttempt {
   override cancelled (reply: CancelReply | 'unreachable'): OnceEffect[] {
     if (reply !== 'unreachable') return super.cancelled(reply)
     return [{ type: 'give-up', failure: requestFailure('no-endpoint', 'not-run', 'no answer') }]
   }
 }
 
-/** Remembers nothing. */
-class ForgetfulKeeper extends ClaimKeeper {
+/** Vouches for every claim and records none. */
+class NonRecordingKeeper extends ClaimKeeper {
   override claim (): ClaimReply { return { type: 'vouched' } }
 }
 
 /** Releases a claim for any attempt, not only the one that made it. */
-class GivingKeeper extends ClaimKeeper {
+class AnyReleaseKeeper extends ClaimKeeper {
   private readonly _holders = new Map<string, string>()
 
   override claim (...[organisation, id, attempt, body, now]: Parameters<ClaimKeeper['claim']>): ClaimReply {
@@ -182,43 +182,43 @@
   override release (organisation: string, id: string): void { super.release(organisation, id, this._holders.get(id) ?? '') }
 }
 
-/** Vouches from its first second on. */
-class HastyKeeper extends ClaimKeeper {
+/** Vouches before it has run for a whole repeat window. */
+class YoungVouchingKeeper extends ClaimKeeper {
   override claim (...[organisation, id, attempt, body, now]: Parameters<ClaimKeeper['claim']>): ClaimReply {
     const reply = super.claim(organisation, id, attempt, body, now)
     return reply.type === 'young' ? { type: 'vouched' } : reply
   }
 }
 
-/** Vouches for issued ids that name another incarnation of it. */
-class StrangerKeeper extends ClaimKeeper {
+/** Vouches for issued ids that name another incarnation of this keeper. */
+class OtherIncarnationKeeper extends ClaimKeeper {
   override claim (...[organisation, id, attempt, body, now]: Parameters<ClaimKeeper['claim']>): ClaimReply {
     const reply = super.claim(organisation, id, attempt, body, now)
     return reply.type === 'stranger' ? { type: 'vouched' } : reply
   }
 }
 
-/** Hears orders to leave and does nothing. */
-class StayingDoor extends AdmissionDoor {
+/** Ignores orders to drain. */
+class NonDrainingController extends AdmissionDoor {
   override leave (): boolean { return false }
 }
 
-/** Lets go of its count of what runs. */
-class CarelessDoor extends AdmissionDoor {
+/** Reports no requests in progress. */
+class UncountedController extends AdmissionDoor {
   override get running (): number { return 0 }
 }
 
-/** Never closes for a switch. */
-class OpenDoor extends AdmissionDoor {
+/** Keeps admitting requests during a switch of versions. */
+class SwitchIgnoringController extends AdmissionDoor {
   override setSwitching (): void {}
 }
 
-/** Takes whatever it is given, valid or not, newer or older. */
-class CredulousLedger extends RevisionLedger<Configuration> {
+/** Adopts revisions without regard to their order; validation depends on the given function. */
+class NonOrderingLedger extends RevisionLedger<Configuration> {
   private _last: Published | undefined
 
-  constructor (source: string, private readonly _checkIt: (input: unknown) => Checked<Configuration, DocumentFailure>, private readonly _onlyUpward: boolean) {
-    super(source, _checkIt)
+  constructor (source: string, private readonly _validate: (input: unknown) => Checked<Configuration, DocumentFailure>, private readonly _onlyNewer: boolean) {
+    super(source, _validate)
   }
 
   override get revision (): number { return this._last?.revision ?? 0 }
@@ -226,55 +226,55 @@
   override get published (): Published | undefined { return this._last }
   override offer (published: Published): Acceptance {
     if (published.revision === this.revision) return { type: 'same' }
-    if (this._onlyUpward && published.revision < this.revision) return { type: 'same' }
-    const checked = this._checkIt(published.document)
+    if (this._onlyNewer && published.revision < this.revision) return { type: 'same' }
+    const checked = this._validate(published.document)
     if ('failure' in checked) return { type: 'refused', failure: checked.failure }
     this._last = published
     return { type: 'adopted', revision: published.revision }
   }
 }
 
-const takeAnything = (input: unknown): Checked<Configuration, DocumentFailure> => ({ value: input as Configuration })
+const acceptAny = (input: unknown): Checked<Configuration, DocumentFailure> => ({ value: input as Configuration })
 
-/** Every variant, at least two for each promise. */
+/** All variants. */
 export const variants: readonly Variant[] = [
   weights('chunks-unverified', 'whole-version', { verify: () => true }),
-  weights('load-before-whole', 'whole-version', { waitsForWhole: false, looksAgain: false }),
-  weights('door-open-while-switching', 'one-version', { door: (incarnation, slots) => new OpenDoor(incarnation, slots) }),
-  weights('running-not-counted', 'one-version', { door: (incarnation, slots) => new CarelessDoor(incarnation, slots) }),
-  weights('old-agents-unfenced', 'reaches-all', { takesOver: false }),
-  requests('parts-as-they-come', 'whole-answer', { stream: () => new HastyStream() }),
-  requests('end-taken-for-whole', 'whole-answer', { stream: () => new TrustingStream() }),
-  requests('frames-to-newest-call', 'whole-answer', { framesByCall: false }),
-  requests('silence-taken-for-proof', 'not-run', { attempt: (...given) => new OptimisticAttempt(...given) }),
-  requests('cancel-without-tombstone', 'at-most-once', { door: (incarnation, slots) => new NoTombstoneDoor(incarnation, slots) }),
-  requests('lost-taken-for-not-run', 'not-run', { lostMeans: 'not-run' }),
-  requests('keepers-forget', 'at-most-once', { keeper: (incarnation, policy) => new ForgetfulKeeper(incarnation, policy) }),
-  requests('young-keepers-vouch', 'at-most-once', { keeper: (incarnation, policy) => new HastyKeeper(incarnation, policy) }),
-  requests('strangers-vouch', 'at-most-once', { keeper: (incarnation, policy) => new StrangerKeeper(incarnation, policy) }),
+  weights('load-before-whole', 'whole-version', { waitsForCompleteVersion: false, rechecksStaging: false }),
+  weights('door-open-while-switching', 'one-version', { admissionController: (incarnation, slots) => new SwitchIgnoringController(incarnation, slots) }),
+  weights('running-not-counted', 'one-version', { admissionController: (incarnation, slots) => new UncountedController(incarnation, slots) }),
+  weights('old-agents-unfenced', 'reaches-all', { enforcesFence: false }),
+  requests('parts-as-they-come', 'whole-answer', { stream: () => new UnorderedStream() }),
+  requests('end-taken-for-whole', 'whole-answer', { stream: () => new EarlyCompleteStream() }),
+  requests('frames-to-newest-call', 'whole-answer', { bindsFramesToCall: false }),
+  requests('silence-taken-for-proof', 'not-run', { attempt: (...given) => new SilenceAsProofAttempt(...given) }),
+  requests('cancel-without-tombstone', 'at-most-once', { admissionController: (incarnation, slots) => new NoTombstoneController(incarnation, slots) }),
+  requests('lost-taken-for-not-run', 'not-run', { lostOutcome: 'not-run' }),
+  requests('keepers-forget', 'at-most-once', { keeper: (incarnation, policy) => new NonRecordingKeeper(incarnation, policy) }),
+  requests('young-keepers-vouch', 'at-most-once', { keeper: (incarnation, policy) => new YoungVouchingKeeper(incarnation, policy) }),
+  requests('strangers-vouch', 'at-most-once', { keeper: (incarnation, policy) => new OtherIncarnationKeeper(incarnation, policy) }),
   requests('one-vouch-is-enough', 'at-most-once', { keepers: (...given) => ({ ...realRequestParts.keepers(...given), needed: 1 }) }),
-  requests('anyone-releases', 'at-most-once', { keeper: (incarnation, policy) => new GivingKeeper(incarnation, policy) }),
-  requests('orders-ignored', 'leaving', { door: (incarnation, slots) => new StayingDoor(incarnation, slots) }),
-  requests('list-ignored', 'leaving', { heedsList: false }),
-  requests('stop-without-count', 'planned-stop', { door: (incarnation, slots) => new CarelessDoor(incarnation, slots) }),
-  requests('stop-without-patience', 'planned-stop', { stopPatience: 200 }),
-  configuration('downward-allowed', 'never-reverts', { ledger: source => new CredulousLedger(source, takeAnything, false) }),
-  configuration('start-without-peers', 'never-reverts', { joins: false }),
-  configuration('invalid-allowed', 'accepted-only', { ledger: source => new CredulousLedger(source, takeAnything, true) }),
-  configuration('no-comparisons', 'in-force', { compares: false }),
-  routed('any-answer-ends-a-stream', 'whole-stream', { course: route => new HastyCourse(route) }),
-  routed('retries-at-birth', 'retry-bound', { allowance: (...given) => new GenerousAllowance(...given) }),
+  requests('anyone-releases', 'at-most-once', { keeper: (incarnation, policy) => new AnyReleaseKeeper(incarnation, policy) }),
+  requests('orders-ignored', 'leaving', { admissionController: (incarnation, slots) => new NonDrainingController(incarnation, slots) }),
+  requests('list-ignored', 'leaving', { followsInstanceList: false }),
+  requests('stop-without-count', 'planned-stop', { admissionController: (incarnation, slots) => new UncountedController(incarnation, slots) }),
+  requests('stop-without-patience', 'planned-stop', { stopTimeout: 200 }),
+  configuration('downward-allowed', 'never-reverts', { ledger: source => new NonOrderingLedger(source, acceptAny, false) }),
+  configuration('start-without-peers', 'never-reverts', { joinsThroughSeeds: false }),
+  configuration('invalid-allowed', 'accepted-only', { ledger: source => new NonOrderingLedger(source, acceptAny, true) }),
+  configuration('no-comparisons', 'in-force', { comparesWithPeers: false }),
+  routed('any-answer-ends-a-stream', 'whole-stream', { course: route => new AnyAnswerTracker(route) }),
+  routed('retries-at-birth', 'retry-bound', { allowance: (...given) => new PrefilledAllowance(...given) }),
   routed('every-entry-has-all-retries', 'retry-bound', { allowance: (terms, _entries, now) => new RetryAllowance(terms, () => 1, now) }),
-  routed('cut-off-entries-not-counted', 'retry-bound', { fleet: () => new ShortSightedFleet() }),
-  limits('limits-not-heeded', 'within-limit', { limits: (...given) => new DeafLimits(...given) }),
+  routed('cut-off-entries-not-counted', 'retry-bound', { fleet: () => new LatestCountFleet() }),
+  limits('limits-not-heeded', 'within-limit', { limits: (...given) => new IgnoredLimits(...given) }),
   limits('each-entry-has-the-whole-limit', 'within-limit', { limits: (_entries, draw) => new EndpointLimits(() => 1, draw) }),
-  limits('ends-of-limits-not-told', 'limit-ends', { tells: false }),
-  published('epochs-ignored', 'in-force-after-restore', { state: () => new EpochlessState() }),
-  published('watches-go-on', 'in-force-after-restore', { cursor: state => new HastyCursor(state, publishedTopics) }),
-  published('copies-taken-for-all', 'never-back', { carries: false }),
-  published('writings-not-counted', 'never-back', { counts: false }),
-  suspects('losses-forgotten', 'few-ends', { suspects: () => new ForgetfulSuspects() }),
-  suspects('each-entry-for-itself', 'few-ends', { tells: false }),
-  suspects('newcomers-not-told', 'few-ends', { tellsNewcomers: false }),
-  suspects('held-back-at-once', 'no-innocents', { suspects: () => new HastySuspects() })
+  limits('ends-of-limits-not-told', 'limit-ends', { sharesLimits: false }),
+  published('epochs-ignored', 'in-force-after-restore', { state: () => new EpochIgnoringState() }),
+  published('watches-go-on', 'in-force-after-restore', { cursor: state => new EpochIgnoringCursor(state, publishedTopics) }),
+  published('copies-taken-for-all', 'never-back', { keepsStateAcrossEpochs: false }),
+  published('writings-not-counted', 'never-back', { countsWrites: false }),
+  suspects('losses-forgotten', 'few-ends', { suspects: () => new NonRecordingSuspects() }),
+  suspects('each-entry-for-itself', 'few-ends', { reportsToAgents: false }),
+  suspects('newcomers-not-told', 'few-ends', { informsRestartedEntries: false }),
+  suspects('held-back-at-once', 'no-innocents', { suspects: () => new FirstLossSuspects() })
 ]
--- a/packages/fuzz/src/test/starts_test.ts
+++ b/packages/fuzz/src/test/starts_test.ts
@@ -10,7 +10,7 @@
 
 const SEED = 7
 const RUNS = 300
-const AVOIDED = 100
+const AVOIDED_TIME = 100
 const service: ServiceDescription = {
   name: 'pool',
   maxConnections: 100,
@@ -25,61 +25,62 @@
 type Step = 'restart' | 'report' | 'late-report' | 'refuse' | 'fail' | 'choose'
 
 /**
- * Plays steps against a chooser, and says what went wrong.
+ * Applies steps to a chooser.
  *
- * @param told What the chooser is told of a start: all of it, or, in the variant, nothing that tells it from others of its id.
+ * @param createRecord Creates the record that the chooser receives for a start; the variant's record does not identify the start.
+ * @returns What went wrong, or `undefined`.
  */
-function play (steps: readonly Step[], told: (born: number) => EndpointRecord): string | undefined {
+function applySteps (steps: readonly Step[], createRecord: (born: number) => EndpointRecord): string | undefined {
   const chooser = new EndpointChooser({ availabilityZone: 'hall', regionOf: () => 'here' }, () => 0)
-  let [born, now, heard, avoidedUntil] = [1, 0, false, 0]
-  let record = told(born)
+  let [born, now, hasReport, avoidedUntil] = [1, 0, false, 0]
+  let record = createRecord(born)
   chooser.setRecords([record])
   const load = { running: 1, waiting: 0, version: 1, accepting: true, pace: 1 }
   for (const step of steps) {
     now += 10
     if (step === 'restart') {
       born += 1
-      record = told(born)
+      record = createRecord(born)
       chooser.setRecords([record])
-      heard = false
+      hasReport = false
       avoidedUntil = 0
     } else if (step === 'report') {
       chooser.heard(startOf(record), load, now)
-      heard = true
-    } else if (step === 'late-report') chooser.heard(startOf(told(born - 1)), { ...load, accepting: false }, now)
+      hasReport = true
+    } else if (step === 'late-report') chooser.heard(startOf(createRecord(born - 1)), { ...load, accepting: false }, now)
     else if (step === 'refuse') {
       chooser.avoid(startOf(record), 'refused', now)
-      avoidedUntil = now + AVOIDED
+      avoidedUntil = now + AVOIDED_TIME
     } else if (step === 'fail') chooser.ended(startOf(record), 'request', 'bad', now)
     else {
       const choice = chooser.choose(service, need, now)
-      if ((choice !== undefined) !== (now >= avoidedUntil)) return `chosen: ${choice !== undefined}, to be avoided until ${avoidedUntil} at ${now}`
-      if (choice !== undefined && Number.isFinite(choice.reportAge) !== heard) return 'a report of another start counts'
+      if ((choice !== undefined) !== (now >= avoidedUntil)) return `chosen: ${choice !== undefined}, avoided until ${avoidedUntil}, now ${now}`
+      if (choice !== undefined && Number.isFinite(choice.reportAge) !== hasReport) return 'the choice uses a report of another start, or none'
     }
   }
   return undefined
 }
 
-describe('an endpoint that starts again and again under its id', () => {
+describe('an endpoint that restarts repeatedly under the same id', () => {
   const steps = fc.array(fc.constantFrom<Step>('restart', 'report', 'late-report', 'refuse', 'fail', 'choose'), { maxLength: 60 })
 
-  it('is never judged by an earlier start', () => {
-    fc.assert(fc.property(steps, sequence => { assert.equal(play(sequence, recordOf), undefined) }), { seed: SEED, numRuns: RUNS })
+  it('is never judged by the state of an earlier start', () => {
+    fc.assert(fc.property(steps, sequence => { assert.equal(applySteps(sequence, recordOf), undefined) }), { seed: SEED, numRuns: RUNS })
   })
 
-  it('is, and that is found out, where what is learnt is kept by its id', () => {
-    const found = fc.check(fc.property(steps, sequence => play(sequence, () => recordOf(undefined)) === undefined), { seed: SEED, numRuns: RUNS })
+  it('is judged by earlier starts, which the check detects, if state is kept by id alone', () => {
+    const found = fc.check(fc.property(steps, sequence => applySteps(sequence, () => recordOf(undefined)) === undefined), { seed: SEED, numRuns: RUNS })
     assert.ok(found.failed)
   })
 
-  it('is never listed with an earlier start after a later one, in whichever order and however often entries come', () => {
+  it('is never listed with an earlier start after a later one, whatever the order and repetition of changes', () => {
     const change = fc.record({ born: fc.integer({ min: 1, max: 5 }), revision: fc.integer({ min: 1, max: 30 }), gone: fc.boolean() })
     fc.assert(fc.property(fc.array(change, { maxLength: 40 }), changes => {
       const state = new PublishedState()
       let newest = 0
       for (const { born, revision, gone } of changes) {
-        const told: PublishedChange = gone ? { type: 'endpoint-gone', revision, id: 'engine' } : { type: 'endpoint', revision, record: recordOf(born) }
-        state.take(told, 0)
+        const published: PublishedChange = gone ? { type: 'endpoint-gone', revision, id: 'engine' } : { type: 'endpoint', revision, record: recordOf(born) }
+        state.take(published, 0)
         const held = state.endpoints()[0]?.born
         if (held === undefined) continue
         assert.ok(held >= newest, `${held} after ${newest}`)
