--- a/packages/stand-ins/src/endpoint-host.ts
+++ b/packages/stand-ins/src/endpoint-host.ts
@@ -3,7 +3,7 @@
  * Copyright 2026 the drumdrift contributors
  * SPDX-License-Identifier: BSD-3-Clause
  */
-/** A process that holds endpoint stand-ins, told what to do over the channel to its parent. */
+/** A process that hosts endpoint stand-ins and executes orders from its parent process, received over the IPC channel. */
 import { ModelEngine } from './lib/model-engine.js'
 import { PlainService } from './lib/plain-service.js'
 import type { HostOrder, HostReply } from './lib/host-messages.js'
--- a/packages/stand-ins/src/index.ts
+++ b/packages/stand-ins/src/index.ts
@@ -3,7 +3,7 @@
  * Copyright 2026 the drumdrift contributors
  * SPDX-License-Identifier: BSD-3-Clause
  */
-/** Stand-ins for the platform and for endpoints, for tests and measurements. @packageDocumentation */
+/** Stand-ins for the platform and for endpoints, for tests and benchmarks. @packageDocumentation */
 export * from './lib/endpoint-host-client.js'
 export * from './lib/host-messages.js'
 export * from './lib/http-service.js'
--- a/packages/stand-ins/src/lib/endpoint-host-client.ts
+++ b/packages/stand-ins/src/lib/endpoint-host-client.ts
@@ -3,14 +3,14 @@
  * Copyright 2026 the drumdrift contributors
  * SPDX-License-Identifier: BSD-3-Clause
  */
-/** Starts a process that holds endpoint stand-ins, and speaks to it. */
+/** Starts a process that hosts endpoint stand-ins and sends it orders. */
 import { fork, type ChildProcess } from 'node:child_process'
 import { fileURLToPath } from 'node:url'
 import type { HostOrder, HostReply } from './host-messages.js'
 
 type WithoutId<Order> = Order extends unknown ? Omit<Order, 'id'> : never
 
-/** One such process. */
+/** Client of one process that hosts endpoint stand-ins. */
 export class EndpointHost {
   private readonly _child: ChildProcess
   private readonly _waiting = new Map<number, (reply: HostReply) => void>()
@@ -27,7 +27,7 @@
   get pid (): number { return this._child.pid ?? 0 }
 
   /**
-   * Gives an order and waits for its reply.
+   * Sends an order and waits for its reply.
    *
    * @example
    * await host.order({ type: 'engine', port: 9000, times: defaultEngineTimes })
--- a/packages/stand-ins/src/lib/host-messages.ts
+++ b/packages/stand-ins/src/lib/host-messages.ts
@@ -3,11 +3,11 @@
  * Copyright 2026 the drumdrift contributors
  * SPDX-License-Identifier: BSD-3-Clause
  */
-/** Messages between a test bench and a process that holds endpoint stand-ins. */
+/** Messages between a benchmark and a process that hosts endpoint stand-ins. */
 import type { Behaviour } from './http-service.js'
 import type { EngineJournal, EngineTimes } from './model-engine.js'
 
-/** What a bench orders. */
+/** An order from a benchmark to a host process. */
 export type HostOrder = { readonly id: number } & (
   | { readonly type: 'engine', readonly port: number, readonly times: EngineTimes }
   | { readonly type: 'plain', readonly port: number, readonly duration: number }
@@ -17,7 +17,7 @@
   | { readonly type: 'journal' }
 )
 
-/** What a host answers; journals only when asked for. */
+/** The reply of a host process. The lists are empty unless the order is `journal`. */
 export interface HostReply {
   readonly id: number
   readonly engines: readonly { readonly port: number, readonly version: string, readonly journal: EngineJournal }[]
--- a/packages/stand-ins/src/lib/http-service.ts
+++ b/packages/stand-ins/src/lib/http-service.ts
@@ -3,27 +3,27 @@
  * Copyright 2026 the drumdrift contributors
  * SPDX-License-Identifier: BSD-3-Clause
  */
-/** A small HTTP server base for stand-ins: a handler, a rate limit, and a way to be down. */
+/** Base class for HTTP stand-ins, with a rate limit and simulated outages. */
 import { createServer, type IncomingMessage, type Server, type ServerResponse } from 'node:http'
 import type { AddressInfo } from 'node:net'
 import { TokenBucket } from '@drumdrift/core'
 
-/** How a stand-in behaves. */
+/** Simulated condition of a stand-in. */
 export type Behaviour = 'normal' | 'down' | 'slow' | 'stale'
 
 const SLOW_DELAY = 1_000
 const LOOPBACK = '127.0.0.1'
 
-/** A stand-in that speaks HTTP on loopback. */
+/** An HTTP stand-in, on loopback by default. */
 export abstract class HttpService {
   behaviour: Behaviour = 'normal'
-  /** Calls that were made; a waiting watch counts as one. */
+  /** Number of requests received. A long poll counts as one. */
   calls = 0
   private readonly _server: Server
   private readonly _bucket: TokenBucket
 
   /**
-   * @param callsPerSecond Beyond this, calls are answered with 429.
+   * @param callsPerSecond Requests above this rate are answered with 429.
    */
   constructor (callsPerSecond = 2_000) {
     this._bucket = new TokenBucket(callsPerSecond, callsPerSecond, performance.now())
@@ -38,7 +38,7 @@
     })
   }
 
-  /** Where it listens, once it does. */
+  /** The address that the server listens on. Available after `listen` has resolved. */
   get address (): string {
     const { address, port } = this._server.address() as AddressInfo
     return `${address}:${port}`
@@ -49,7 +49,7 @@
     this._server.closeAllConnections()
   }
 
-  /** Sets the headers that all answers have. */
+  /** Sets the headers that all responses have in common. */
   protected mark (_response: ServerResponse): void {}
 
   protected abstract answer (request: IncomingMessage, response: ServerResponse): void | Promise<void>
@@ -69,7 +69,7 @@
     setTimeout(() => { this._answer(request, response) }, delay)
   }
 
-  /** A caller who is gone before its request has been read gets no answer. */
+  /** Sends the response. A caller that disconnects before its request has been read gets none. */
   private async _answer (request: IncomingMessage, response: ServerResponse): Promise<void> {
     try {
       await this.answer(request, response)
@@ -86,7 +86,7 @@
   return Buffer.concat(pieces)
 }
 
-/** Answers with JSON. */
+/** Sends a JSON response. */
 export function sendJson (response: ServerResponse, value: unknown, status = 200): void {
   response.writeHead(status, { 'content-type': 'application/json' })
   response.end(JSON.stringify(value))
--- a/packages/stand-ins/src/lib/link.ts
+++ b/packages/stand-ins/src/lib/link.ts
@@ -3,40 +3,39 @@
  * Copyright 2026 the drumdrift contributors
  * SPDX-License-Identifier: BSD-3-Clause
  */
-/** Stand-in for a link between two processes: a relay that can corrupt, delay, stall, swallow or cut what passes. */
+/** Stand-in for a link between two processes: a TCP proxy that can corrupt, delay, stall, drop or disconnect the traffic. */
 import { createConnection, createServer, type Server, type Socket } from 'node:net'
 
 /**
- * What the link does to what passes. `deaf` and `mute` swallow what goes to the target and what comes from it, and `delay` holds
- * each piece for a while.
+ * How the link treats the traffic. `deaf` drops the data sent to the target and `mute` the data sent by it; `delay` holds each
+ * block of data for a fixed time.
  */
 export type LinkMode = 'pass' | 'corrupt' | 'stall' | 'cut' | 'deaf' | 'mute' | 'delay'
 
-/** Only large pieces are corrupted, in their middle: those are weights. */
+/** Least size in bytes of a block that is corrupted, at its middle byte. Blocks of this size carry weights. */
 const LEAST_CORRUPTED = 16_384
-/** How long each piece is held, in milliseconds. */
 const DELAY = 300
 
-/** Where a piece goes. */
+/** Direction of the traffic. */
 type Direction = 'to-target' | 'from-target'
 
 const swallows: Partial<Record<LinkMode, Direction>> = { deaf: 'to-target', mute: 'from-target' }
 
-/** A link to one address. */
+/** A proxy to one address. */
 export class Link {
-  /** Pieces corrupted so far. */
+  /** Number of blocks corrupted so far. */
   corrupted = 0
-  /** Where callers of the target connect. */
+  /** The address that clients connect to. */
   readonly address: string
   private _mode: LinkMode = 'pass'
   private _corruptions = 0
   private readonly _server: Server
   private readonly _sockets = new Set<Socket>()
-  /** Sockets of which something was swallowed: nothing that follows on them makes sense. */
+  /** Sockets from which data was dropped. They are closed at the next change of mode, since the rest of their stream is unusable. */
   private readonly _incomplete = new Set<Socket>()
 
   /**
-   * @param _host The address of both ends.
+   * @param _host The address of the proxy and of the target.
    */
   constructor (private readonly _port: number, private readonly _target: number, private readonly _host = '127.0.0.1') {
     this.address = `${_host}:${_port}`
@@ -56,9 +55,9 @@
   }
 
   /**
-   * Changes what the link does.
+   * Sets the mode of the link.
    *
-   * @param corruptions How many pieces to corrupt before passing again.
+   * @param corruptions How many blocks to corrupt before the link forwards data unchanged again.
    */
   set (mode: LinkMode, corruptions = Infinity): void {
     this._mode = mode
--- a/packages/stand-ins/src/lib/model-engine.ts
+++ b/packages/stand-ins/src/lib/model-engine.ts
@@ -4,9 +4,9 @@
  * SPDX-License-Identifier: BSD-3-Clause
  */
 /**
- * Stand-in for a model engine: staging memory, fenced loads, and streamed answers in the chat-completions form. Each
- * token depends on the version, the prompt and its place, so that a caller can tell a whole answer of one version from
- * a cut or mixed one.
+ * Stand-in for a model engine: staging memory, fenced loads, and streamed answers in the chat-completions format. Each
+ * token depends on the version, the prompt and its index, so that a caller can distinguish a complete answer of one
+ * version from one that is truncated or mixes versions.
  */
 import type { IncomingMessage, ServerResponse } from 'node:http'
 import { setTimeout as pause } from 'node:timers/promises'
@@ -14,19 +14,19 @@
 import { digestOf } from 'drumdrift'
 import { HttpService, readAll, sendJson } from './http-service.js'
 
-/** Times of an engine, in milliseconds. */
+/** Latencies of an engine, in milliseconds. */
 export interface EngineTimes {
   readonly load: number
   readonly firstToken: number
-  /** Saved on the first token when the prompt's start was seen lately. */
+  /** Time to the first token when the prefix of the prompt is cached. */
   readonly cachedFirstToken: number
   readonly betweenTokens: number
   readonly reportLag: number
 }
 
-/** What happened at an engine, for the oracles. */
+/** What an engine recorded, for the oracles. */
 export interface EngineJournal {
-  /** `at` is when the load ended, in milliseconds since 1970. */
+  /** `whole` tells whether all staged chunks were complete; `at` is the end of the load, in milliseconds since 1970. */
   readonly loads: { readonly manifest: string, readonly fence: number, readonly whole: boolean, readonly at: number }[]
   partialLoads: number
   staleFences: number
@@ -37,7 +37,7 @@
   readonly runs: Record<string, number>
 }
 
-/** The usual times. */
+/** Default latencies. */
 export const defaultEngineTimes: EngineTimes = { load: 300, firstToken: 40, cachedFirstToken: 15, betweenTokens: 8, reportLag: 300 }
 
 const PREFIX_CHARACTERS = 200
@@ -45,7 +45,7 @@
 const DEFAULT_TOKENS = 16
 
 /**
- * One token of an answer.
+ * Returns one token of an answer.
  *
  * @example
  * tokenOf(versionDigest, 'Draft a plan', 0) // 'w1f3a '
@@ -54,17 +54,17 @@
   return `w${(hash32(`${version} ${prompt} ${index}`) & 0xffff).toString(16)} `
 }
 
-/** The whole text that an engine of a version answers. */
+/** Returns the complete text that an engine with a version answers. */
 export function expectedText (version: string, prompt: string, tokens: number): string {
   return Array.from({ length: tokens }, (_, index) => tokenOf(version, prompt, index)).join('')
 }
 
-/** A model engine. */
+/** A model engine on loopback. */
 export class ModelEngine extends HttpService {
   readonly journal: EngineJournal = { loads: [], partialLoads: 0, staleFences: 0, answers: 0, cancelled: 0, prefixHits: 0, prefixMisses: 0, runs: {} }
-  /** The next loads that fail, though the version is whole. */
+  /** How many of the next loads fail although the version is complete. */
   failLoads = 0
-  /** Answers are held while frozen. */
+  /** While true, no answer makes progress. */
   frozen = false
   private readonly _chunks = new Map<string, Buffer>()
   private readonly _manifests = new Map<string, Buffer>()
@@ -80,7 +80,7 @@
     super(100_000)
   }
 
-  /** The version that is served. */
+  /** Digest of the version that the engine serves. */
   get version (): string { return this._version }
 
   protected override async answer (request: IncomingMessage, response: ServerResponse): Promise<void> {
@@ -114,7 +114,7 @@
     else response.end(bytes)
   }
 
-  /** A new agent takes over with a fence above every earlier one. */
+  /** Accepts a new agent if its fence is above every earlier one. */
   private async _takeOver (request: IncomingMessage, response: ServerResponse): Promise<void> {
     const { fence } = JSON.parse((await readAll(request)).toString()) as { fence: number }
     const taken = fence > this._fence
@@ -144,7 +144,7 @@
     this._loading = ''
   }
 
-  /** The engine's own look at what it was told to load, for the oracle. */
+  /** Returns whether all of a version is staged and matches its digests, for the oracle. */
   private async _isWhole (manifestDigest: string): Promise<boolean> {
     const bytes = this._manifests.get(manifestDigest)
     if (bytes === undefined || await digestOf(bytes) !== manifestDigest) return false
@@ -232,7 +232,7 @@
     return cached ? this._times.cachedFirstToken : this._times.firstToken
   }
 
-  /** Reports of load come late. */
+  /** Changes the number of running requests. The reported number follows after the lag of load reports. */
   private _run (change: number): void {
     this._running += change
     const reported = this._running
--- a/packages/stand-ins/src/lib/plain-service.ts
+++ b/packages/stand-ins/src/lib/plain-service.ts
@@ -3,18 +3,18 @@
  * Copyright 2026 the drumdrift contributors
  * SPDX-License-Identifier: BSD-3-Clause
  */
-/** Stand-in for a plain service: it counts how often each request id ran. */
+/** Stand-in for a plain service that counts the runs of each request id. */
 import type { IncomingMessage, ServerResponse } from 'node:http'
 import { setTimeout as pause } from 'node:timers/promises'
 import { HttpService, readAll, sendJson } from './http-service.js'
 
-/** A plain service. */
+/** A plain service on loopback. */
 export class PlainService extends HttpService {
-  /** How often each request id ran here. */
+  /** Number of runs by request id. */
   readonly runs: Record<string, number> = {}
 
   /**
-   * @param _duration Milliseconds that each call takes.
+   * @param _duration Processing time of each request, in milliseconds.
    */
   constructor (private readonly _duration = 20) {
     super(100_000)
--- a/packages/stand-ins/src/lib/ports.ts
+++ b/packages/stand-ins/src/lib/ports.ts
@@ -3,12 +3,12 @@
  * Copyright 2026 the drumdrift contributors
  * SPDX-License-Identifier: BSD-3-Clause
  */
-/** Free ports on loopback, for processes whose settings name a port before they listen. */
+/** Finds free ports on loopback, for processes whose settings contain a port before they listen. */
 import { createServer } from 'node:net'
 
 /**
- * Ports are taken below the range from which systems draw the ports of outgoing connections (32768 and up on Linux):
- * one drawn from that range could be given to a connection between the search and the use of it.
+ * Ports are below the ephemeral range (32768 and up on Linux): a port of that range could be assigned to an outgoing
+ * connection between the search for it and its use.
  */
 const FIRST_PORT = 12_000
 const PORTS_PER_PROCESS = 40
@@ -17,7 +17,7 @@
 let next = 0
 
 /**
- * Finds free ports, all different, also from those that it found earlier in this process.
+ * Finds free ports. A process gets no port twice, also not from separate calls.
  *
  * @example
  * const [first, second] = await freePorts(2)
@@ -31,7 +31,7 @@
   return ports
 }
 
-/** Processes with neighbouring identifiers begin in different blocks, so that tests that run together do not meet. */
+/** Processes with consecutive process ids start in different blocks, so that concurrent tests do not collide. */
 function nextCandidate (): number {
   const offset = (process.pid % PORT_BLOCKS) * PORTS_PER_PROCESS + next
   next += 1
--- a/packages/stand-ins/src/lib/published-service.ts
+++ b/packages/stand-ins/src/lib/published-service.ts
@@ -3,9 +3,7 @@
  * Copyright 2026 the drumdrift contributors
  * SPDX-License-Identifier: BSD-3-Clause
  */
-/**
- * Stand-in for the platform's configuration service and instance list: documents with revisions, read or watched.
- */
+/** Stand-in for the platform's configuration service and instance list: documents with revisions, for reads and long polls. */
 import type { IncomingMessage, ServerResponse } from 'node:http'
 import type { Published, Topic } from '@drumdrift/core'
 import { HttpService, sendJson } from './http-service.js'
@@ -18,21 +16,21 @@
 
 const LONGEST_WAIT = 30_000
 
-/** One published topic. */
+/** Serves one published topic. */
 export class PublishedService extends HttpService {
-  /** When each revision was published, by the clock of `performance`. */
+  /** Publication time of each revision, in milliseconds of `performance.now()`. */
   readonly publishedAt = new Map<number, number>()
   private readonly _history: Published[] = []
   private readonly _watches = new Set<Watch>()
 
   /**
-   * @param lag Milliseconds between publishing and showing.
+   * @param lag Milliseconds between the publication of a revision and its visibility to readers.
    */
   constructor (private readonly _topic: Topic, private readonly _source: string, callsPerSecond?: number, private readonly _lag = 0) {
     super(callsPerSecond)
   }
 
-  /** The newest revision published. */
+  /** The newest visible revision; 0 before the first. */
   get revision (): number { return this._history.at(-1)?.revision ?? 0 }
 
   /**
@@ -66,7 +64,7 @@
     else response.writeHead(304).end()
   }
 
-  /** A stale service shows its first revision. */
+  /** The document that readers get: the first revision if the service is stale, otherwise the newest. */
   private _shown (): Published | undefined {
     return this.behaviour === 'stale' ? this._history[0] : this._history.at(-1)
   }
--- a/packages/stand-ins/src/lib/seeded-random.ts
+++ b/packages/stand-ins/src/lib/seeded-random.ts
@@ -3,12 +3,12 @@
  * Copyright 2026 the drumdrift contributors
  * SPDX-License-Identifier: BSD-3-Clause
  */
-/** Random numbers that a seed repeats. */
+/** Reproducible random numbers from a seed. */
 import { uniformFloat64 } from 'pure-rand/distribution/uniformFloat64'
 import { xoroshiro128plus } from 'pure-rand/generator/xoroshiro128plus'
 
 /**
- * A generator of numbers in [0, 1), the same for one seed everywhere.
+ * Returns a generator of numbers in [0, 1). The sequence depends on the seed alone.
  *
  * @example
  * const random = seededRandom(7)
--- a/packages/stand-ins/src/lib/shared-link.ts
+++ b/packages/stand-ins/src/lib/shared-link.ts
@@ -4,14 +4,13 @@
  * SPDX-License-Identifier: BSD-3-Clause
  */
 /**
- * Stand-in for a link that many connections share, as that between two regions: what any of them sends waits in one queue,
- * which is carried at a fixed rate. What was sent is carried also when nobody waits for it any more.
+ * Stand-in for a link that many connections share, such as one between two regions: the data of all connections passes
+ * through one queue that is drained at a fixed rate. Queued data uses the link even if its receiver has disconnected.
  */
 import { createConnection, createServer, type Server, type Socket } from 'node:net'
 
-/** Bytes of one connection that may wait in the queue: a usual window of a connection. */
+/** Bytes of one connection that may be queued before its source is paused: a usual TCP window. */
 const WINDOW = 64 * 1024
-/** Milliseconds between two looks at the queue. */
 const TICK = 5
 
 interface Queued {
@@ -20,9 +19,9 @@
   readonly to: Socket
 }
 
-/** A shared link to one address. Only the way back from that address is narrow, since that is where bulk comes from. */
+/** A proxy to one address. Only data from that address is rate limited, since bulk data comes from there. */
 export class SharedLink {
-  /** Bytes that the link has carried back. */
+  /** Bytes forwarded from the target. */
   carried = 0
   private readonly _server: Server
   private readonly _sockets = new Set<Socket>()
@@ -33,8 +32,8 @@
   private _lookedAt = performance.now()
 
   /**
-   * @param _target The port on loopback that it leads to.
-   * @param _rate Bytes in a millisecond.
+   * @param _target The target port on loopback.
+   * @param _rate Bytes per millisecond.
    * @example
    * const link = new SharedLink(storePort, 1_000)
    * await link.listen(0)
--- a/packages/stand-ins/src/lib/users-platform/caller.ts
+++ b/packages/stand-ins/src/lib/users-platform/caller.ts
@@ -3,33 +3,34 @@
  * Copyright 2026 the drumdrift contributors
  * SPDX-License-Identifier: BSD-3-Clause
  */
-/** Stands in for one of the users' callers. */
+/** Stand-in for a caller on the users' platform. */
 import { request as openRequest, type Agent, type IncomingHttpHeaders, type IncomingMessage } from 'node:http'
 
-/** An answer as a caller sees it. */
+/** A response as received by a caller. */
 export interface SeenAnswer {
-  /** 0 when the connection ended without a head. */
+  /** 0 if the connection ended before a response head. */
   readonly status: number
   readonly headers: IncomingHttpHeaders
   readonly body: string
+  /** Whether the response was complete. */
   readonly whole: boolean
-  /** Whether the connection had carried a request before. */
+  /** Whether the connection was used for an earlier request. */
   readonly reused: boolean
 }
 
-/** What a caller sends. */
+/** A request of a caller. */
 export interface Asked {
   readonly path: string
   readonly method?: string
   readonly body?: string
   readonly headers?: Record<string, string>
-  /** Keeps connections; a connection for each request without. */
+  /** Keeps connections alive. Without it, each request opens a connection. */
   readonly agent?: Agent | undefined
-  /** Hangs up when it is aborted. */
+  /** Closes the connection when aborted. */
   readonly signal?: AbortSignal
 }
 
-/** A request of one of the kinds that `movingConfiguration` has a route for. */
+/** A request of a kind that `movingConfiguration` has a route for. */
 export interface Call {
   readonly id: string
   readonly kind: CallKind
@@ -38,10 +39,10 @@
   readonly signal: AbortSignal
 }
 
-/** Kinds of requests: those that may be repeated or not, streams, and those whose route moves between services. */
+/** Kinds of requests: repeatable, not repeatable, streamed, and those whose route moves between services. */
 export type CallKind = 'safe' | 'unsafe' | 'stream' | 'moving'
 
-/** What the head of a kind says besides. */
+/** Additional headers by kind. */
 const headersOf: Partial<Record<CallKind, Record<string, string>>> = { stream: { 'x-model': 'm', 'x-token-usage': '100,30' } }
 
 /** Sends one request of a kind. */
@@ -49,15 +50,15 @@
   return await ask(address, { path: `/${kind}/${id}`, agent, signal, headers: { 'x-attempt-id': id, 'x-credential': key, ...headersOf[kind] } })
 }
 
-/** Asks an entry whether it takes new callers, as the platform does. */
+/** Checks whether an entry accepts new callers, with the readiness request of the platform. */
 export async function isReady (readinessAddress: string, signal: AbortSignal): Promise<boolean> {
   return (await ask(readinessAddress, { path: '/api/ready', method: 'GET', body: '', signal })).status === 200
 }
 
-/** The worker that signed an answer; nothing where none did. */
+/** Returns the id of the worker that signed a response; `undefined` if it is not signed. */
 export function signerOf ({ headers }: SeenAnswer): string | undefined { return /^seal-of-(.*)$/.exec(String(headers['x-server-seal']))?.[1] }
 
-/** Sends one request as a caller, and collects what comes. */
+/** Sends one request and collects the response. Resolves also if the request fails. */
 export function ask (address: string, { path, method = 'POST', body = 'question', headers = {}, agent, signal }: Asked): Promise<SeenAnswer> {
   const [host, port] = address.split(':')
   const all = { host: 'halls.example', 'x-attempt-id': 'attempt-1', 'x-credential': 'key-1', 'x-deadline-ms': '3000', 'content-length': String(Buffer.byteLength(body)), ...headers }
--- a/packages/stand-ins/src/lib/users-platform/configuration.ts
+++ b/packages/stand-ins/src/lib/users-platform/configuration.ts
@@ -3,17 +3,16 @@
  * Copyright 2026 the drumdrift contributors
  * SPDX-License-Identifier: BSD-3-Clause
  */
-/** What the users' operators write for a small deployment. */
+/** Configuration of a small deployment, in the format of the users' platform. */
 import { PIECE_BYTES, PIECES } from './weights-origin.js'
 
-/** The link of the origin, in megabits a second. */
 const ORIGIN_MEGABITS = 10
 
 const engine = {
   slots: 16, stride: 5, step_ms: 9, per_seq_ms: 0.02, context_per_k: 0.03, read_per_s: 20_000, chunk: 2_048, usual: { prompt: 900, answer: 90 }, models: [{ name: 'm', warmS: 0.3 }], layers: 16, chunks: 4, chunkBytes: 8
 }
 
-/** The operators' configuration of the small deployment. */
+/** Returns the configuration of the small deployment. Fields of `part` override the defaults. */
 export function wireConfiguration (version: number, part: Record<string, unknown> = {}): Record<string, unknown> {
   const route = { host: 'halls.example', timeoutMs: 2_000, targetLatencyMs: 400, priority: 1, maxAttempts: 2, public: false, sticky: false, resumable: false }
   return {
@@ -35,18 +34,18 @@
   }
 }
 
-/** What differs between configurations of `movingConfiguration`. */
+/** Parameters of `movingConfiguration`. */
 export interface MovingPart {
   readonly version: number
-  /** The service that the route `moving` leads to: `desk` or `archive`. */
+  /** Target service of the route `moving`: `desk` or `archive`. */
   readonly movingTo: string
-  /** What callers may prove themselves with. */
+  /** API keys that callers may use. */
   readonly keys: readonly string[]
-  /** The address that weights come from. */
+  /** Address of the origin of weights. */
   readonly origin: string
 }
 
-/** The same with a route that moves between two services, and an origin of weights. */
+/** Returns the configuration with an additional route that moves between two services, and with an origin of weights. */
 export function movingConfiguration ({ version, movingTo, keys, origin }: MovingPart): Record<string, unknown> {
   const whole = wireConfiguration(version, { tenants: [{ name: 'branch', apiKeys: keys }] })
   const routes = whole.routes as Record<string, unknown>[]
--- a/packages/stand-ins/src/lib/users-platform/key-value-store.ts
+++ b/packages/stand-ins/src/lib/users-platform/key-value-store.ts
@@ -3,13 +3,11 @@
  * Copyright 2026 the drumdrift contributors
  * SPDX-License-Identifier: BSD-3-Clause
  */
-/**
- * Stands in for the users' store: items with revisions, reads by prefix in pages, watches that wait, and its faults.
- */
+/** Stand-in for the users' store: items with revisions, paginated reads by prefix, watches by long polling, and faults. */
 import type { IncomingMessage, ServerResponse } from 'node:http'
 import { HttpService, sendJson } from '../http-service.js'
 
-/** One change, as the store tells it. */
+/** A change, as the store sends it. */
 interface StoreEvent {
   readonly key: string
   readonly revision: number
@@ -24,27 +22,27 @@
   readonly timer: NodeJS.Timeout
 }
 
-/** Everything that the store holds at one moment. */
+/** A snapshot of the store. */
 interface StoreCopy {
   readonly items: readonly StoreEvent[]
   readonly history: readonly StoreEvent[]
   readonly revision: number
 }
 
-/** What the store does with calls, besides `behaviour`: answer, turn away, or hear and say nothing. */
+/** How the store treats requests, in addition to `behaviour`: answers, refuses with 503, or reads them and never answers. */
 export type StoreMode = 'answers' | 'turns-away' | 'silent'
 
 /** The store on loopback. */
 export class KeyValueStoreStandIn extends HttpService {
   mode: StoreMode = 'answers'
-  /** Items in one page of a read. */
+  /** Maximum number of items in one page of a read. */
   pageSize = 500
-  /** Names the store's epoch in all its answers; nothing where it tells none. */
+  /** Epoch that all responses carry; `undefined` to send none. */
   epoch: number | undefined = 1
   private _onPage: (page: number) => void = () => {}
   private _pages = 0
   private _items = new Map<string, StoreEvent>()
-  /** What readings get that may be old; the same as others without. */
+  /** Result of reads that allow stale data; `undefined` if they get current data. */
   private _old: StoreCopy | undefined
   private _copy: StoreCopy | undefined
   private _history: StoreEvent[] = []
@@ -52,13 +50,13 @@
   private _forgottenUpTo = 0
   private readonly _waiting = new Set<Waiting>()
 
-  /** Writes a document, as operators and workers do. Returns its revision. */
+  /** Writes a document and returns its revision. */
   put (key: string, document: unknown): number {
     const value = Buffer.from(JSON.stringify(document)).toString('base64')
     return this._change({ key, revision: ++this._revision, value })
   }
 
-  /** Has something done after each page of a reading, by how many there were since. */
+  /** Calls a function after each page of a read, with the number of pages since this call. */
   eachPage (run: (page: number) => void): void {
     this._onPage = run
     this._pages = 0
@@ -68,26 +66,26 @@
     return this._change({ key, revision: ++this._revision, removed: true })
   }
 
-  /** Writes the operators' configuration. */
+  /** Writes the configuration. */
   putConfiguration (document: unknown): number { return this.put('op/config', document) }
 
-  /** Names a version of a model. */
+  /** Publishes the desired version of a model. */
   putVersion (model: string, version: number): number { return this.put(`op/version/${model}`, { model, version }) }
 
-  /** Writes what a worker says of itself. */
+  /** Writes the record of a worker. */
   putWorker (id: string, entry: unknown): number { return this.put(`servers/${id}`, entry) }
 
   removeWorker (id: string): number { return this.remove(`servers/${id}`) }
 
-  /** From now on readings that may be old get what is here now. */
+  /** Freezes the result of reads that allow stale data at the current contents. */
   keepOld (): void { this._old = this._copyOfAll() }
 
-  /** Makes the copy that the store may be restored from. */
+  /** Takes the snapshot that `restore` uses. */
   makeCopy (): void { this._copy = this._copyOfAll() }
 
-  /** Goes back to the copy, in the next epoch: what was written since is gone, and its revisions are given out again. */
+  /** Restores the snapshot in the next epoch: later writes are lost and their revisions are assigned again. */
   restore (): void {
-    if (this._copy === undefined) throw new Error('there is no copy')
+    if (this._copy === undefined) throw new Error('no snapshot was taken')
     const { items, history, revision } = this._copy
     this._items = new Map(items.map(item => [item.key, item]))
     this._history = [...history]
@@ -96,7 +94,7 @@
     this._cutWatches()
   }
 
-  /** Forgets its history and cuts all watches. */
+  /** Discards the history and closes all watches. */
   compact (): void {
     this._forgottenUpTo = this._revision
     this._history = []
--- a/packages/stand-ins/src/lib/users-platform/weights-origin.ts
+++ b/packages/stand-ins/src/lib/users-platform/weights-origin.ts
@@ -3,26 +3,26 @@
  * Copyright 2026 the drumdrift contributors
  * SPDX-License-Identifier: BSD-3-Clause
  */
-/** Stands in for the service that weights come from: manifests and pieces of any version of the model `m`. */
+/** Stand-in for the origin of weights: serves the manifest and pieces of any version of the model `m`. */
 import { createHash } from 'node:crypto'
 import type { IncomingMessage, ServerResponse } from 'node:http'
 import { HttpService, sendJson } from '../http-service.js'
 
-/** The pieces of one version, and the bytes of each. */
+/** Number of pieces of a version, and the size of each. */
 export const PIECES = 8
 export const PIECE_BYTES = 4_096
 
-/** The digest by which the users name a piece of weights. */
+/** Returns the digest that identifies a piece of weights. */
 function pieceDigest (bytes: Buffer): string {
   return createHash('sha256').update(bytes).digest('hex')
 }
 
-/** A piece of a version. */
+/** Returns a piece of a version. */
 export function pieceOf (version: number, index: number): Buffer {
   return Buffer.alloc(PIECE_BYTES, `piece ${index} of version ${version}; `)
 }
 
-/** The origin on loopback. */
+/** The origin of weights, on loopback. */
 export class WeightsOriginStandIn extends HttpService {
   protected answer (request: IncomingMessage, response: ServerResponse): void {
     const url = new URL(request.url ?? '/', 'http://origin')
--- a/packages/stand-ins/src/lib/users-platform/worker.ts
+++ b/packages/stand-ins/src/lib/users-platform/worker.ts
@@ -4,73 +4,73 @@
  * SPDX-License-Identifier: BSD-3-Clause
  */
 /**
- * Stands in for one of the users' workers: answers with its signature, or misbehaves in one of the ways that their
- * pages tell of; holds staged pieces and takes orders.
+ * Stand-in for a worker of the users' platform: signs its answers or fails in one of the documented ways, stores staged
+ * pieces and accepts orders to switch versions.
  */
 import type { IncomingMessage, ServerResponse } from 'node:http'
 import { HttpService, readAll, sendJson } from '../http-service.js'
 import { pieceOf, PIECES } from './weights-origin.js'
 
-/** What the worker does with a request. */
+/** How the worker treats a request. */
 export type WorkerMode =
   | 'whole' | 'error' | 'sheds' | 'wrong-instance' | 'wrong-version' | 'cut' | 'cut-in-event' | 'reset-unanswered' | 'mute'
   | 'unsigned' | 'of-another-request' | 'unframed' | 'late-error'
-  /** A stream is cut after some events, and one that is to go on elsewhere gets an answer that is no stream. */
+  /** Cuts a new stream after some events, and answers a request that resumes a stream with something other than a stream. */
   | 'cut-then-error' | 'cut-then-denied' | 'cut-then-plain' | 'cut-then-not-signed'
 
-/** A request that reached the worker. */
+/** A request that the worker received. */
 export interface Arrival {
   readonly id: string
   readonly method: string
   readonly path: string
   readonly headers: IncomingMessage['headers']
   readonly body: string
-  /** When it came, by the clock of `performance`. */
+  /** Time of receipt, in milliseconds of `performance.now()`. */
   readonly at: number
-  /** Whether the worker began to run it. */
+  /** Whether the worker started to run it. */
   readonly ran: boolean
-  /** The version of the worker's weights then. */
+  /** Version of the worker's weights at that time. */
   readonly version: number
 }
 
-/** A version that a worker took over. */
+/** A version that a worker switched to. */
 export interface VersionTaken {
   readonly version: number
-  /** Whether every piece of it lay in the staging memory, unspoilt. */
+  /** Whether every piece was in the staging memory, uncorrupted. */
   readonly whole: boolean
 }
 
 const turningAway: ReadonlySet<WorkerMode> = new Set(['sheds', 'wrong-instance', 'wrong-version'])
-/** Events of a stream. */
+/** Number of events of a complete stream. */
 export const EVENTS = 6
-/** Events that come before a stream is cut. */
+/** Number of events sent before a stream is cut. */
 const EVENTS_BEFORE_CUT = 3
 const EVENT_PAUSE = 5
-/** A worker that fails at its deadline does so after this, in milliseconds. */
+/** Delay of the failure in the mode `late-error`, in milliseconds. */
 const LATE_ERROR_TIME = 500
-/** A worker ends so long after it has begun what it ends under, in milliseconds. */
+/** Time from the start of a request that crashes the worker until the crash, in milliseconds. */
 const TIME_TO_END = 10
 
 type ModeHandler = (worker: UsersWorkerStandIn, request: IncomingMessage, response: ServerResponse) => void
 
-/** A worker on loopback. */
+/** A worker, on loopback by default. */
 export class UsersWorkerStandIn extends HttpService {
   mode: WorkerMode = 'whole'
-  /** Requests of callers, in the order they came. */
+  /** Requests of callers, in order of receipt. */
   readonly arrivals: Arrival[] = []
-  /** Connections that were closed by the other side before the answer was over. */
+  /** Number of responses whose connection closed before they were complete. */
   abandoned = 0
   /** Milliseconds between the events of a stream. */
   eventPause = EVENT_PAUSE
-  /** The worker ends, and all that runs on it, as soon as it begins a request with this body; nothing for none. */
+  /** The worker crashes, with all its running requests, when it starts a request with this body; `undefined` for never. */
   endsUnder: string | undefined
-  /** Requests a second that it says it takes from all entries together, in each answer; nothing for none. */
+  /** Limit in requests per second over all entries, announced in each response; `undefined` to announce none. */
   limit: number | undefined
-  /** Whether it says in each answer that it leaves. */
+  /** Whether each response announces that the worker is leaving. */
   leaving = false
-  /** Seconds for which it wants nothing from a caller that it turns away; nothing where it does not say. */
+  /** Value of `retry-after` in refusals, in seconds; `undefined` to send none. */
   rest: number | undefined
-  /** Whether it has ended so. */
+  /** Whether the worker has crashed on a request. */
   ended = false
   version = 1
   running = 0
@@ -81,12 +81,12 @@
   private _written = 0
 
   /**
-   * @param id Names this start of the worker.
-   * @param model The model that it serves; empty for a plain service.
+   * @param id Identifies this start of the worker.
+   * @param model The model that the worker serves; empty for a plain service.
    */
   constructor (readonly id: string, readonly model = '') { super() }
 
-  /** What the worker writes of itself in the store now. */
+  /** Returns the current record of the worker for the store. */
   entry (service: string, zone: string, state = 'ready'): unknown {
     this._written += 1
     const models = this.model === '' || this.version === 0 ? [] : [{ name: this.model, version: this.version, adapters: [] }]
@@ -107,7 +107,7 @@
     modeHandlers[this.mode](this, request, response)
   }
 
-  /** The head that each answer has: the echo of the request's name, and the worker's signature. */
+  /** Returns the headers of each answer: the echoed request id and the worker's signature. */
   head (request: IncomingMessage): Record<string, string> {
     return { 'x-attempt-id': String(request.headers['x-attempt-id']), 'x-server-seal': `seal-of-${this.id}` }
   }
@@ -164,10 +164,10 @@
   }, worker.eventPause)
 }
 
-/** Streams answer model requests; everything else is answered with a body of known length. */
+/** Model requests are answered with a stream, others with a body of known length. */
 function streams (request: IncomingMessage): boolean { return request.headers['x-model'] !== undefined }
 
-/** Cuts a stream that begins; one that goes on gets another kind of answer. */
+/** Cuts a new stream and handles a request that resumes one with another handler. */
 function cutThen (resumed: ModeHandler): ModeHandler {
   return (worker, request, response) => {
     const handler = request.headers['last-event-id'] === undefined ? modeHandlers.cut : resumed
--- a/packages/stand-ins/src/lib/weight-source.ts
+++ b/packages/stand-ins/src/lib/weight-source.ts
@@ -3,7 +3,7 @@
  * Copyright 2026 the drumdrift contributors
  * SPDX-License-Identifier: BSD-3-Clause
  */
-/** Stand-in for the weight store and the origin: weights behind a limited link, with a count of bytes read. */
+/** Stand-in for the weight store and the origin: serves weights over a rate-limited link and counts the bytes. */
 import type { IncomingMessage, ServerResponse } from 'node:http'
 import { setTimeout as pause } from 'node:timers/promises'
 import { TokenBucket } from '@drumdrift/core'
@@ -13,9 +13,9 @@
 const SLICE = 65_536
 const BURST_SECONDS = 0.02
 
-/** A source of weights. */
+/** Serves manifests and chunks of weights. */
 export class WeightSource extends HttpService {
-  /** Bytes of chunks that left. */
+  /** Bytes of chunks sent. */
   bytes = 0
   private readonly _chunks = new Map<string, Buffer>()
   private readonly _manifests = new Map<string, Buffer>()
@@ -23,7 +23,7 @@
   private _turn: Promise<void> = Promise.resolve()
 
   /**
-   * @param bytesPerSecond The rate of its link.
+   * @param bytesPerSecond Rate limit of the link, shared by all responses.
    */
   constructor (bytesPerSecond: number, callsPerSecond?: number) {
     super(callsPerSecond)
@@ -51,7 +51,7 @@
     await this._send(bytes, response)
   }
 
-  /** Answers share the link one after the other. */
+  /** Sends one response after the other. */
   private async _send (bytes: Buffer, response: ServerResponse): Promise<void> {
     const before = this._turn
     let done = (): void => {}
--- a/packages/stand-ins/src/lib/weights.ts
+++ b/packages/stand-ins/src/lib/weights.ts
@@ -3,12 +3,12 @@
  * Copyright 2026 the drumdrift contributors
  * SPDX-License-Identifier: BSD-3-Clause
  */
-/** Generated weights: chunks of pseudo-random bytes from a seed, and their manifests. */
+/** Generates weights: chunks of pseudo-random bytes from a seed, with their manifests. */
 import { createHash } from 'node:crypto'
 import { digestOfText } from 'drumdrift'
 import type { Manifest } from '@drumdrift/core'
 
-/** One generated version. */
+/** A generated version. */
 export interface GeneratedVersion {
   readonly digest: string
   readonly manifest: Manifest
@@ -17,9 +17,9 @@
 }
 
 /**
- * Generates a version.
+ * Generates a version of a model.
  *
- * @param shared The share of chunks, 0 to 1, that is the same for all versions of one seed.
+ * @param options `shared` is the share of chunks, 0 to 1, that all versions of one seed have in common.
  * @example
  * generateVersion({ model: 'chat', version: 'v1', chunks: 128, chunkBytes: 262_144, seed: 7 })
  */
--- a/packages/stand-ins/src/test/lib/link_test.ts
+++ b/packages/stand-ins/src/test/lib/link_test.ts
@@ -13,7 +13,7 @@
   let server: Server
   let link: Link
   let near: Socket
-  /** What the target and the caller heard. */
+  /** Data received by the target and by the caller. */
   let heard: { target: string, caller: string }
 
   beforeEach(async () => {
@@ -44,14 +44,14 @@
     assert.ok(holds(), JSON.stringify(heard))
   }
 
-  it('passes both ways', async () => {
+  it('forwards data in both directions', async () => {
     near.write('a')
     await until(() => heard.caller === 'a')
   })
 
   const swallowing: [mode: LinkMode, target: string][] = [['deaf', 'a'], ['mute', 'ab']]
   for (const [mode, target] of swallowing) {
-    it(`swallows one way when it is ${mode}, and closes what lacks something when it passes again`, async () => {
+    it(`drops data of one direction in mode ${mode}, and closes the incomplete connection in mode pass`, async () => {
       near.write('a')
       await until(() => heard.caller === 'a')
       link.set(mode)
@@ -64,7 +64,7 @@
     })
   }
 
-  it('keeps the order of what it delays and what follows', async () => {
+  it('keeps the order of delayed data and data sent after the delay ended', async () => {
     link.set('delay')
     near.write('a')
     await new Promise(resolve => setTimeout(resolve, 60))
--- a/packages/stand-ins/src/test/lib/ports_test.ts
+++ b/packages/stand-ins/src/test/lib/ports_test.ts
@@ -8,11 +8,11 @@
 import { describe, it } from 'node:test'
 import { freePorts } from '../../lib/ports.js'
 
-/** The least port that Linux gives to outgoing connections by default. */
+/** Start of the default ephemeral port range of Linux. */
 const LEAST_DRAWN_PORT = 32_768
 
 describe('freePorts', () => {
-  it('finds ports that no outgoing connection can be given', async () => {
+  it('finds ports below the ephemeral range', async () => {
     const ports = await freePorts(30)
     assert.ok(ports.every(port => port < LEAST_DRAWN_PORT), `${ports}`)
   })
@@ -22,7 +22,7 @@
     assert.equal(new Set(ports).size, ports.length)
   })
 
-  it('passes over a port that is taken', async () => {
+  it('skips a port that is in use', async () => {
     const [first = 0] = await freePorts(1)
     const holder = createServer()
     await new Promise<void>(resolve => holder.listen(first + 1, '127.0.0.1', () => resolve()))
