--- a/packages/soak/src/lib/promises.ts
+++ b/packages/soak/src/lib/promises.ts
@@ -4,7 +4,7 @@
  * SPDX-License-Identifier: BSD-3-Clause
  */
 /** The promises that a soak judges, each by what callers, endpoints and the store saw. */
-import { EVENTS, signerOf } from '@drumdrift/stand-ins'
+import { EVENTS_PER_STREAM, signerOf } from '@drumdrift/stand-ins'
 import { SETTLE_TIME, isDisturbed, isSettled, type CallRecord, type ConfigurationWrite, type EndpointArrival, type Journal } from './journal.js'
 
 /** A broken promise. */
@@ -167,7 +167,7 @@
   if (!arrivals.some(({ ran, endpoint }) => ran && endpoint === signer)) return `it is signed by ${signer}, which did not run it`
   if (kind !== 'stream') return answer.body === `answer of ${signer}` ? undefined : `the body "${answer.body.slice(0, 40)}" is not of ${signer}, which signed it`
   const ids = [...answer.body.matchAll(/^id: (\d+)$/gm)].map(([, id]) => Number(id))
-  const isWhole = ids.length === EVENTS && ids.every((id, index) => id === index + 1)
+  const isWhole = ids.length === EVENTS_PER_STREAM && ids.every((id, index) => id === index + 1)
   return isWhole ? undefined : `its events are ${ids.join(',')}`
 }
 
--- a/packages/stand-ins/src/endpoint-host.ts
+++ b/packages/stand-ins/src/endpoint-host.ts
@@ -11,7 +11,7 @@
 const engines = new Map<number, ModelEngine>()
 const plains = new Map<number, PlainService>()
 
-async function carryOut (order: HostOrder): Promise<HostReply> {
+async function execute (order: HostOrder): Promise<HostReply> {
   if (order.type === 'engine') {
     const engine = new ModelEngine(order.times)
     engines.set(order.port, engine)
@@ -42,6 +42,6 @@
 }
 
 process.on('message', (order: HostOrder) => {
-  carryOut(order).then(reply => process.send?.(reply))
+  execute(order).then(reply => process.send?.(reply))
 })
 process.on('disconnect', () => process.exit(0))
--- a/packages/stand-ins/src/lib/endpoint-host-client.ts
+++ b/packages/stand-ins/src/lib/endpoint-host-client.ts
@@ -13,14 +13,14 @@
 /** Client of one process that hosts endpoint stand-ins. */
 export class EndpointHost {
   private readonly _child: ChildProcess
-  private readonly _waiting = new Map<number, (reply: HostReply) => void>()
+  private readonly _pending = new Map<number, (reply: HostReply) => void>()
   private _nextId = 1
 
   constructor () {
     this._child = fork(fileURLToPath(new URL('../endpoint-host.js', import.meta.url)), { stdio: ['ignore', 'inherit', 'inherit', 'ipc'] })
     this._child.on('message', (reply: HostReply) => {
-      this._waiting.get(reply.id)?.(reply)
-      this._waiting.delete(reply.id)
+      this._pending.get(reply.id)?.(reply)
+      this._pending.delete(reply.id)
     })
   }
 
@@ -35,7 +35,7 @@
   order (order: WithoutId<HostOrder>): Promise<HostReply> {
     const id = this._nextId++
     return new Promise(resolve => {
-      this._waiting.set(id, resolve)
+      this._pending.set(id, resolve)
       this._child.send({ ...order, id })
     })
   }
--- a/packages/stand-ins/src/lib/http-service.ts
+++ b/packages/stand-ins/src/lib/http-service.ts
@@ -11,8 +11,8 @@
 /** Simulated condition of a stand-in. */
 export type Behaviour = 'normal' | 'down' | 'slow' | 'stale'
 
-const SLOW_DELAY = 1_000
-const LOOPBACK = '127.0.0.1'
+const SLOW_DELAY_MILLISECONDS = 1_000
+const LOOPBACK_ADDRESS = '127.0.0.1'
 
 /** An HTTP stand-in, on loopback by default. */
 export abstract class HttpService {
@@ -27,11 +27,11 @@
    */
   constructor (callsPerSecond = 2_000) {
     this._bucket = new TokenBucket(callsPerSecond, callsPerSecond, performance.now())
-    this._server = createServer((request, response) => { this._take(request, response) })
+    this._server = createServer((request, response) => { this._handle(request, response) })
     this._server.keepAliveTimeout = 30_000
   }
 
-  listen (port: number, host = LOOPBACK): Promise<void> {
+  listen (port: number, host = LOOPBACK_ADDRESS): Promise<void> {
     return new Promise((resolve, reject) => {
       this._server.once('error', reject)
       this._server.listen(port, host, () => resolve())
@@ -50,22 +50,22 @@
   }
 
   /** Sets the headers that all responses have in common. */
-  protected mark (_response: ServerResponse): void {}
+  protected setCommonHeaders (_response: ServerResponse): void {}
 
   protected abstract answer (request: IncomingMessage, response: ServerResponse): void | Promise<void>
 
-  private _take (request: IncomingMessage, response: ServerResponse): void {
+  private _handle (request: IncomingMessage, response: ServerResponse): void {
     this.calls += 1
     if (this.behaviour === 'down') {
       request.socket.destroy()
       return
     }
-    this.mark(response)
+    this.setCommonHeaders(response)
     if (!this._bucket.trySpend(1, performance.now())) {
       response.writeHead(429).end()
       return
     }
-    const delay = this.behaviour === 'slow' ? SLOW_DELAY : 0
+    const delay = this.behaviour === 'slow' ? SLOW_DELAY_MILLISECONDS : 0
     setTimeout(() => { this._answer(request, response) }, delay)
   }
 
@@ -81,9 +81,9 @@
 
 /** Reads the whole body of a request. */
 export async function readAll (request: IncomingMessage): Promise<Buffer> {
-  const pieces: Buffer[] = []
-  for await (const piece of request) pieces.push(piece as Buffer)
-  return Buffer.concat(pieces)
+  const chunks: Buffer[] = []
+  for await (const chunk of request) chunks.push(chunk as Buffer)
+  return Buffer.concat(chunks)
 }
 
 /** Sends a JSON response. */
--- a/packages/stand-ins/src/lib/link.ts
+++ b/packages/stand-ins/src/lib/link.ts
@@ -13,13 +13,13 @@
 export type LinkMode = 'pass' | 'corrupt' | 'stall' | 'cut' | 'deaf' | 'mute' | 'delay'
 
 /** Least size in bytes of a block that is corrupted, at its middle byte. Blocks of this size carry weights. */
-const LEAST_CORRUPTED = 16_384
-const DELAY = 300
+const MIN_CORRUPTED_BYTES = 16_384
+const DELAY_MILLISECONDS = 300
 
 /** Direction of the traffic. */
 type Direction = 'to-target' | 'from-target'
 
-const swallows: Partial<Record<LinkMode, Direction>> = { deaf: 'to-target', mute: 'from-target' }
+const droppedDirections: Partial<Record<LinkMode, Direction>> = { deaf: 'to-target', mute: 'from-target' }
 
 /** A proxy to one address. */
 export class Link {
@@ -28,7 +28,7 @@
   /** The address that clients connect to. */
   readonly address: string
   private _mode: LinkMode = 'pass'
-  private _corruptions = 0
+  private _remainingCorruptions = 0
   private readonly _server: Server
   private readonly _sockets = new Set<Socket>()
   /** Sockets from which data was dropped. They are closed at the next change of mode, since the rest of their stream is unusable. */
@@ -39,7 +39,7 @@
    */
   constructor (private readonly _port: number, private readonly _target: number, private readonly _host = '127.0.0.1') {
     this.address = `${_host}:${_port}`
-    this._server = createServer(socket => this._join(socket))
+    this._server = createServer(socket => this._accept(socket))
   }
 
   listen (): Promise<void> {
@@ -61,7 +61,7 @@
    */
   set (mode: LinkMode, corruptions = Infinity): void {
     this._mode = mode
-    this._corruptions = corruptions
+    this._remainingCorruptions = corruptions
     for (const socket of this._sockets) {
       if (mode === 'cut' || this._incomplete.has(socket)) socket.destroy()
       else if (mode === 'stall') socket.pause()
@@ -69,7 +69,7 @@
     }
   }
 
-  private _join (near: Socket): void {
+  private _accept (near: Socket): void {
     if (this._mode === 'cut') {
       near.destroy()
       return
@@ -80,19 +80,19 @@
   }
 
   private _forward (from: Socket, to: Socket, direction: Direction): void {
-    let held = 0
+    let delayed = 0
     const inOrder = (run: () => void): void => {
-      if (this._mode !== 'delay' && held === 0) return run()
-      held += 1
+      if (this._mode !== 'delay' && delayed === 0) return run()
+      delayed += 1
       setTimeout(() => {
-        held -= 1
+        delayed -= 1
         run()
-      }, DELAY)
+      }, DELAY_MILLISECONDS)
     }
     this._sockets.add(from)
     from.on('data', bytes => {
-      if (swallows[this._mode] === direction) this._incomplete.add(from)
-      else inOrder(() => { if (to.writable && !to.write(this._spoil(bytes)) && this._mode !== 'stall') from.pause() })
+      if (droppedDirections[this._mode] === direction) this._incomplete.add(from)
+      else inOrder(() => { if (to.writable && !to.write(this._corruptBlock(bytes)) && this._mode !== 'stall') from.pause() })
     })
     to.on('drain', () => { if (this._mode !== 'stall') from.resume() })
     from.on('error', () => from.destroy())
@@ -104,13 +104,13 @@
     if (this._mode === 'stall') from.pause()
   }
 
-  private _spoil (bytes: Buffer): Buffer {
-    if (this._mode !== 'corrupt' || bytes.length < LEAST_CORRUPTED || this._corruptions <= 0) return bytes
-    this._corruptions -= 1
+  private _corruptBlock (bytes: Buffer): Buffer {
+    if (this._mode !== 'corrupt' || bytes.length < MIN_CORRUPTED_BYTES || this._remainingCorruptions <= 0) return bytes
+    this._remainingCorruptions -= 1
     this.corrupted += 1
-    const spoiled = Buffer.from(bytes)
-    const middle = spoiled.length >> 1
-    spoiled[middle] = (spoiled[middle] ?? 0) ^ 0xff
-    return spoiled
+    const result = Buffer.from(bytes)
+    const middle = result.length >> 1
+    result[middle] = (result[middle] ?? 0) ^ 0xff
+    return result
   }
 }
--- a/packages/stand-ins/src/lib/model-engine.ts
+++ b/packages/stand-ins/src/lib/model-engine.ts
@@ -74,7 +74,7 @@
   private _failed = ''
   private _fence = 0
   private _running = 0
-  private _reported = 0
+  private _reportedRunning = 0
 
   constructor (private readonly _times: EngineTimes = defaultEngineTimes) {
     super(100_000)
@@ -97,18 +97,18 @@
   }
 
   private _state (response: ServerResponse): void {
-    sendJson(response, { version: this._version, loading: this._loading, failed: this._failed, fence: this._fence, running: this._reported })
+    sendJson(response, { version: this._version, loading: this._loading, failed: this._failed, fence: this._fence, running: this._reportedRunning })
   }
 
-  private async _staging (request: IncomingMessage, response: ServerResponse, held: Map<string, Buffer>, digest: string, fence: number): Promise<void> {
+  private async _staging (request: IncomingMessage, response: ServerResponse, staged: Map<string, Buffer>, digest: string, fence: number): Promise<void> {
     if (request.method === 'DELETE' && fence < this._fence) {
       this.journal.staleFences += 1
       response.writeHead(409).end()
       return
     }
-    if (request.method === 'PUT') held.set(digest, await readAll(request))
-    if (request.method === 'DELETE') held.delete(digest)
-    const bytes = held.get(digest)
+    if (request.method === 'PUT') staged.set(digest, await readAll(request))
+    if (request.method === 'DELETE') staged.delete(digest)
+    const bytes = staged.get(digest)
     if (request.method !== 'GET') response.writeHead(204).end()
     else if (bytes === undefined) response.writeHead(404).end()
     else response.end(bytes)
@@ -117,10 +117,10 @@
   /** Accepts a new agent if its fence is above every earlier one. */
   private async _takeOver (request: IncomingMessage, response: ServerResponse): Promise<void> {
     const { fence } = JSON.parse((await readAll(request)).toString()) as { fence: number }
-    const taken = fence > this._fence
-    if (taken) this._fence = fence
+    const accepted = fence > this._fence
+    if (accepted) this._fence = fence
     else this.journal.staleFences += 1
-    response.writeHead(taken ? 204 : 409).end()
+    response.writeHead(accepted ? 204 : 409).end()
   }
 
   private async _load (request: IncomingMessage, response: ServerResponse): Promise<void> {
@@ -134,18 +134,18 @@
     this._loading = manifest
     this._failed = ''
     response.writeHead(202).end()
-    const whole = await this._isWhole(manifest)
-    if (!whole) this.journal.partialLoads += 1
+    const complete = await this._isComplete(manifest)
+    if (!complete) this.journal.partialLoads += 1
     await pause(this._times.load)
-    this.journal.loads.push({ manifest, fence, whole, at: Date.now() })
-    if (whole && this.failLoads === 0) this._version = manifest
+    this.journal.loads.push({ manifest, fence, whole: complete, at: Date.now() })
+    if (complete && this.failLoads === 0) this._version = manifest
     else this._failed = manifest
     this.failLoads = Math.max(0, this.failLoads - 1)
     this._loading = ''
   }
 
   /** Returns whether all of a version is staged and matches its digests, for the oracle. */
-  private async _isWhole (manifestDigest: string): Promise<boolean> {
+  private async _isComplete (manifestDigest: string): Promise<boolean> {
     const bytes = this._manifests.get(manifestDigest)
     if (bytes === undefined || await digestOf(bytes) !== manifestDigest) return false
     const checked = checkManifest(JSON.parse(bytes.toString()), Number.MAX_SAFE_INTEGER)
@@ -175,16 +175,16 @@
     const prompt = body.messages.at(-1)?.content ?? ''
     const tokens = body.max_tokens ?? DEFAULT_TOKENS
     const resumeAfter = Number(request.headers['x-resume-after'] ?? 0)
-    this._run(1)
+    this._changeRunning(1)
     try {
-      await this._whileThawed()
+      await this._untilThawed()
       await pause(this._firstTokenTime(prompt))
       const answer = { id, model: body.model, version, prompt, tokens, resumeAfter }
-      const whole = body.stream === true ? await this._stream(answer, response) : await this._whole(answer, response)
-      if (whole) this.journal.answers += 1
+      const complete = body.stream === true ? await this._stream(answer, response) : await this._completion(answer, response)
+      if (complete) this.journal.answers += 1
       else this.journal.cancelled += 1
     } finally {
-      this._run(-1)
+      this._changeRunning(-1)
     }
   }
 
@@ -196,7 +196,7 @@
       if (response.destroyed) return false
       send({ ...common, choices: [{ index: 0, delta: { role: 'assistant', content: tokenOf(answer.version, answer.prompt, index) }, finish_reason: null }] })
       await pause(this._times.betweenTokens)
-      await this._whileThawed()
+      await this._untilThawed()
     }
     if (answer.resumeAfter <= answer.tokens) send({ ...common, choices: [{ index: 0, delta: {}, finish_reason: 'stop' }] })
     send('[DONE]')
@@ -204,9 +204,9 @@
     return !response.destroyed
   }
 
-  private async _whole (answer: Answer, response: ServerResponse): Promise<boolean> {
+  private async _completion (answer: Answer, response: ServerResponse): Promise<boolean> {
     await pause(this._times.betweenTokens * answer.tokens)
-    await this._whileThawed()
+    await this._untilThawed()
     if (response.destroyed) return false
     response.setHeader('x-model-version', answer.version)
     sendJson(response, {
@@ -233,13 +233,13 @@
   }
 
   /** Changes the number of running requests. The reported number follows after the lag of load reports. */
-  private _run (change: number): void {
+  private _changeRunning (change: number): void {
     this._running += change
     const reported = this._running
-    setTimeout(() => { this._reported = reported }, this._times.reportLag)
+    setTimeout(() => { this._reportedRunning = reported }, this._times.reportLag)
   }
 
-  private async _whileThawed (): Promise<void> {
+  private async _untilThawed (): Promise<void> {
     while (this.frozen) await pause(20)
   }
 }
--- a/packages/stand-ins/src/lib/published-service.ts
+++ b/packages/stand-ins/src/lib/published-service.ts
@@ -14,7 +14,7 @@
   readonly timer: NodeJS.Timeout
 }
 
-const LONGEST_WAIT = 30_000
+const MAX_WAIT_MILLISECONDS = 30_000
 
 /** Serves one published topic. */
 export class PublishedService extends HttpService {
@@ -45,7 +45,7 @@
     this.publishedAt.set(revision, performance.now())
     setTimeout(() => {
       this._history.push(published)
-      this._wake()
+      this._notifyWatches()
     }, this._lag)
     return revision
   }
@@ -57,15 +57,15 @@
       return
     }
     const after = Number(url.searchParams.get('after') ?? 0)
-    const wait = Math.min(LONGEST_WAIT, Number(url.searchParams.get('wait') ?? 0))
-    const newest = this._shown()
+    const wait = Math.min(MAX_WAIT_MILLISECONDS, Number(url.searchParams.get('wait') ?? 0))
+    const newest = this._visible()
     if (newest !== undefined && (newest.revision > after || this.behaviour === 'stale')) sendJson(response, newest)
     else if (wait > 0) this._watch(after, wait, response)
     else response.writeHead(304).end()
   }
 
   /** The document that readers get: the first revision if the service is stale, otherwise the newest. */
-  private _shown (): Published | undefined {
+  private _visible (): Published | undefined {
     return this.behaviour === 'stale' ? this._history[0] : this._history.at(-1)
   }
 
@@ -86,9 +86,9 @@
     })
   }
 
-  private _wake (): void {
+  private _notifyWatches (): void {
     if (this.behaviour !== 'normal') return
-    const newest = this._shown()
+    const newest = this._visible()
     for (const watch of this._watches) {
       if (newest === undefined || newest.revision <= watch.after) continue
       clearTimeout(watch.timer)
--- a/packages/stand-ins/src/lib/shared-link.ts
+++ b/packages/stand-ins/src/lib/shared-link.ts
@@ -10,8 +10,8 @@
 import { createConnection, createServer, type Server, type Socket } from 'node:net'
 
 /** Bytes of one connection that may be queued before its source is paused: a usual TCP window. */
-const WINDOW = 64 * 1024
-const TICK = 5
+const WINDOW_BYTES = 64 * 1024
+const TICK_MILLISECONDS = 5
 
 interface Queued {
   readonly bytes: Buffer
@@ -26,10 +26,10 @@
   private readonly _server: Server
   private readonly _sockets = new Set<Socket>()
   private readonly _queue: Queued[] = []
-  private readonly _waiting = new Map<Socket, number>()
+  private readonly _queuedBytes = new Map<Socket, number>()
   private readonly _timer: NodeJS.Timeout
   private _budget = 0
-  private _lookedAt = performance.now()
+  private _lastTickAt = performance.now()
 
   /**
    * @param _target The target port on loopback.
@@ -39,8 +39,8 @@
    * await link.listen(0)
    */
   constructor (private readonly _target: number, private readonly _rate: number) {
-    this._server = createServer(socket => this._join(socket))
-    this._timer = setInterval(() => this._carry(), TICK)
+    this._server = createServer(socket => this._accept(socket))
+    this._timer = setInterval(() => this._drainQueue(), TICK_MILLISECONDS)
   }
 
   listen (port: number): Promise<void> {
@@ -56,7 +56,7 @@
     for (const socket of this._sockets) socket.destroy()
   }
 
-  private _join (near: Socket): void {
+  private _accept (near: Socket): void {
     const far = createConnection({ host: '127.0.0.1', port: this._target })
     for (const socket of [near, far]) {
       this._sockets.add(socket)
@@ -65,22 +65,22 @@
     }
     near.on('data', bytes => { far.write(bytes) })
     near.on('close', () => far.destroy())
-    far.on('data', bytes => this._take({ bytes, from: far, to: near }))
-    far.on('close', () => { if (!this._waiting.has(far)) near.destroy() })
+    far.on('data', bytes => this._enqueue({ bytes, from: far, to: near }))
+    far.on('close', () => { if (!this._queuedBytes.has(far)) near.destroy() })
   }
 
-  private _take (queued: Queued): void {
+  private _enqueue (queued: Queued): void {
     const { bytes, from } = queued
     this._queue.push(queued)
-    const waiting = (this._waiting.get(from) ?? 0) + bytes.length
-    this._waiting.set(from, waiting)
-    if (waiting >= WINDOW) from.pause()
+    const pendingBytes = (this._queuedBytes.get(from) ?? 0) + bytes.length
+    this._queuedBytes.set(from, pendingBytes)
+    if (pendingBytes >= WINDOW_BYTES) from.pause()
   }
 
-  private _carry (): void {
+  private _drainQueue (): void {
     const now = performance.now()
-    this._budget += (now - this._lookedAt) * this._rate
-    this._lookedAt = now
+    this._budget += (now - this._lastTickAt) * this._rate
+    this._lastTickAt = now
     while (this._budget > 0) {
       const next = this._queue.shift()
       if (next === undefined) {
@@ -95,10 +95,10 @@
     this._budget -= bytes.length
     this.carried += bytes.length
     if (!to.destroyed) to.write(bytes)
-    const waiting = (this._waiting.get(from) ?? 0) - bytes.length
-    if (waiting > 0) this._waiting.set(from, waiting)
-    else this._waiting.delete(from)
-    if (waiting < WINDOW) from.resume()
-    if (from.destroyed && waiting <= 0) to.destroy()
+    const pendingBytes = (this._queuedBytes.get(from) ?? 0) - bytes.length
+    if (pendingBytes > 0) this._queuedBytes.set(from, pendingBytes)
+    else this._queuedBytes.delete(from)
+    if (pendingBytes < WINDOW_BYTES) from.resume()
+    if (from.destroyed && pendingBytes <= 0) to.destroy()
   }
 }
--- a/packages/stand-ins/src/lib/users-platform/caller.ts
+++ b/packages/stand-ins/src/lib/users-platform/caller.ts
@@ -71,9 +71,9 @@
 
 function collect (response: IncomingMessage, reused: boolean, resolve: (answer: SeenAnswer) => void): void {
   let body = ''
-  const seen = (whole: boolean): void => resolve({ status: response.statusCode ?? 0, headers: response.headers, body, whole, reused })
+  const finish = (whole: boolean): void => resolve({ status: response.statusCode ?? 0, headers: response.headers, body, whole, reused })
   response.on('data', (bytes: Buffer) => { body += bytes.toString('utf8') })
-  response.on('end', () => seen(response.complete))
-  response.on('error', () => seen(false))
-  response.on('aborted', () => seen(false))
+  response.on('end', () => finish(response.complete))
+  response.on('error', () => finish(false))
+  response.on('aborted', () => finish(false))
 }
--- a/packages/stand-ins/src/lib/users-platform/configuration.ts
+++ b/packages/stand-ins/src/lib/users-platform/configuration.ts
@@ -6,7 +6,7 @@
 /** Configuration of a small deployment, in the format of the users' platform. */
 import { PIECE_BYTES, PIECES } from './weights-origin.js'
 
-const ORIGIN_MEGABITS = 10
+const ORIGIN_MEGABITS_PER_SECOND = 10
 
 const engine = {
   slots: 16, stride: 5, step_ms: 9, per_seq_ms: 0.02, context_per_k: 0.03, read_per_s: 20_000, chunk: 2_048, usual: { prompt: 900, answer: 90 }, models: [{ name: 'm', warmS: 0.3 }], layers: 16, chunks: 4, chunkBytes: 8
@@ -35,7 +35,7 @@
 }
 
 /** Parameters of `movingConfiguration`. */
-export interface MovingPart {
+export interface MovingOptions {
   readonly version: number
   /** Target service of the route `moving`: `desk` or `archive`. */
   readonly movingTo: string
@@ -46,15 +46,15 @@
 }
 
 /** Returns the configuration with an additional route that moves between two services, and with an origin of weights. */
-export function movingConfiguration ({ version, movingTo, keys, origin }: MovingPart): Record<string, unknown> {
-  const whole = wireConfiguration(version, { tenants: [{ name: 'branch', apiKeys: keys }] })
-  const routes = whole.routes as Record<string, unknown>[]
-  const [desk, pool] = whole.services as Record<string, unknown>[]
+export function movingConfiguration ({ version, movingTo, keys, origin }: MovingOptions): Record<string, unknown> {
+  const base = wireConfiguration(version, { tenants: [{ name: 'branch', apiKeys: keys }] })
+  const routes = base.routes as Record<string, unknown>[]
+  const [desk, pool] = base.services as Record<string, unknown>[]
   const services = [
     desk,
     { ...desk, name: 'archive' },
     { ...pool, engine: { ...engine, chunks: PIECES, chunkBytes: PIECE_BYTES } },
-    { name: 'weights', origin, zone: 'koshi', linkMbps: ORIGIN_MEGABITS, maxConns: 48 }
+    { name: 'weights', origin, zone: 'koshi', linkMbps: ORIGIN_MEGABITS_PER_SECOND, maxConns: 48 }
   ]
-  return { ...whole, routes: [...routes, { ...routes[0], name: 'moving', pathPrefix: '/moving/', service: movingTo }], services }
+  return { ...base, routes: [...routes, { ...routes[0], name: 'moving', pathPrefix: '/moving/', service: movingTo }], services }
 }
--- a/packages/stand-ins/src/lib/users-platform/key-value-store.ts
+++ b/packages/stand-ins/src/lib/users-platform/key-value-store.ts
@@ -15,7 +15,7 @@
   readonly removed?: true
 }
 
-interface Waiting {
+interface PendingWatch {
   readonly prefix: string
   readonly after: number
   readonly response: ServerResponse
@@ -23,7 +23,7 @@
 }
 
 /** A snapshot of the store. */
-interface StoreCopy {
+interface StoreSnapshot {
   readonly items: readonly StoreEvent[]
   readonly history: readonly StoreEvent[]
   readonly revision: number
@@ -39,31 +39,31 @@
   pageSize = 500
   /** Epoch that all responses carry; `undefined` to send none. */
   epoch: number | undefined = 1
-  private _onPage: (page: number) => void = () => {}
+  private _pageListener: (page: number) => void = () => {}
   private _pages = 0
   private _items = new Map<string, StoreEvent>()
   /** Result of reads that allow stale data; `undefined` if they get current data. */
-  private _old: StoreCopy | undefined
-  private _copy: StoreCopy | undefined
+  private _staleSnapshot: StoreSnapshot | undefined
+  private _savedSnapshot: StoreSnapshot | undefined
   private _history: StoreEvent[] = []
   private _revision = 1
-  private _forgottenUpTo = 0
-  private readonly _waiting = new Set<Waiting>()
+  private _compactedRevision = 0
+  private readonly _pendingWatches = new Set<PendingWatch>()
 
   /** Writes a document and returns its revision. */
   put (key: string, document: unknown): number {
     const value = Buffer.from(JSON.stringify(document)).toString('base64')
-    return this._change({ key, revision: ++this._revision, value })
+    return this._applyChange({ key, revision: ++this._revision, value })
   }
 
   /** Calls a function after each page of a read, with the number of pages since this call. */
   eachPage (run: (page: number) => void): void {
-    this._onPage = run
+    this._pageListener = run
     this._pages = 0
   }
 
   remove (key: string): number {
-    return this._change({ key, revision: ++this._revision, removed: true })
+    return this._applyChange({ key, revision: ++this._revision, removed: true })
   }
 
   /** Writes the configuration. */
@@ -78,45 +78,45 @@
   removeWorker (id: string): number { return this.remove(`servers/${id}`) }
 
   /** Freezes the result of reads that allow stale data at the current contents. */
-  keepOld (): void { this._old = this._copyOfAll() }
+  keepOld (): void { this._staleSnapshot = this._currentSnapshot() }
 
   /** Takes the snapshot that `restore` uses. */
-  makeCopy (): void { this._copy = this._copyOfAll() }
+  makeCopy (): void { this._savedSnapshot = this._currentSnapshot() }
 
   /** Restores the snapshot in the next epoch: later writes are lost and their revisions are assigned again. */
   restore (): void {
-    if (this._copy === undefined) throw new Error('no snapshot was taken')
-    const { items, history, revision } = this._copy
+    if (this._savedSnapshot === undefined) throw new Error('no snapshot was taken')
+    const { items, history, revision } = this._savedSnapshot
     this._items = new Map(items.map(item => [item.key, item]))
     this._history = [...history]
     this._revision = revision
     this.epoch = (this.epoch ?? 0) + 1
-    this._cutWatches()
+    this._closeWatches()
   }
 
   /** Discards the history and closes all watches. */
   compact (): void {
-    this._forgottenUpTo = this._revision
+    this._compactedRevision = this._revision
     this._history = []
-    this._cutWatches()
+    this._closeWatches()
   }
 
-  private _copyOfAll (): StoreCopy { return { items: [...this._items.values()], history: [...this._history], revision: this._revision } }
+  private _currentSnapshot (): StoreSnapshot { return { items: [...this._items.values()], history: [...this._history], revision: this._revision } }
 
-  private _cutWatches (): void {
-    for (const waiting of this._waiting) {
+  private _closeWatches (): void {
+    for (const waiting of this._pendingWatches) {
       clearTimeout(waiting.timer)
       waiting.response.destroy()
     }
-    this._waiting.clear()
+    this._pendingWatches.clear()
   }
 
   override close (): void {
-    for (const { timer } of this._waiting) clearTimeout(timer)
+    for (const { timer } of this._pendingWatches) clearTimeout(timer)
     super.close()
   }
 
-  protected override mark (response: ServerResponse): void {
+  protected override setCommonHeaders (response: ServerResponse): void {
     if (this.epoch !== undefined) response.setHeader('store-era', String(this.epoch))
   }
 
@@ -125,49 +125,49 @@
     if (this.mode === 'turns-away') return sendJson(response, {}, 503)
     const url = new URL(request.url ?? '/', 'http://store')
     const prefix = url.searchParams.get('pathPrefix') ?? ''
-    const old = url.searchParams.get('allowStale') === '1' ? this._old : undefined
+    const old = url.searchParams.get('allowStale') === '1' ? this._staleSnapshot : undefined
     if (url.pathname === '/api/kv-range') this._range(old ?? { items: [...this._items.values()], revision: this._revision }, prefix, url.searchParams.get('sinceRev') ?? '', response)
     else if (url.pathname === '/api/kv-watch') this._watch(prefix, Number(url.searchParams.get('sinceRev')), Number(url.searchParams.get('waitMs')), response)
     else sendJson(response, {}, 404)
   }
 
-  private _range (held: Pick<StoreCopy, 'items' | 'revision'>, prefix: string, afterKey: string, response: ServerResponse): void {
+  private _range (held: Pick<StoreSnapshot, 'items' | 'revision'>, prefix: string, afterKey: string, response: ServerResponse): void {
     const items = held.items.filter(({ key }) => key.startsWith(prefix) && key > afterKey).sort((left, right) => left.key < right.key ? -1 : 1)
     sendJson(response, { items: items.slice(0, this.pageSize), truncated: items.length > this.pageSize, storeRevision: held.revision })
-    this._onPage(++this._pages)
+    this._pageListener(++this._pages)
   }
 
   private _watch (prefix: string, after: number, wait: number, response: ServerResponse): void {
-    if (after < this._forgottenUpTo || after > this._revision) return sendJson(response, {}, 410)
-    if (this._tell(prefix, after, response)) return
-    const waiting: Waiting = {
+    if (after < this._compactedRevision || after > this._revision) return sendJson(response, {}, 410)
+    if (this._sendEvents(prefix, after, response)) return
+    const waiting: PendingWatch = {
       prefix,
       after,
       response,
       timer: setTimeout(() => {
-        this._waiting.delete(waiting)
+        this._pendingWatches.delete(waiting)
         sendJson(response, { events: [], storeRevision: this._revision })
       }, wait)
     }
-    this._waiting.add(waiting)
+    this._pendingWatches.add(waiting)
   }
 
-  private _tell (prefix: string, after: number, response: ServerResponse): boolean {
+  private _sendEvents (prefix: string, after: number, response: ServerResponse): boolean {
     const events = this._history.filter(event => event.key.startsWith(prefix) && event.revision > after)
     if (events.length === 0) return false
     sendJson(response, { events, storeRevision: this._revision })
     return true
   }
 
-  private _change (event: StoreEvent): number {
+  private _applyChange (event: StoreEvent): number {
     if (event.removed === true) this._items.delete(event.key)
     else this._items.set(event.key, event)
     this._history.push(event)
     if (this.mode === 'silent') return event.revision
-    for (const waiting of this._waiting) {
-      if (!this._tell(waiting.prefix, waiting.after, waiting.response)) continue
+    for (const waiting of this._pendingWatches) {
+      if (!this._sendEvents(waiting.prefix, waiting.after, waiting.response)) continue
       clearTimeout(waiting.timer)
-      this._waiting.delete(waiting)
+      this._pendingWatches.delete(waiting)
     }
     return event.revision
   }
--- a/packages/stand-ins/src/lib/users-platform/worker.ts
+++ b/packages/stand-ins/src/lib/users-platform/worker.ts
@@ -34,22 +34,22 @@
 }
 
 /** A version that a worker switched to. */
-export interface VersionTaken {
+export interface VersionSwitch {
   readonly version: number
   /** Whether every piece was in the staging memory, uncorrupted. */
   readonly whole: boolean
 }
 
-const turningAway: ReadonlySet<WorkerMode> = new Set(['sheds', 'wrong-instance', 'wrong-version'])
+const refusingModes: ReadonlySet<WorkerMode> = new Set(['sheds', 'wrong-instance', 'wrong-version'])
 /** Number of events of a complete stream. */
-export const EVENTS = 6
+export const EVENTS_PER_STREAM = 6
 /** Number of events sent before a stream is cut. */
 const EVENTS_BEFORE_CUT = 3
-const EVENT_PAUSE = 5
+const EVENT_PAUSE_MILLISECONDS = 5
 /** Delay of the failure in the mode `late-error`, in milliseconds. */
-const LATE_ERROR_TIME = 500
+const LATE_ERROR_MILLISECONDS = 500
 /** Time from the start of a request that crashes the worker until the crash, in milliseconds. */
-const TIME_TO_END = 10
+const CRASH_DELAY_MILLISECONDS = 10
 
 type ModeHandler = (worker: UsersWorkerStandIn, request: IncomingMessage, response: ServerResponse) => void
 
@@ -61,7 +61,7 @@
   /** Number of responses whose connection closed before they were complete. */
   abandoned = 0
   /** Milliseconds between the events of a stream. */
-  eventPause = EVENT_PAUSE
+  eventPause = EVENT_PAUSE_MILLISECONDS
   /** The worker crashes, with all its running requests, when it starts a request with this body; `undefined` for never. */
   endsUnder: string | undefined
   /** Limit in requests per second over all entries, announced in each response; `undefined` to announce none. */
@@ -76,9 +76,9 @@
   running = 0
   busy = false
   readonly orders: unknown[] = []
-  readonly versionsTaken: VersionTaken[] = []
+  readonly versionSwitches: VersionSwitch[] = []
   readonly staged = new Map<number, Buffer>()
-  private _written = 0
+  private _recordSequence = 0
 
   /**
    * @param id Identifies this start of the worker.
@@ -88,9 +88,9 @@
 
   /** Returns the current record of the worker for the store. */
   entry (service: string, zone: string, state = 'ready'): unknown {
-    this._written += 1
+    this._recordSequence += 1
     const models = this.model === '' || this.version === 0 ? [] : [{ name: this.model, version: this.version, adapters: [] }]
-    return { service, address: this.address, zone, version: 'v1', slots: 16, state, coldRemainingMs: 0, stage: 'both', models, seq: this._written }
+    return { service, address: this.address, zone, version: 'v1', slots: 16, state, coldRemainingMs: 0, stage: 'both', models, seq: this._recordSequence }
   }
 
   protected async answer (request: IncomingMessage, response: ServerResponse): Promise<void> {
@@ -99,11 +99,11 @@
     if (url.pathname.startsWith('/api/stage-')) return await this._stage(url, request, response)
     if (url.pathname === '/api/order') return await this._order(request, response)
     const body = (await readAll(request)).toString('utf8')
-    this.arrivals.push({ id: String(request.headers['x-attempt-id']), method: request.method ?? '', path: request.url ?? '', headers: request.headers, body, at: performance.now(), ran: !turningAway.has(this.mode), version: this.version })
+    this.arrivals.push({ id: String(request.headers['x-attempt-id']), method: request.method ?? '', path: request.url ?? '', headers: request.headers, body, at: performance.now(), ran: !refusingModes.has(this.mode), version: this.version })
     response.on('close', () => { if (!response.writableFinished) this.abandoned += 1 })
     if (this.limit !== undefined) response.setHeader('server-limit', String(this.limit))
     if (this.leaving) response.setHeader('server-leaving', '1')
-    if (body === this.endsUnder) return this._end(request, response)
+    if (body === this.endsUnder) return this._crash(request, response)
     modeHandlers[this.mode](this, request, response)
   }
 
@@ -112,12 +112,12 @@
     return { 'x-attempt-id': String(request.headers['x-attempt-id']), 'x-server-seal': `seal-of-${this.id}` }
   }
 
-  private _end (request: IncomingMessage, response: ServerResponse): void {
+  private _crash (request: IncomingMessage, response: ServerResponse): void {
     response.writeHead(200, { ...this.head(request), 'content-type': 'text/event-stream' }).flushHeaders()
     setTimeout(() => {
       this.ended = true
       this.close()
-    }, TIME_TO_END)
+    }, CRASH_DELAY_MILLISECONDS)
   }
 
   private _report (response: ServerResponse): void {
@@ -137,7 +137,7 @@
     else response.writeHead(200).end(piece)
   }
 
-  private _holdsWhole (version: number): boolean {
+  private _hasAllPieces (version: number): boolean {
     return Array.from({ length: PIECES }, (_, index) => index).every(index => this.staged.get(index)?.equals(pieceOf(version, index)) === true)
   }
 
@@ -145,7 +145,7 @@
     const order = JSON.parse((await readAll(request)).toString('utf8')) as { version: number }
     this.orders.push(order)
     this.version = order.version
-    this.versionsTaken.push({ version: order.version, whole: this._holdsWhole(order.version) })
+    this.versionSwitches.push({ version: order.version, whole: this._hasAllPieces(order.version) })
     sendJson(response, {}, 202)
   }
 }
@@ -165,10 +165,10 @@
 }
 
 /** Model requests are answered with a stream, others with a body of known length. */
-function streams (request: IncomingMessage): boolean { return request.headers['x-model'] !== undefined }
+function isStreamed (request: IncomingMessage): boolean { return request.headers['x-model'] !== undefined }
 
 /** Cuts a new stream and handles a request that resumes one with another handler. */
-function cutThen (resumed: ModeHandler): ModeHandler {
+function cutThenResume (resumed: ModeHandler): ModeHandler {
   return (worker, request, response) => {
     const handler = request.headers['last-event-id'] === undefined ? modeHandlers.cut : resumed
     handler(worker, request, response)
@@ -177,12 +177,12 @@
 
 const modeHandlers: Record<WorkerMode, ModeHandler> = {
   whole: (worker, request, response) => {
-    if (streams(request)) return sendEvents(worker, request, response, EVENTS, () => response.end())
+    if (isStreamed(request)) return sendEvents(worker, request, response, EVENTS_PER_STREAM, () => response.end())
     response.writeHead(200, worker.head(request)).end(`answer of ${worker.id}`)
   },
   error: (worker, request, response) => { response.writeHead(500, worker.head(request)).end('failed') },
   'late-error': (worker, request, response) => {
-    setTimeout(() => response.writeHead(504, worker.head(request)).end('too late'), LATE_ERROR_TIME)
+    setTimeout(() => response.writeHead(504, worker.head(request)).end('too late'), LATE_ERROR_MILLISECONDS)
   },
   sheds: (worker, _request, response) => {
     const rest = worker.rest === undefined ? {} : { 'retry-after': String(worker.rest) }
@@ -191,19 +191,19 @@
   'wrong-instance': (worker, _request, response) => { response.writeHead(421, { 'x-instance-id': worker.id }).end() },
   'wrong-version': (_worker, _request, response) => { response.writeHead(421).end() },
   cut: (worker, request, response) => {
-    if (streams(request)) return sendEvents(worker, request, response, EVENTS_BEFORE_CUT, () => response.destroy())
+    if (isStreamed(request)) return sendEvents(worker, request, response, EVENTS_BEFORE_CUT, () => response.destroy())
     response.writeHead(200, { ...worker.head(request), 'content-length': '100' })
     response.write('half of an answer')
-    setTimeout(() => response.destroy(), EVENT_PAUSE)
+    setTimeout(() => response.destroy(), EVENT_PAUSE_MILLISECONDS)
   },
   'cut-in-event': (worker, request, response) => sendEvents(worker, request, response, EVENTS_BEFORE_CUT, () => {
     response.write('id: 4\ndata: pie')
-    setTimeout(() => response.destroy(), EVENT_PAUSE)
+    setTimeout(() => response.destroy(), EVENT_PAUSE_MILLISECONDS)
   }),
-  'cut-then-error': cutThen((...exchange) => modeHandlers.error(...exchange)),
-  'cut-then-denied': cutThen((worker, request, response) => { response.writeHead(404, worker.head(request)).end('unknown') }),
-  'cut-then-plain': cutThen((worker, request, response) => { response.writeHead(200, worker.head(request)).end('no stream') }),
-  'cut-then-not-signed': cutThen((...exchange) => modeHandlers.unsigned(...exchange)),
+  'cut-then-error': cutThenResume((...exchange) => modeHandlers.error(...exchange)),
+  'cut-then-denied': cutThenResume((worker, request, response) => { response.writeHead(404, worker.head(request)).end('unknown') }),
+  'cut-then-plain': cutThenResume((worker, request, response) => { response.writeHead(200, worker.head(request)).end('no stream') }),
+  'cut-then-not-signed': cutThenResume((...exchange) => modeHandlers.unsigned(...exchange)),
   'reset-unanswered': (_worker, request) => { request.socket.resetAndDestroy() },
   mute: () => {},
   unsigned: (worker, request, response) => {
--- a/packages/stand-ins/src/lib/weight-source.ts
+++ b/packages/stand-ins/src/lib/weight-source.ts
@@ -10,7 +10,7 @@
 import { HttpService } from './http-service.js'
 import type { GeneratedVersion } from './weights.js'
 
-const SLICE = 65_536
+const SLICE_BYTES = 65_536
 const BURST_SECONDS = 0.02
 
 /** Serves manifests and chunks of weights. */
@@ -20,14 +20,14 @@
   private readonly _chunks = new Map<string, Buffer>()
   private readonly _manifests = new Map<string, Buffer>()
   private readonly _link: TokenBucket
-  private _turn: Promise<void> = Promise.resolve()
+  private _lastSend: Promise<void> = Promise.resolve()
 
   /**
    * @param bytesPerSecond Rate limit of the link, shared by all responses.
    */
   constructor (bytesPerSecond: number, callsPerSecond?: number) {
     super(callsPerSecond)
-    this._link = new TokenBucket(bytesPerSecond, Math.max(SLICE, bytesPerSecond * BURST_SECONDS), performance.now())
+    this._link = new TokenBucket(bytesPerSecond, Math.max(SLICE_BYTES, bytesPerSecond * BURST_SECONDS), performance.now())
   }
 
   /** Makes a version available. */
@@ -53,14 +53,14 @@
 
   /** Sends one response after the other. */
   private async _send (bytes: Buffer, response: ServerResponse): Promise<void> {
-    const before = this._turn
+    const before = this._lastSend
     let done = (): void => {}
-    this._turn = new Promise(resolve => { done = resolve })
+    this._lastSend = new Promise(resolve => { done = resolve })
     await before
-    for (let start = 0; start < bytes.length && !response.destroyed; start += SLICE) {
+    for (let start = 0; start < bytes.length && !response.destroyed; start += SLICE_BYTES) {
       const wait = this._link.wait(performance.now())
       if (wait > 0) await pause(wait)
-      const slice = bytes.subarray(start, start + SLICE)
+      const slice = bytes.subarray(start, start + SLICE_BYTES)
       this._link.spend(slice.length, performance.now())
       this.bytes += slice.length
       response.write(slice)
--- a/packages/stand-ins/src/lib/weights.ts
+++ b/packages/stand-ins/src/lib/weights.ts
@@ -26,14 +26,14 @@
 export function generateVersion (options: { model: string, version: string, chunks: number, chunkBytes: number, seed: number, shared?: number }): GeneratedVersion {
   const { model, version, chunks: count, chunkBytes, seed, shared = 0 } = options
   const chunks = new Map<string, Buffer>()
-  const listed = Array.from({ length: count }, (_, index) => {
+  const chunkEntries = Array.from({ length: count }, (_, index) => {
     const name = index < count * shared ? 'shared' : version
     const bytes = randomBytesOf(`${seed} ${model} ${name} ${index}`, chunkBytes)
     const digest = digestOfText(bytes)
     chunks.set(digest, bytes)
     return { digest, bytes: chunkBytes }
   })
-  const manifest: Manifest = { model, version, bytes: count * chunkBytes, chunks: listed }
+  const manifest: Manifest = { model, version, bytes: count * chunkBytes, chunks: chunkEntries }
   const manifestBytes = Buffer.from(JSON.stringify(manifest))
   return { digest: digestOfText(manifestBytes), manifest, manifestBytes, chunks }
 }
