--- a/packages/soak/src/index.ts
+++ b/packages/soak/src/index.ts
@@ -4,7 +4,7 @@
  * SPDX-License-Identifier: BSD-3-Clause
  */
 /**
- * A soak of the real programs under faults from outside.
+ * Soak test of the production programs under injected faults.
  *
  * @packageDocumentation
  */
--- a/packages/soak/src/lib/agent-process.ts
+++ b/packages/soak/src/lib/agent-process.ts
@@ -3,18 +3,18 @@
  * Copyright 2026 the drumdrift contributors
  * SPDX-License-Identifier: BSD-3-Clause
  */
-/** The agent beside an engine, as a process of its own. */
+/** The agent of an engine, as a separate process. */
 import { DaemonProcess } from './daemon-process.js'
 import type { EndpointPlan } from './endpoint-starts.js'
 import type { SharedPlan } from './entry-process.js'
 
-/** As in the users' deployment, in megabytes. */
+/** Heap limit in megabytes, as in the users' deployment. */
 const HEAP = 96
 
 /**
- * Prepares the agent of an engine.
+ * Creates the agent of an engine, without starting it.
  *
- * @param storeAddress Where it reads what is published.
+ * @param storeAddress Address of the store that the agent reads.
  * @example
  * const agent = agentProcess(endpoint.plan, store.address, shared)
  */
--- a/packages/soak/src/lib/callers.ts
+++ b/packages/soak/src/lib/callers.ts
@@ -3,7 +3,7 @@
  * Copyright 2026 the drumdrift contributors
  * SPDX-License-Identifier: BSD-3-Clause
  */
-/** Callers of a deployment: some keep a connection as long as it lasts, the others open one for each call. */
+/** Callers of a deployment: some keep a connection open as long as possible, the others open one for each call. */
 import { Agent } from 'node:http'
 import { setTimeout as pause } from 'node:timers/promises'
 import { call, type CallKind } from '@drumdrift/stand-ins'
@@ -11,17 +11,17 @@
 import type { EntryProcess } from './entry-process.js'
 import type { CallRecord } from './journal.js'
 
-/** A caller gives up after this, in milliseconds: later than every time-out of a route. */
+/** Timeout of a call in milliseconds, longer than the timeout of every route. */
 const PATIENCE = 6_000
-/** A caller that keeps its connection asks so often, in milliseconds. */
+/** Pause between two calls on a persistent connection, in milliseconds. */
 const KEPT_PAUSE = 400
-/** The share of calls whose key is of the newest turn, and of the one before. */
+/** Share of calls with the newest rotating key, and equal share with the revoked key before it. */
 const TURN_SHARE = 0.15
 const MILLISECONDS_PER_SECOND = 1_000
 
 const kinds: readonly CallKind[] = ['safe', 'unsafe', 'stream', 'moving']
 
-/** All callers. */
+/** Sends calls to the entries of a deployment and records the results. */
 export class Callers {
   readonly records: CallRecord[] = []
   private _count = 0
@@ -31,9 +31,9 @@
   constructor (private readonly _deployment: Deployment, private readonly _random: () => number) {}
 
   /**
-   * Begins to call.
+   * Starts to send calls.
    *
-   * @param rate Calls a second, of all together.
+   * @param rate Calls per second, of all callers together.
    */
   start (rate: number): void {
     const kept = Math.round(rate / 2 * KEPT_PAUSE / MILLISECONDS_PER_SECOND)
@@ -41,7 +41,7 @@
     this._keep(this._callAnew(2 * MILLISECONDS_PER_SECOND / rate))
   }
 
-  /** Stops calling, and waits until what runs has ended. */
+  /** Sends no more calls and waits for those in flight. */
   async stop (): Promise<void> {
     this._stopped = true
     await Promise.all(this._under)
@@ -61,7 +61,7 @@
     }
   }
 
-  /** Uses one connection until it ends, also when its entry takes no new callers any more. */
+  /** Uses one connection until it closes, also after its entry has stopped accepting new callers. */
   private async _useUp (entry: EntryProcess): Promise<void> {
     const agent = new Agent({ keepAlive: true, maxSockets: 1 })
     let lasts = true
@@ -80,7 +80,7 @@
     }
   }
 
-  /** Returns whether the connection can be used once more. */
+  /** Sends one call. Returns whether its connection can be reused. */
   private async _call (entry: EntryProcess, agent: Agent | undefined): Promise<boolean> {
     this._count += 1
     const kind = kinds[Math.floor(this._random() * kinds.length)] ?? 'safe'
--- a/packages/soak/src/lib/daemon-process.ts
+++ b/packages/soak/src/lib/daemon-process.ts
@@ -3,7 +3,7 @@
  * Copyright 2026 the drumdrift contributors
  * SPDX-License-Identifier: BSD-3-Clause
  */
-/** One process of the product, over all its starts. */
+/** A process of the product that can be started repeatedly. */
 import { spawn, type ChildProcess } from 'node:child_process'
 import { closeSync, openSync, statSync, writeFileSync } from 'node:fs'
 import { createRequire } from 'node:module'
@@ -11,24 +11,24 @@
 
 const PROGRAM = createRequire(import.meta.url).resolve('@drumdrift/platform/main')
 
-/** What a process is started with. */
+/** Parameters of a process. */
 export interface DaemonPlan {
   readonly instance: string
   readonly role: 'route-entry' | 'weights-agent'
   readonly directory: string
-  /** In megabytes, as in the users' deployment. */
+  /** Heap limit in megabytes, as in the users' deployment. */
   readonly heap: number
-  /** In INI. */
+  /** Settings file, in INI format. */
   readonly settings: string
 }
 
-/** One process. */
+/** A process of the product. */
 export class DaemonProcess {
   readonly ends: ProcessEnd[] = []
   private _child: ChildProcess | undefined
   private _asked: ProcessEnd['asked'] = 'nothing'
   private _askedAt = 0
-  /** How much all starts before this one have written, in bytes. */
+  /** Size of the log file when the process was last started, in bytes. */
   private _writtenBefore = 0
   private readonly _settingsFile: string
 
@@ -51,10 +51,10 @@
     child.once('exit', code => { this._ended(code) })
   }
 
-  /** Asks the process to stop, and waits until it has. */
+  /** Sends SIGTERM and waits for the process to exit. */
   async stop (): Promise<void> { await this._end('stop', 'SIGTERM') }
 
-  /** Ends the process at once. */
+  /** Sends SIGKILL and waits for the process to exit. */
   async kill (): Promise<void> { await this._end('kill', 'SIGKILL') }
 
   signal (signal: NodeJS.Signals): void { this._child?.kill(signal) }
--- a/packages/soak/src/lib/deployment.ts
+++ b/packages/soak/src/lib/deployment.ts
@@ -3,7 +3,7 @@
  * Copyright 2026 the drumdrift contributors
  * SPDX-License-Identifier: BSD-3-Clause
  */
-/** A small deployment on loopback: the store, endpoints and callers' configuration in this process, each entry in one of its own. */
+/** A small deployment on loopback: the store, the origin and the endpoints in this process, each entry and agent in a separate one. */
 import { mkdtempSync, rmSync } from 'node:fs'
 import { tmpdir } from 'node:os'
 import { join } from 'node:path'
@@ -19,52 +19,53 @@
 const AVAILABILITY_ZONES = ['koshi', 'bagmati', 'gandaki'] as const
 const ENDPOINTS_OF_SERVICE = 3
 const SERVICES = ['desk', 'archive', 'pool'] as const
-/** The first three parts of the addresses of engines, and the last of the first one. Soaks that run side by side share no address. */
+/** First three octets of the engines' addresses. They depend on the process id so that concurrent soaks share no address. */
 const ownNetwork = `127.${1 + (process.pid >> 8) % 254}.${process.pid & 255}`
+/** Last octet of the address of the first engine. */
 const FIRST_ENGINE = 11
-/** Entries that read the store for the others, one in each zone where there are enough. */
+/** Number of entries that read the store for the others, one in each availability zone if there are enough entries. */
 const RELAYS = 3
 const LOOK_PAUSE = 500
-/** More than the processes of a soak ask of a stand-in. */
+/** Rate limit of the stand-ins, above the rate that the processes of a soak reach. */
 const CALLS_PER_SECOND = 10_000
 const START_PATIENCE = 30_000
-/** Stops end before the platform would end the process, in milliseconds. */
+/** The stop timeout of a process is this many milliseconds below the grace period, so that it exits before the platform would kill it. */
 const GRACE_RESERVE = 2_000
-/** A key that every configuration knows. */
+/** API key that every configuration allows. */
 export const STEADY_KEY = 'key-steady'
 
-/** The key of a turn: all are revoked but that of the newest. */
+/** Returns a rotating API key. Only the newest is allowed, all earlier ones are revoked. */
 export function keyOfTurn (turn: number): string { return `key-turn-${turn}` }
 
-/** What makes a soak end before it has begun. */
+/** Reason for which a deployment cannot start. */
 export type SoakFailure =
   | { readonly type: 'not-ready', readonly detail: string }
   | { readonly type: 'address-taken', readonly detail: string }
 
-/** The deployment. */
+/** Starts, changes and stops the deployment. */
 export class Deployment {
   readonly store = new KeyValueStoreStandIn(CALLS_PER_SECOND)
   readonly origin = new WeightsOriginStandIn(CALLS_PER_SECOND)
   readonly entries: EntryProcess[] = []
   readonly endpoints: EndpointStarts[] = []
-  /** One beside each engine. */
+  /** One agent for each engine. */
   readonly agents: DaemonProcess[] = []
   readonly ends: EndpointEnd[] = []
   readonly configurations: ConfigurationWrite[] = []
   readonly versions: VersionNamed[] = []
-  /** How often a key has been revoked. */
+  /** Number of the newest rotating key. */
   turn = 1
   readonly directory = mkdtempSync(join(tmpdir(), 'drumdrift-soak-'))
   private _configuration: unknown
-  /** Endpoints that are listed, with what they say, by the id of their start. */
+  /** Listed endpoints and their states, by the id of their start. */
   private readonly _listed = new Map<string, { readonly endpoint: EndpointStarts, readonly state: EndpointState }>()
   private readonly _removed = new Set<string>()
   private readonly _ways: Link[] = []
   private _lookTimer: NodeJS.Timeout | undefined
-  /** Leaves no process behind when this one ends early. */
+  /** Kills the child processes when this process exits early. */
   private readonly _killAll = (): void => { for (const daemon of this.daemons) daemon.signal('SIGKILL') }
 
-  /** Starts everything. Returns why it cannot be used, or nothing. */
+  /** Starts everything. Returns the failure if the deployment cannot be used, otherwise `undefined`. */
   async start (processes: number): Promise<SoakFailure | undefined> {
     try {
       await this._listen(processes)
@@ -91,10 +92,10 @@
     }
   }
 
-  /** Every process. */
+  /** All processes of the product. */
   get daemons (): DaemonProcess[] { return [...this.entries.map(({ daemon }) => daemon), ...this.agents] }
 
-  /** Writes the next configuration. */
+  /** Writes the next version of the configuration. */
   configure (movingTo: string): void {
     const version = (this.configurations.at(-1)?.version ?? 0) + 1
     const keys = [STEADY_KEY, keyOfTurn(this.turn)]
@@ -103,14 +104,14 @@
     this.configurations.push({ version, at: performance.now(), movingTo, keys })
   }
 
-  /** Names the next version of the engines' model. */
+  /** Publishes the next desired version of the engines' model. */
   nameVersion (): void {
     const version = (this.versions.at(-1)?.version ?? 0) + 1
     this.store.putVersion('m', version)
     this.versions.push({ version, at: performance.now() })
   }
 
-  /** Lists an endpoint, as it does itself. */
+  /** Writes the record of an endpoint, in place of the endpoint itself. */
   list (endpoint: EndpointStarts, state: EndpointState): void {
     const { id } = endpoint.worker
     this._listed.set(id, { endpoint, state })
@@ -118,7 +119,7 @@
     if (state === 'draining') this.ends.push({ endpoint: id, says: 'draining', at: performance.now() })
   }
 
-  /** Takes an endpoint off the list. */
+  /** Removes the record of an endpoint. */
   unlist (endpoint: EndpointStarts): void {
     const { id } = endpoint.worker
     this._listed.delete(id)
@@ -127,25 +128,25 @@
     this.ends.push({ endpoint: id, says: 'gone', at: performance.now() })
   }
 
-  /** The operator and the endpoints write again what a copy may lack. */
+  /** Writes the configuration, the version and all records again, since a restored snapshot may lack them. */
   writeAgain (): void {
     this.store.putConfiguration(this._configuration)
     this.store.putVersion('m', this.versions.length)
     this.writeEndpoints()
   }
 
-  /** All endpoints that are listed and up write themselves once more. */
+  /** Writes the records of all running listed endpoints again. */
   writeEndpoints (): void {
     for (const [id, { endpoint, state }] of this._listed) if (endpoint.isUp) this.store.putWorker(id, endpoint.entry(state))
   }
 
-  /** Entries that a copy still has of endpoints that have gone lapse. */
+  /** Removes records of former endpoints that a restored snapshot has brought back. */
   lapse (): void {
     for (const id of this._removed) this.store.removeWorker(id)
     this._removed.clear()
   }
 
-  /** Waits until something holds; returns whether it does. */
+  /** Waits until a condition holds or the time is up. Returns whether it holds. */
   async until (holds: () => boolean, patience: number): Promise<boolean> {
     const end = performance.now() + patience
     while (performance.now() < end) {
@@ -155,15 +156,15 @@
     return holds()
   }
 
-  /** Stops every process in order. */
+  /** Stops all processes gracefully. */
   async stop (): Promise<void> {
     await Promise.all(this.daemons.map(daemon => daemon.stop()))
   }
 
   /**
-   * Ends all that is left.
+   * Kills the remaining processes and closes the stand-ins.
    *
-   * @param keepLogs Whether the directory of settings and logs stays.
+   * @param keepLogs Whether to keep the directory of settings and logs.
    */
   async close (keepLogs: boolean): Promise<void> {
     clearInterval(this._lookTimer)
@@ -195,7 +196,7 @@
     this.entries.push(new EntryProcess({ instance: `entry-${index + 1}`, availabilityZone: zoneOf(index), shared, ports: { http, readiness, peer }, storeWay }))
   }
 
-  /** An engine keeps its address over all its starts, since its agent has to know it; agents share one port. */
+  /** An engine keeps its address over all starts, since the address is part of its agent's settings. All agents use one port. */
   private _addEndpoint (service: typeof SERVICES[number], index: number, port: number, shared: SharedPlan): void {
     const isEngine = service === 'pool'
     const host = isEngine ? `${ownNetwork}.${FIRST_ENGINE + index}` : '127.0.0.1'
--- a/packages/soak/src/lib/endpoint-starts.ts
+++ b/packages/soak/src/lib/endpoint-starts.ts
@@ -3,27 +3,27 @@
  * Copyright 2026 the drumdrift contributors
  * SPDX-License-Identifier: BSD-3-Clause
  */
-/** An endpoint that starts again and again, with the way to it. */
+/** An endpoint that can be started repeatedly, with the link to it. */
 import { freePorts, Link, UsersWorkerStandIn } from '@drumdrift/stand-ins'
 import type { EndpointArrival, VersionLoad } from './journal.js'
 
-/** What an endpoint says of itself in the list. */
+/** State of an endpoint in its record. */
 export type EndpointState = 'ready' | 'draining'
 
-/** Where an endpoint is and what it is part of. */
+/** Location and service of an endpoint. */
 export interface EndpointPlan {
-  /** The same for all starts; each has an id of its own. */
+  /** The same for all starts; each start has a separate id. */
   readonly name: string
   readonly service: string
   readonly availabilityZone: string
   readonly host: string
-  /** Where every start listens; nothing where each has a port of its own. */
+  /** Port of every start; `undefined` if each start gets a free port. */
   readonly port: number | undefined
 }
 
-/** One endpoint, over all its starts. */
+/** An endpoint over all its starts. */
 export class EndpointStarts {
-  /** Whether the newest start has not ended. */
+  /** Whether the latest start is running. */
   isUp = false
   private readonly _workers: UsersWorkerStandIn[] = []
   private readonly _ways: Link[] = []
@@ -34,7 +34,7 @@
   get worker (): UsersWorkerStandIn { return this._workers.at(-1) as UsersWorkerStandIn }
   get way (): Link { return this._ways.at(-1) as Link }
 
-  /** Starts it once more. */
+  /** Starts the endpoint again. */
   async start (): Promise<void> {
     const { name, service, host } = this.plan
     const [ownPort = 0, wayPort = 0] = await freePorts(2)
@@ -49,7 +49,7 @@
     this.isUp = true
   }
 
-  /** What is staged outlasts a crash, the weights that were taken over do not. */
+  /** Staged pieces survive a crash, loaded weights do not. */
   private _inherit (worker: UsersWorkerStandIn): void {
     const former = this._workers.at(-1)
     if (former === undefined) return
@@ -57,25 +57,25 @@
     if (worker.model !== '') worker.version = 0
   }
 
-  /** Ends the newest start, and all that runs on it. */
+  /** Ends the latest start and all its requests. */
   end (): void {
     this.isUp = false
     this._workers.at(-1)?.close()
     this._ways.at(-1)?.close()
   }
 
-  /** What the newest start writes of itself in the store now. */
+  /** Returns the current record of the latest start for the store. */
   entry (state: EndpointState): Record<string, unknown> {
     return { ...this.worker.entry(this.plan.service, this.plan.availabilityZone, state) as object, address: this.way.address }
   }
 
-  /** Requests that reached any start. */
+  /** Requests that any start received. */
   get arrivals (): EndpointArrival[] {
     const { service } = this.plan
     return this._workers.flatMap(({ id: endpoint, arrivals }) => arrivals.map(({ id, at, ran, version }) => ({ id, endpoint, service, at, ran, version })))
   }
 
-  /** Versions that any start took over. */
+  /** Versions that any start switched to. */
   get loads (): VersionLoad[] {
     return this._workers.flatMap(({ id: endpoint, versionSwitches: versionsTaken }) => versionsTaken.map(({ version, whole }) => ({ endpoint, version, whole })))
   }
--- a/packages/soak/src/lib/entry-process.ts
+++ b/packages/soak/src/lib/entry-process.ts
@@ -3,27 +3,27 @@
  * Copyright 2026 the drumdrift contributors
  * SPDX-License-Identifier: BSD-3-Clause
  */
-/** One entry as a process of its own, with the way between it and the store. */
+/** An entry as a separate process, with the link between it and the store. */
 import { isReady, type Link } from '@drumdrift/stand-ins'
 import { DaemonProcess } from './daemon-process.js'
 
-/** As in the users' deployment, in megabytes. */
+/** Heap limit in megabytes, as in the users' deployment. */
 const HEAP = 160
 const READY_TIMEOUT = 400
-/** Questions in a row without a yes after which callers are sent elsewhere. */
+/** Consecutive failed readiness checks after which callers use other entries. */
 const MISSES = 2
 
-/** What all processes of a deployment are told. */
+/** Settings that all processes of a deployment share. */
 export interface SharedPlan {
   readonly directory: string
   readonly availabilityZones: readonly string[]
   readonly seeds: readonly string[]
   readonly agentPort: number
-  /** Within which a process has to stop, in seconds. */
+  /** Time within which a process has to stop, in seconds. */
   readonly stopPatience: number
 }
 
-/** What an entry is started with. */
+/** Parameters of an entry. */
 export interface EntryPlan {
   readonly instance: string
   readonly availabilityZone: string
@@ -32,10 +32,10 @@
   readonly storeWay: Link
 }
 
-/** One entry. */
+/** An entry. */
 export class EntryProcess {
   readonly daemon: DaemonProcess
-  /** Whether callers who look for an entry are sent to it. */
+  /** Whether new callers may choose this entry. */
   ready = false
   private _misses = 0
 
@@ -46,7 +46,7 @@
   get instance (): string { return this.plan.instance }
   get address (): string { return `127.0.0.1:${this.plan.ports.http}` }
 
-  /** Asks once whether it takes new callers, and counts the misses. */
+  /** Checks once whether the entry accepts new callers, and counts consecutive failures. */
   async look (): Promise<void> {
     const answered = await isReady(`127.0.0.1:${this.plan.ports.readiness}`, AbortSignal.timeout(READY_TIMEOUT))
     this._misses = answered ? 0 : this._misses + 1
@@ -54,7 +54,7 @@
     if (this._misses >= MISSES) this.ready = false
   }
 
-  /** Ends the process, with or without time to stop, and starts it again. */
+  /** Stops or kills the process and starts it again. */
   async restart (how: 'stop' | 'kill'): Promise<void> {
     await this.daemon[how]()
     this.ready = false
--- a/packages/soak/src/lib/fault-handlers.ts
+++ b/packages/soak/src/lib/fault-handlers.ts
@@ -3,7 +3,7 @@
  * Copyright 2026 the drumdrift contributors
  * SPDX-License-Identifier: BSD-3-Clause
  */
-/** What each fault does, from its begin until what it concerns is well again. */
+/** Handlers that inject each fault and wait until its target has recovered. */
 import { setTimeout as pause } from 'node:timers/promises'
 import type { LinkMode, StoreMode } from '@drumdrift/stand-ins'
 import type { DaemonProcess } from './daemon-process.js'
@@ -13,7 +13,7 @@
 import type { FaultKind, PlannedFault } from './fault-plan.js'
 import { DRAIN_BOUND } from './promises.js'
 
-/** What a fault is done with. */
+/** Targets that are available to a fault handler. */
 export interface FaultScene {
   readonly deployment: Deployment
   readonly fault: PlannedFault
@@ -22,24 +22,24 @@
   readonly agent: DaemonProcess
 }
 
-/** Does a fault and undoes it. */
+/** Injects a fault and reverts it. */
 export type FaultHandler = (scene: FaultScene) => Promise<void>
 
 const READY_PATIENCE = 15_000
-/** The entry of an endpoint that ended without a word lapses after this, in milliseconds. */
+/** Time after which the record of a crashed endpoint expires, in milliseconds. */
 const LAPSE_TIME = 3_000
-/** An endpoint starts again so long after it has gone, in milliseconds. */
+/** Time between the removal of an endpoint and its next start, in milliseconds. */
 const SUCCESSOR_PAUSE = 500
-/** How often all endpoints have written since the copy was made, so that its revisions lie far behind what entries follow. */
+/** How often all records are written between a snapshot and its restore, so that the snapshot's revision is far behind the entries'. */
 const WRITINGS_SINCE_COPY = 8
-/** By then entries have heard of it, in milliseconds. */
+/** Time for the entries to receive these writes, in milliseconds. */
 const HEARING_TIME = 400
-/** The store is away for a moment when it is restored, in milliseconds. */
+/** Longest outage of the store during a restore, in milliseconds. */
 const LONGEST_DRILL = 1_000
-/** All is written again so long after a restore, in milliseconds. */
+/** Time between a restore and the writes that follow it, in milliseconds. */
 const REWRITE_PAUSE = 500
 
-/** The handler of each fault. */
+/** Handlers by kind of fault. */
 export const faultHandlers: Record<FaultKind, FaultHandler> = {
   'entry-stops': restartEntry('stop'),
   'entry-killed': restartEntry('kill'),
--- a/packages/soak/src/lib/fault-plan.ts
+++ b/packages/soak/src/lib/fault-plan.ts
@@ -3,54 +3,56 @@
  * Copyright 2026 the drumdrift contributors
  * SPDX-License-Identifier: BSD-3-Clause
  */
-/** Draws when which fault happens to whom, from a seed. */
+/** Draws the times, kinds and targets of faults from a seed. */
 
-/** Faults of entries' processes and of their ways to the store. */
+/** Faults of entry processes and of their links to the store. */
 const entryFaults = ['entry-stops', 'entry-killed', 'entry-paused', 'entry-reloads', 'store-way-cut', 'store-way-stalls', 'store-way-deaf', 'store-way-mute', 'store-way-slow'] as const
 const storeFaults = ['store-down', 'store-silent', 'store-turns-away', 'store-slow', 'store-forgets', 'store-restored'] as const
 const endpointFaults = ['endpoint-drains', 'endpoint-crashes', 'endpoint-sheds', 'endpoint-mute', 'endpoint-way-cut', 'endpoint-way-stalls', 'endpoint-way-slow'] as const
 const agentFaults = ['agent-stops', 'agent-killed', 'agent-paused'] as const
 const operatorActs = ['route-moves', 'key-revoked', 'configuration-written', 'version-named'] as const
 
-/** What the soak does from outside. */
+/** Kinds of faults and of acts of the operator. */
 export type FaultKind = typeof entryFaults[number] | typeof storeFaults[number] | typeof endpointFaults[number] | typeof agentFaults[number] | typeof operatorActs[number]
 
-/** What a fault is aimed at. */
+/** Kinds of targets. */
 export type FaultAim = 'entry' | 'store' | 'endpoint' | 'agent' | 'operator'
 
 const kindsOf: Record<FaultAim, readonly FaultKind[]> = { entry: entryFaults, store: storeFaults, endpoint: endpointFaults, agent: agentFaults, operator: operatorActs }
-/** How often each is aimed at; the store has one place, entries and endpoints many. */
+/** Relative frequency of each kind of target. There are many entries and endpoints but one store. */
 const weights: Record<FaultAim, number> = { entry: 4, store: 1, endpoint: 3, agent: 1, operator: 2 }
 
-/** One fault to come. */
+/** A fault to inject. */
 export interface PlannedFault {
   readonly kind: FaultKind
   readonly aim: FaultAim
-  /** Milliseconds after the begin. */
+  /** Milliseconds after the start. */
   readonly at: number
-  /** How long, in milliseconds; what has no length of its own takes no heed of it. */
+  /** Duration in milliseconds. Faults without a duration ignore it. */
   readonly lasts: number
-  /** Which of those that it may be aimed at, as a share of their number. */
+  /** Position of the target among those of its kind, as a share of their number. */
   readonly which: number
 }
 
-/** What a plan is drawn for. */
+/** Parameters of a plan. */
 export interface PlanOptions {
-  /** Faults are drawn for so many milliseconds. */
+  /** Length of the plan in milliseconds. */
   readonly length: number
-  /** Mean pause between two faults, in milliseconds. */
+  /** Mean time between two faults, in milliseconds. */
   readonly pause: number
 }
 
 const SHORTEST_FAULT = 200
 const LONGEST_FAULT = 3_000
-/** The share of faults that come in a series, how many follow, and the longest pause between them in milliseconds. */
+/** Share of faults that start a series. */
 const SERIES_SHARE = 0.2
+/** Number of faults that follow the first of a series. */
 const SERIES_LENGTH = 3
+/** Longest time between two faults of a series, in milliseconds. */
 const LONGEST_SERIES_PAUSE = 1_200
 
 /**
- * Draws the faults of one soak; those of a series have one kind and go through their targets one after the other.
+ * Draws the faults of one soak. The faults of a series have one kind and go through the targets in turn.
  *
  * @example
  * const faults = drawPlan(seededRandom(7), { length: 60_000, pause: 1_500 })
--- a/packages/soak/src/lib/journal.ts
+++ b/packages/soak/src/lib/journal.ts
@@ -3,67 +3,67 @@
  * Copyright 2026 the drumdrift contributors
  * SPDX-License-Identifier: BSD-3-Clause
  */
-/** What one soak saw: from callers, endpoints and the store, and which faults it caused. All times are of one clock, in milliseconds. */
+/** Records of one soak from callers, endpoints and the store, and the faults injected. All times are in milliseconds of `performance.now()`. */
 import type { CallKind, SeenAnswer } from '@drumdrift/stand-ins'
 import type { FaultKind } from './fault-plan.js'
 
-/** One call of a caller, and what became of it. */
+/** A call and its result. */
 export interface CallRecord {
   readonly id: string
   readonly kind: CallKind
   readonly key: string
-  /** The instance of the entry that it was sent to. */
+  /** Instance of the entry that received the call. */
   readonly entry: string
   readonly sentAt: number
   readonly endedAt: number
   readonly answer: SeenAnswer
 }
 
-/** One request that reached an endpoint. */
+/** A request that an endpoint received. */
 export interface EndpointArrival {
   readonly id: string
   readonly endpoint: string
   readonly service: string
   readonly at: number
   readonly ran: boolean
-  /** The version of the endpoint's weights; 1 where it has none. */
+  /** Version of the endpoint's weights; 1 for a plain service. */
   readonly version: number
 }
 
-/** Something that the store has acknowledged of an endpoint. */
+/** A drain or removal of an endpoint that the store has acknowledged. */
 export interface EndpointEnd {
   readonly endpoint: string
   readonly says: 'draining' | 'gone'
   readonly at: number
 }
 
-/** A configuration that was written. */
+/** A write of the configuration. */
 export interface ConfigurationWrite {
   readonly version: number
   readonly at: number
-  /** The service that the moving route leads to. */
+  /** Target service of the route `moving`. */
   readonly movingTo: string
   readonly keys: readonly string[]
 }
 
-/** A version that was named. */
+/** A published version of the model. */
 export interface VersionNamed {
   readonly version: number
   readonly at: number
 }
 
-/** A version that an engine took over. */
+/** A version that an engine switched to. */
 export interface VersionLoad {
   readonly endpoint: string
   readonly version: number
-  /** Whether all of it was there, unspoilt. */
+  /** Whether all its pieces were staged, uncorrupted. */
   readonly whole: boolean
 }
 
-/** Whom a fault concerns: the store, a process by its instance, or an endpoint by its name. */
+/** Target of a fault: the store, a process by its instance, or an endpoint by its name. */
 export type FaultTarget = 'store' | string
 
-/** A fault while it lasted, and until what it concerns was well again. */
+/** An injected fault, from its start until its target has recovered. */
 export interface Disturbance {
   readonly kind: FaultKind
   readonly target: FaultTarget
@@ -71,22 +71,22 @@
   readonly to: number
 }
 
-/** An end of a process. */
+/** An exit of a process. */
 export interface ProcessEnd {
-  /** The instance. */
+  /** Instance of the process. */
   readonly process: string
   readonly at: number
-  /** Whether the soak asked for it, and how. */
+  /** How the soak ended the process; `nothing` if it exited by itself. */
   readonly asked: 'stop' | 'kill' | 'nothing'
-  /** Nothing when it was ended by a signal. */
+  /** Exit code; `null` if a signal ended the process. */
   readonly code: number | null
-  /** Since it was asked to stop; 0 when it was not. */
+  /** Time from the stop request to the exit; 0 without a request. */
   readonly took: number
-  /** Whether it had come up: it had written something since it was started. */
+  /** Whether the process had started up, which is taken from output since its start. */
   readonly up: boolean
 }
 
-/** Everything that is judged. */
+/** All records that the promises are checked against. */
 export interface Journal {
   readonly calls: readonly CallRecord[]
   readonly arrivals: readonly EndpointArrival[]
@@ -96,17 +96,17 @@
   readonly loads: readonly VersionLoad[]
   readonly disturbances: readonly Disturbance[]
   readonly processEnds: readonly ProcessEnd[]
-  /** From when on no fault was caused any more. */
+  /** Time after which no fault was injected. */
   readonly calmFrom: number
-  /** Entries that took no new callers long after the last fault. */
+  /** Entries that accepted no new callers at the end of the calm period after the last fault. */
   readonly unready: readonly string[]
 }
 
-/** How long an entry and the store have to have been undisturbed before a bound on time is held against the entry. */
+/** Time without faults of an entry and the store after which bounds on time apply to the entry, in milliseconds. */
 export const SETTLE_TIME = 3_000
 
 /**
- * Whether something disturbed one of some targets in a span.
+ * Returns whether a fault affected one of the targets in a time span.
  *
  * @example
  * const calm = !isDisturbed(journal, ['store', 'entry-1'], named.at, arrival.at)
@@ -116,7 +116,7 @@
 }
 
 /**
- * Whether nothing disturbed an entry or the store within the settle time before a moment.
+ * Returns whether no fault affected an entry or the store within the settle time before a point in time.
  *
  * @example
  * if (isSettled(journal, call.entry, call.sentAt)) holdToBounds(call)
--- a/packages/soak/src/lib/promises.ts
+++ b/packages/soak/src/lib/promises.ts
@@ -3,44 +3,44 @@
  * Copyright 2026 the drumdrift contributors
  * SPDX-License-Identifier: BSD-3-Clause
  */
-/** The promises that a soak judges, each by what callers, endpoints and the store saw. */
+/** The promises that a soak checks, each against the records of callers, endpoints and the store. */
 import { EVENTS_PER_STREAM, signerOf } from '@drumdrift/stand-ins'
 import { SETTLE_TIME, isDisturbed, isSettled, type CallRecord, type ConfigurationWrite, type EndpointArrival, type Journal } from './journal.js'
 
-/** A broken promise. */
+/** A violation of a promise. */
 export interface Violation {
   readonly promise: PromiseName
   readonly at: number
   readonly detail: string
 }
 
-/** What is promised. */
+/** Names of the promises. */
 export type PromiseName =
-  /** A refusal that says that the request has not run, and never will, is true. */
+  /** A request whose refusal states that it has not run never runs. */
   | 'not-run'
-  /** What may not be repeated runs once at most. */
+  /** A request that may not be repeated runs at most once. */
   | 'once'
-  /** A success is the whole answer of an endpoint to this request, and what is not whole does not look so. */
+  /** A successful response is the complete answer of an endpoint to this request; an incomplete one is recognisable as such. */
   | 'own-answer'
-  /** No request reaches an endpoint long after the store acknowledged that it drains or has gone. */
+  /** No request reaches an endpoint later than a bound after the store acknowledged its drain or removal. */
   | 'drain'
-  /** A configuration is in force in time. */
+  /** A configuration is in force within a bound. */
   | 'in-force'
-  /** A process that has handled a request by a configuration handles none by an older one afterwards. */
+  /** A process that has applied a configuration to a request applies no older one afterwards. */
   | 'never-back'
-  /** No request begins on a version long after a newer one was named. */
+  /** No request starts on a version later than a bound after a newer one was published. */
   | 'version'
-  /** An engine takes over whole versions only. */
+  /** An engine switches to complete versions only. */
   | 'whole-version'
-  /** An entry that is told to stop finishes what it has passed on. */
+  /** An entry that is stopped completes the requests that it has forwarded. */
   | 'finished'
-  /** A call is answered by the time-out of its route. */
+  /** A call is answered within the timeout of its route. */
   | 'answered'
-  /** A process ends only when it is told to, and in time. */
+  /** A process exits only when it is stopped, and within the grace period. */
   | 'process'
-  /** Once the faults are over, callers are served. */
+  /** After the last fault, callers are served. */
   | 'served'
-  /** Once the faults are over, every entry takes new callers. */
+  /** After the last fault, every entry accepts new callers. */
   | 'ready'
 
 /** Bounds of the users' platform, in milliseconds. */
@@ -48,13 +48,15 @@
 export const IN_FORCE_BOUND = 2_000
 export const VERSION_BOUND = 8_000
 export const GRACE = 8_000
-/** The time-out of all routes, and how much later an answer may end. */
+/** Timeout of all routes, in milliseconds. */
 export const ROUTE_TIMEOUT = 2_000
+/** Time after the timeout within which an answer may still end, in milliseconds. */
 const ANSWER_SLACK = 500
-/** A request that was sent so long after another was handled is handled by no older configuration. */
+/** A request sent this many milliseconds after the end of another must not be handled by an older configuration. */
 const ORDER_SLACK = 100
-/** Callers have to be served again so long after the last fault, in milliseconds, and what share of them. */
+/** Time after the last fault from which callers have to be served, in milliseconds. */
 const RECOVERY = 3_000
+/** Share of calls that have to be served after the recovery time. */
 const LEAST_SERVED = 0.95
 
 const statusesOfNotRun: ReadonlySet<number> = new Set([408, 421, 429, 503])
@@ -64,7 +66,7 @@
 const checks: Record<PromiseName, Check> = {
   'not-run': ({ calls, arrivals }) => {
     const ran = new Set(arrivals.filter(arrival => arrival.ran).map(({ id }) => id))
-    return calls.filter(({ id, kind, answer }) => !mayRepeat(kind) && statusesOfNotRun.has(answer.status) && ran.has(id)).map(call => found(call, `answered ${call.answer.status}, and it ran`))
+    return calls.filter(({ id, kind, answer }) => !mayRepeat(kind) && statusesOfNotRun.has(answer.status) && ran.has(id)).map(call => found(call, `answered with status ${call.answer.status}, but it ran`))
   },
   once: ({ calls, arrivals }) => {
     const runs = groupBy(arrivals.filter(({ ran }) => ran), ({ id }) => id)
@@ -84,7 +86,7 @@
       const call = calls.get(id)
       const since = Math.min(...(ends.get(endpoint) ?? []).map(end => end.at))
       const isLate = call !== undefined && at > since + DRAIN_BOUND && isSettled(journal, call.entry, at)
-      return isLate ? [found({ ...call, endedAt: at }, `reached ${endpoint} ${Math.round(at - since)} ms after its end was acknowledged`)] : []
+      return isLate ? [found({ ...call, endedAt: at }, `reached ${endpoint} ${Math.round(at - since)} ms after its drain or removal was acknowledged`)] : []
     })
   },
   'in-force': journal => {
@@ -92,7 +94,7 @@
     return journal.calls.filter(call => isSettled(journal, call.entry, call.sentAt) && isSettled(journal, call.entry, call.endedAt)).flatMap(call => {
       const allowed = mayBeInForce(journal.configurations, call.sentAt - IN_FORCE_BOUND, call.endedAt)
       if (allowed.some(configuration => isAllowed(call, configuration, services))) return []
-      return [found(call, `answered ${call.answer.status} by a configuration before version ${allowed[0]?.version}`)]
+      return [found(call, `answered with status ${call.answer.status} by a configuration older than version ${allowed[0]?.version}`)]
     })
   },
   'never-back': journal => {
@@ -105,10 +107,10 @@
       const call = calls.get(id)
       const due = journal.versions.filter(named => named.version > version && named.at + VERSION_BOUND < at).at(0)
       if (call === undefined || due === undefined || isDisturbed(journal, [call.entry, 'store', nameOf(endpoint)], due.at - SETTLE_TIME, at)) return []
-      return [found({ ...call, endedAt: at }, `began on version ${version} at ${endpoint}, ${Math.round(at - due.at)} ms after version ${due.version} was named`)]
+      return [found({ ...call, endedAt: at }, `started on version ${version} at ${endpoint}, ${Math.round(at - due.at)} ms after version ${due.version} was published`)]
     })
   },
-  'whole-version': ({ loads, calmFrom }) => loads.filter(({ whole }) => !whole).map(({ endpoint, version }) => ({ at: calmFrom, detail: `${endpoint} took version ${version}, which was not whole` })),
+  'whole-version': ({ loads, calmFrom }) => loads.filter(({ whole }) => !whole).map(({ endpoint, version }) => ({ at: calmFrom, detail: `${endpoint} switched to version ${version}, which was incomplete` })),
   finished: journal => {
     const reached = groupBy(journal.arrivals, ({ id }) => id)
     const stops = journal.disturbances.filter(({ kind }) => kind === 'entry-stops')
@@ -116,7 +118,7 @@
       const stop = stops.find(({ target, from }) => target === call.entry && from >= call.sentAt - GRACE && from <= call.endedAt)
       const arrivals = reached.get(call.id) ?? []
       if (stop === undefined || arrivals.length === 0 || isExcused(journal, call, arrivals)) return []
-      return [found(call, `cut off after it had reached ${arrivals[0]?.endpoint}`)]
+      return [found(call, `interrupted after it had reached ${arrivals[0]?.endpoint}`)]
     })
   },
   answered: journal => journal.calls.filter(call => {
@@ -124,26 +126,26 @@
     return call.kind !== 'stream' && took > ROUTE_TIMEOUT + ANSWER_SLACK && isSettled(journal, call.entry, call.endedAt)
   }).map(call => found(call, `ended after ${Math.round(call.endedAt - call.sentAt)} ms`)),
   process: ({ processEnds }) => processEnds.flatMap(({ process, at, asked, code, took, up }) => {
-    // One that has not come up heeds no signal yet, and has nothing to finish.
+    // A process that has not started up does not handle signals yet and has no requests to complete.
     const endedBySignal = asked === 'stop' && code === null && !up
     if (asked === 'kill' || endedBySignal) return []
-    if (asked === 'nothing') return [{ at, detail: `${process} ended by itself, code ${code}` }]
-    return took > GRACE || code !== 0 ? [{ at, detail: `${process} ended with code ${code}, ${Math.round(took)} ms after it was told to` }] : []
+    if (asked === 'nothing') return [{ at, detail: `${process} exited by itself with code ${code}` }]
+    return took > GRACE || code !== 0 ? [{ at, detail: `${process} exited with code ${code}, ${Math.round(took)} ms after the stop request` }] : []
   }),
   served: ({ calls, configurations, calmFrom }) => {
     const keys = configurations.at(-1)?.keys ?? []
     const late = calls.filter(({ sentAt, key }) => sentAt >= calmFrom + RECOVERY && keys.includes(key))
     const served = late.filter(({ answer }) => answer.status === 200 && answer.whole).length
-    return late.length === 0 || served / late.length >= LEAST_SERVED ? [] : [{ at: calmFrom, detail: `${served} of ${late.length} calls served once all was over` }]
+    return late.length === 0 || served / late.length >= LEAST_SERVED ? [] : [{ at: calmFrom, detail: `${served} of ${late.length} calls served after the last fault` }]
   },
-  ready: ({ unready, calmFrom }) => unready.map(entry => ({ at: calmFrom, detail: `${entry} takes no new callers` }))
+  ready: ({ unready, calmFrom }) => unready.map(entry => ({ at: calmFrom, detail: `${entry} accepts no new callers` }))
 }
 
 /** All promises. */
 export const promiseNames = Object.keys(checks) as readonly PromiseName[]
 
 /**
- * Judges what was seen.
+ * Checks all promises and returns the violations.
  *
  * @example
  * for (const { promise, detail } of judge(journal)) log.error('broken', { promise, detail })
@@ -156,24 +158,24 @@
   return { at: endedAt, detail: `${kind} ${id} by ${entry}, sent at ${Math.round(sentAt)}: ${detail}` }
 }
 
-/** The endpoint whose start has an id. */
+/** Returns the name of the endpoint from the id of one of its starts. */
 function nameOf (start: string): string { return start.replace(/\.\d+$/, '') }
 
 function mayRepeat (kind: CallRecord['kind']): boolean { return kind !== 'unsafe' }
 
-/** Why a success is none; nothing when it is one. */
+/** Returns why a successful response is wrong; `undefined` if it is right. */
 function wrongAnswer ({ kind, answer }: CallRecord, arrivals: readonly EndpointArrival[]): string | undefined {
   const signer = signerOf(answer)
-  if (!arrivals.some(({ ran, endpoint }) => ran && endpoint === signer)) return `it is signed by ${signer}, which did not run it`
-  if (kind !== 'stream') return answer.body === `answer of ${signer}` ? undefined : `the body "${answer.body.slice(0, 40)}" is not of ${signer}, which signed it`
+  if (!arrivals.some(({ ran, endpoint }) => ran && endpoint === signer)) return `signed by ${signer}, which did not run the request`
+  if (kind !== 'stream') return answer.body === `answer of ${signer}` ? undefined : `signed by ${signer}, but the body "${answer.body.slice(0, 40)}" is not from it`
   const ids = [...answer.body.matchAll(/^id: (\d+)$/gm)].map(([, id]) => Number(id))
   const isWhole = ids.length === EVENTS_PER_STREAM && ids.every((id, index) => id === index + 1)
-  return isWhole ? undefined : `its events are ${ids.join(',')}`
+  return isWhole ? undefined : `wrong sequence of events: ${ids.join(',')}`
 }
 
 function isFinished ({ answer }: CallRecord): boolean { return answer.status !== 0 && answer.whole }
 
-/** Something else than the stop may have ended the call: another fault, the endpoint's, or the route's time-out. */
+/** Returns whether the call may have ended for another reason than the stop: another fault of the entry, a fault of an endpoint, or the route's timeout. */
 function isExcused ({ disturbances }: Journal, call: CallRecord, arrivals: readonly EndpointArrival[]): boolean {
   const endpoints = new Set(arrivals.map(({ endpoint }) => nameOf(endpoint)))
   const others = disturbances.filter(({ kind, target }) => (target === call.entry && kind !== 'entry-stops') || endpoints.has(target))
@@ -181,13 +183,13 @@
   return call.endedAt - call.sentAt >= ROUTE_TIMEOUT - ANSWER_SLACK
 }
 
-/** Configurations that may be in force in a span: the newest of those acknowledged before it, and all that came since. */
+/** Returns the configurations that may be in force in a time span: the newest acknowledged before its start, and all written up to its end. */
 function mayBeInForce (configurations: readonly ConfigurationWrite[], from: number, to: number): ConfigurationWrite[] {
   const first = configurations.filter(({ at }) => at <= from).at(-1)
   return configurations.filter(({ at, version }) => at <= to && version >= (first?.version ?? 0))
 }
 
-/** The service that ran each request. */
+/** Returns the service that ran each request. */
 function servicesOf ({ arrivals }: Journal): ReadonlyMap<string, string> {
   return new Map(arrivals.filter(({ ran }) => ran).map(({ id, service }) => [id, service]))
 }
@@ -200,7 +202,7 @@
   return keys.includes(key) && (kind !== 'moving' || service === movingTo)
 }
 
-/** Calls that a process handled by an older configuration than one that it had shown before. */
+/** Returns the calls that a process handled by an older configuration than one it had applied before. */
 function goingBack (calls: readonly CallRecord[], { configurations, processEnds }: Journal, entry: string, services: ReadonlyMap<string, string>): Omit<Violation, 'promise'>[] {
   const starts = processEnds.filter(({ process }) => process === entry).map(({ at }) => at)
   const broken: Omit<Violation, 'promise'>[] = []
@@ -211,7 +213,7 @@
     const before = Math.max(0, ...shown.filter(({ at }) => at >= life && at < call.sentAt - ORDER_SLACK).map(({ version }) => version))
     const oldest = allowing[0]?.version ?? 0
     const newest = allowing.at(-1)?.version ?? 0
-    if (newest > 0 && newest < before) broken.push(found(call, `handled by version ${newest} or older, after version ${before} had been shown`))
+    if (newest > 0 && newest < before) broken.push(found(call, `handled by version ${newest} or older, after version ${before} had been applied`))
     if (oldest > 0) shown.push({ version: oldest, at: call.endedAt })
   }
   return broken
--- a/packages/soak/src/lib/soak-options.ts
+++ b/packages/soak/src/lib/soak-options.ts
@@ -3,18 +3,18 @@
  * Copyright 2026 the drumdrift contributors
  * SPDX-License-Identifier: BSD-3-Clause
  */
-/** Options of a soak, checked. */
+/** Validation of the options of a soak. */
 import { DrumdriftError } from '@drumdrift/core'
 
-/** How one soak is run. */
+/** Options of a soak. */
 export interface SoakOptions {
   readonly seed: number
   readonly minutes: number
-  /** Entries, each a process. */
+  /** Number of entry processes. */
   readonly processes: number
-  /** Calls a second, of all callers together. */
+  /** Calls per second, of all callers together. */
   readonly rate: number
-  /** Mean pause between two faults, in milliseconds. */
+  /** Mean time between two faults, in milliseconds. */
   readonly pause: number
 }
 
@@ -33,9 +33,9 @@
 }
 
 /**
- * Checks options as they were given.
+ * Parses and checks options from the command line.
  *
- * @throws DrumdriftError with a settings failure that names the first wrong one.
+ * @throws DrumdriftError with a settings failure that names the first invalid option.
  * @example
  * const options = checkOptions({ seed: '7', minutes: '1', processes: '6', rate: '60', pause: '1500' })
  */
--- a/packages/soak/src/lib/soak-run.ts
+++ b/packages/soak/src/lib/soak-run.ts
@@ -3,7 +3,7 @@
  * Copyright 2026 the drumdrift contributors
  * SPDX-License-Identifier: BSD-3-Clause
  */
-/** One soak: a deployment under load, the faults that its seed draws, and the verdict. */
+/** Runs one soak: a deployment under load, the faults drawn from the seed, and the result. */
 import { monitorEventLoopDelay } from 'node:perf_hooks'
 import { setTimeout as pause } from 'node:timers/promises'
 import { seededRandom } from '@drumdrift/stand-ins'
@@ -17,19 +17,20 @@
 import type { SoakOptions } from './soak-options.js'
 
 const MILLISECONDS_PER_MINUTE = 60_000
-/** How long callers are served before the first fault and after the last one, in milliseconds. */
+/** Time under load before the first fault, in milliseconds. */
 const WARM_UP = 2_000
+/** Time under load after the last fault, in milliseconds. */
 const CALM = 8_000
 const NANOSECONDS_PER_MILLISECOND = 1e6
-/** Numbers of the generator that are skipped. */
+/** Number of random numbers that are discarded. */
 const FIRST_NUMBERS = 20
 
 type Print = (fields: LogFields) => void
 
-/** The one of several that a fault is aimed at. */
+/** Returns the target of a fault from those of its kind. */
 function chosen<Target> (targets: readonly Target[], { which }: PlannedFault): Target | undefined { return targets[Math.floor(which * targets.length)] }
 
-/** The part of a target that a fault takes; two faults of one part do not overlap. */
+/** Name of the target of a fault. */
 const targetOf: Record<FaultAim, (deployment: Deployment, fault: PlannedFault) => string> = {
   entry: ({ entries }, fault) => chosen(entries, fault)?.instance ?? '',
   endpoint: ({ endpoints }, fault) => chosen(endpoints, fault)?.name ?? '',
@@ -41,7 +42,7 @@
 /**
  * Runs one soak.
  *
- * @param print Takes each fault, each broken promise and the verdict.
+ * @param print Called for each fault, each broken promise and the result.
  * @returns Whether every promise was kept.
  * @example
  * const kept = await runSoak(options, fields => log.info('soak', fields))
@@ -94,7 +95,7 @@
   }
 }
 
-/** The first numbers of neighbouring seeds are alike. */
+/** Discards the first random numbers, which are similar for neighbouring seeds. */
 function warmedUp (random: () => number): () => number {
   for (let count = 0; count < FIRST_NUMBERS; count += 1) random()
   return random
@@ -107,6 +108,7 @@
   for (const fault of plan) {
     await pause(Math.max(0, startedAt + fault.at - performance.now()))
     const target = targetOf[fault.aim](deployment, fault)
+    // Faults of one target do not overlap, except that a fault of its link may overlap with one of the target itself.
     const part = `${target}/${fault.kind.includes('-way-')}`
     if (busy.has(part)) continue
     print({ event: 'fault', kind: fault.kind, target, at: Math.round(performance.now()) })
--- a/packages/soak/src/soak.ts
+++ b/packages/soak/src/soak.ts
@@ -3,22 +3,22 @@
  * Copyright 2026 the drumdrift contributors
  * SPDX-License-Identifier: BSD-3-Clause
  */
-/** Plays faults from outside against the real programs, and judges what callers and endpoints saw. */
+/** Command-line program that injects faults into the production programs and checks what callers and endpoints observe. */
 import { Command } from 'commander'
 import { formatPairs, orExit } from 'drumdrift'
 import { checkOptions, type SoakOptions } from './lib/soak-options.js'
 import { runSoak } from './lib/soak-run.js'
 
-/** As shells say it of a program that was interrupted. */
+/** Conventional exit code of a program ended by SIGINT. */
 const EXIT_INTERRUPTED = 130
 
 const program = new Command('soak')
-  .description('plays faults against the real programs on loopback')
-  .option('--seed <number>', 'seed of the faults', '7')
-  .option('--minutes <number>', 'how long faults are caused', '1')
-  .option('--processes <number>', 'entries, each a process', '6')
-  .option('--rate <number>', 'calls a second', '60')
-  .option('--pause <milliseconds>', 'mean pause between two faults', '1500')
+  .description('injects faults into the production programs on loopback')
+  .option('--seed <number>', 'seed of the random faults', '7')
+  .option('--minutes <number>', 'how long faults are injected', '1')
+  .option('--processes <number>', 'number of entry processes', '6')
+  .option('--rate <number>', 'calls per second', '60')
+  .option('--pause <milliseconds>', 'mean time between two faults', '1500')
   .action(async (given: Record<keyof SoakOptions, string>) => {
     const options = orExit(() => checkOptions(given))
     for (const signal of ['SIGINT', 'SIGTERM'] as const) process.once(signal, () => process.exit(EXIT_INTERRUPTED))
--- a/packages/soak/src/test/lib/fault-plan_test.ts
+++ b/packages/soak/src/test/lib/fault-plan_test.ts
@@ -11,12 +11,12 @@
 const options = { length: 600_000, pause: 500 }
 
 describe('drawPlan', () => {
-  it('draws the same for a seed, and something else for another', () => {
+  it('draws equal plans for equal seeds, and different plans for different seeds', () => {
     assert.deepEqual(drawPlan(seededRandom(7), options), drawPlan(seededRandom(7), options))
     assert.notDeepEqual(drawPlan(seededRandom(7), options), drawPlan(seededRandom(8), options))
   })
 
-  it('draws faults of every kind in the order of time, all within its length', () => {
+  it('draws faults of every kind in order of time, within the length of the plan', () => {
     const plan = drawPlan(seededRandom(7), options)
     const times = plan.map(({ at }) => at)
     assert.deepEqual(times, [...times].sort((left, right) => left - right))
@@ -24,7 +24,7 @@
     assert.equal(new Set(plan.map(({ kind }) => kind)).size, 29)
   })
 
-  it('draws series that go through their targets', () => {
+  it('draws series of faults that go through the targets', () => {
     const plan = drawPlan(seededRandom(7), options)
     const series = plan.filter((fault, index) => plan.slice(index + 1, index + 6).some(next => next.kind === fault.kind && next.lasts === fault.lasts && next.which !== fault.which))
     assert.ok(series.length > plan.length / 5, `${series.length} of ${plan.length}`)
--- a/packages/soak/src/test/lib/soak-run_test.ts
+++ b/packages/soak/src/test/lib/soak-run_test.ts
@@ -8,7 +8,7 @@
 import { runSoak } from '../../lib/soak-run.js'
 
 describe('runSoak', () => {
-  it('keeps all promises while entries stop and die, ways break, endpoints go, and the store is restored', async () => {
+  it('keeps all promises while entries stop and crash, links fail, endpoints leave, and the store is restored', async () => {
     const lines: string[] = []
     const kept = await runSoak({ seed: 2910, minutes: 0.3, processes: 3, rate: 30, pause: 800 }, fields => { lines.push(JSON.stringify(fields)) })
     assert.ok(kept, lines.join('\n'))
