--- a/packages/soak/src/lib/agent-process.ts
+++ b/packages/soak/src/lib/agent-process.ts
@@ -6,10 +6,10 @@
 /** The agent of an engine, as a separate process. */
 import { DaemonProcess } from './daemon-process.js'
 import type { EndpointPlan } from './endpoint-starts.js'
-import type { SharedPlan } from './entry-process.js'
+import type { SharedSettings } from './entry-process.js'
 
 /** Heap limit in megabytes, as in the users' deployment. */
-const HEAP = 96
+const HEAP_MEGABYTES = 96
 
 /**
  * Creates the agent of an engine, without starting it.
@@ -18,13 +18,13 @@
  * @example
  * const agent = agentProcess(endpoint.plan, store.address, shared)
  */
-export function agentProcess ({ name, service, availabilityZone, host, port }: EndpointPlan, storeAddress: string, shared: SharedPlan): DaemonProcess {
+export function createAgentProcess ({ name, service, availabilityZone, host, port }: EndpointPlan, storeAddress: string, shared: SharedSettings): DaemonProcess {
   const settings = `
 [process]
 instance = agent-${name}
 availability-zone = ${availabilityZone}
 address = ${host}:${shared.agentPort}
-stop-patience-seconds = ${shared.stopPatience}
+stop-patience-seconds = ${shared.stopTimeoutSeconds}
 [platform]
 availability-zones = ${shared.availabilityZones.join(', ')}
 store-address = ${storeAddress}
@@ -40,5 +40,5 @@
 link-percent = 75
 memory-megabytes = 8
 `
-  return new DaemonProcess({ instance: `agent-${name}`, role: 'weights-agent', directory: shared.directory, heap: HEAP, settings })
+  return new DaemonProcess({ instance: `agent-${name}`, role: 'weights-agent', directory: shared.directory, heap: HEAP_MEGABYTES, settings })
 }
--- a/packages/soak/src/lib/callers.ts
+++ b/packages/soak/src/lib/callers.ts
@@ -7,16 +7,16 @@
 import { Agent } from 'node:http'
 import { setTimeout as pause } from 'node:timers/promises'
 import { call, type CallKind } from '@drumdrift/stand-ins'
-import { keyOfTurn, STEADY_KEY, type Deployment } from './deployment.js'
+import { rotatingKey, STEADY_KEY, type Deployment } from './deployment.js'
 import type { EntryProcess } from './entry-process.js'
 import type { CallRecord } from './journal.js'
 
 /** Timeout of a call in milliseconds, longer than the timeout of every route. */
-const PATIENCE = 6_000
+const CALL_TIMEOUT_MILLISECONDS = 6_000
 /** Pause between two calls on a persistent connection, in milliseconds. */
-const KEPT_PAUSE = 400
+const PERSISTENT_CALL_PAUSE_MILLISECONDS = 400
 /** Share of calls with the newest rotating key, and equal share with the revoked key before it. */
-const TURN_SHARE = 0.15
+const ROTATING_KEY_SHARE = 0.15
 const MILLISECONDS_PER_SECOND = 1_000
 
 const kinds: readonly CallKind[] = ['safe', 'unsafe', 'stream', 'moving']
@@ -26,7 +26,7 @@
   readonly records: CallRecord[] = []
   private _count = 0
   private _stopped = false
-  private readonly _under = new Set<Promise<void>>()
+  private readonly _inFlight = new Set<Promise<void>>()
 
   constructor (private readonly _deployment: Deployment, private readonly _random: () => number) {}
 
@@ -36,46 +36,46 @@
    * @param rate Calls per second, of all callers together.
    */
   start (rate: number): void {
-    const kept = Math.round(rate / 2 * KEPT_PAUSE / MILLISECONDS_PER_SECOND)
-    for (let index = 0; index < kept; index += 1) this._keep(this._callOnKept(index / kept * KEPT_PAUSE))
-    this._keep(this._callAnew(2 * MILLISECONDS_PER_SECOND / rate))
+    const connections = Math.round(rate / 2 * PERSISTENT_CALL_PAUSE_MILLISECONDS / MILLISECONDS_PER_SECOND)
+    for (let index = 0; index < connections; index += 1) this._track(this._callOnPersistentConnections(index / connections * PERSISTENT_CALL_PAUSE_MILLISECONDS))
+    this._track(this._callOnNewConnections(2 * MILLISECONDS_PER_SECOND / rate))
   }
 
   /** Sends no more calls and waits for those in flight. */
   async stop (): Promise<void> {
     this._stopped = true
-    await Promise.all(this._under)
+    await Promise.all(this._inFlight)
   }
 
-  private _keep (work: Promise<void>): void {
-    this._under.add(work)
-    work.then(() => { this._under.delete(work) })
+  private _track (work: Promise<void>): void {
+    this._inFlight.add(work)
+    work.then(() => { this._inFlight.delete(work) })
   }
 
-  private async _callOnKept (after: number): Promise<void> {
+  private async _callOnPersistentConnections (after: number): Promise<void> {
     await pause(after)
     while (!this._stopped) {
       const entry = this._drawEntry()
-      if (entry === undefined) await pause(KEPT_PAUSE)
-      else await this._useUp(entry)
+      if (entry === undefined) await pause(PERSISTENT_CALL_PAUSE_MILLISECONDS)
+      else await this._callUntilClosed(entry)
     }
   }
 
   /** Uses one connection until it closes, also after its entry has stopped accepting new callers. */
-  private async _useUp (entry: EntryProcess): Promise<void> {
+  private async _callUntilClosed (entry: EntryProcess): Promise<void> {
     const agent = new Agent({ keepAlive: true, maxSockets: 1 })
-    let lasts = true
-    while (lasts && !this._stopped) {
-      lasts = await this._call(entry, agent)
-      await pause(KEPT_PAUSE)
+    let reusable = true
+    while (reusable && !this._stopped) {
+      reusable = await this._call(entry, agent)
+      await pause(PERSISTENT_CALL_PAUSE_MILLISECONDS)
     }
     agent.destroy()
   }
 
-  private async _callAnew (mean: number): Promise<void> {
+  private async _callOnNewConnections (mean: number): Promise<void> {
     while (!this._stopped) {
       const entry = this._drawEntry()
-      if (entry !== undefined) this._keep(this._call(entry, undefined).then(() => {}))
+      if (entry !== undefined) this._track(this._call(entry, undefined).then(() => {}))
       await pause(-Math.log(1 - this._random()) * mean)
     }
   }
@@ -87,7 +87,7 @@
     const id = `call-${this._count}`
     const key = this._drawKey()
     const sentAt = performance.now()
-    const answer = await call(entry.address, { id, kind, key, agent, signal: AbortSignal.timeout(PATIENCE) })
+    const answer = await call(entry.address, { id, kind, key, agent, signal: AbortSignal.timeout(CALL_TIMEOUT_MILLISECONDS) })
     this.records.push({ id, kind, key, entry: entry.instance, sentAt, endedAt: performance.now(), answer })
     return answer.whole && answer.headers.connection !== 'close'
   }
@@ -99,7 +99,7 @@
 
   private _drawKey (): string {
     const draw = this._random()
-    if (draw < TURN_SHARE) return keyOfTurn(this._deployment.turn)
-    return draw < 2 * TURN_SHARE ? keyOfTurn(this._deployment.turn - 1) : STEADY_KEY
+    if (draw < ROTATING_KEY_SHARE) return rotatingKey(this._deployment.newestKeyNumber)
+    return draw < 2 * ROTATING_KEY_SHARE ? rotatingKey(this._deployment.newestKeyNumber - 1) : STEADY_KEY
   }
 }
--- a/packages/soak/src/lib/daemon-process.ts
+++ b/packages/soak/src/lib/daemon-process.ts
@@ -7,7 +7,7 @@
 import { spawn, type ChildProcess } from 'node:child_process'
 import { closeSync, openSync, statSync, writeFileSync } from 'node:fs'
 import { createRequire } from 'node:module'
-import type { ProcessEnd } from './journal.js'
+import type { ProcessExit } from './journal.js'
 
 const PROGRAM = createRequire(import.meta.url).resolve('@drumdrift/platform/main')
 
@@ -24,12 +24,12 @@
 
 /** A process of the product. */
 export class DaemonProcess {
-  readonly ends: ProcessEnd[] = []
+  readonly exits: ProcessExit[] = []
   private _child: ChildProcess | undefined
-  private _asked: ProcessEnd['asked'] = 'nothing'
-  private _askedAt = 0
+  private _exitRequest: ProcessExit['exitRequest'] = 'nothing'
+  private _exitRequestedAt = 0
   /** Size of the log file when the process was last started, in bytes. */
-  private _writtenBefore = 0
+  private _logSizeAtStart = 0
   private readonly _settingsFile: string
 
   constructor (private readonly _plan: DaemonPlan) {
@@ -43,35 +43,35 @@
   start (): void {
     const { role, heap } = this._plan
     const output = openSync(this._logFile, 'a')
-    this._writtenBefore = statSync(this._logFile).size
+    this._logSizeAtStart = statSync(this._logFile).size
     const child = spawn(process.execPath, [`--max-old-space-size=${heap}`, PROGRAM, role, this._settingsFile], { stdio: ['ignore', output, output] })
     closeSync(output)
     this._child = child
-    this._asked = 'nothing'
-    child.once('exit', code => { this._ended(code) })
+    this._exitRequest = 'nothing'
+    child.once('exit', code => { this._recordExit(code) })
   }
 
   /** Sends SIGTERM and waits for the process to exit. */
-  async stop (): Promise<void> { await this._end('stop', 'SIGTERM') }
+  async stop (): Promise<void> { await this._terminate('stop', 'SIGTERM') }
 
   /** Sends SIGKILL and waits for the process to exit. */
-  async kill (): Promise<void> { await this._end('kill', 'SIGKILL') }
+  async kill (): Promise<void> { await this._terminate('kill', 'SIGKILL') }
 
   signal (signal: NodeJS.Signals): void { this._child?.kill(signal) }
 
-  private async _end (asked: 'stop' | 'kill', signal: NodeJS.Signals): Promise<void> {
+  private async _terminate (request: 'stop' | 'kill', signal: NodeJS.Signals): Promise<void> {
     const child = this._child
     if (child === undefined) return
     const exited = new Promise(resolve => child.once('exit', resolve))
-    this._asked = asked
-    this._askedAt = performance.now()
+    this._exitRequest = request
+    this._exitRequestedAt = performance.now()
     child.kill(signal)
     await exited
   }
 
-  private _ended (code: number | null): void {
+  private _recordExit (code: number | null): void {
     const at = performance.now()
     this._child = undefined
-    this.ends.push({ process: this.instance, at, asked: this._asked, code, took: this._asked === 'nothing' ? 0 : at - this._askedAt, up: statSync(this._logFile).size > this._writtenBefore })
+    this.exits.push({ process: this.instance, at, exitRequest: this._exitRequest, code, took: this._exitRequest === 'nothing' ? 0 : at - this._exitRequestedAt, startedUp: statSync(this._logFile).size > this._logSizeAtStart })
   }
 }
--- a/packages/soak/src/lib/deployment.ts
+++ b/packages/soak/src/lib/deployment.ts
@@ -9,33 +9,33 @@
 import { join } from 'node:path'
 import { setTimeout as pause } from 'node:timers/promises'
 import { freePorts, KeyValueStoreStandIn, Link, movingConfiguration, WeightsOriginStandIn } from '@drumdrift/stand-ins'
-import { agentProcess } from './agent-process.js'
+import { createAgentProcess } from './agent-process.js'
 import type { DaemonProcess } from './daemon-process.js'
 import { EndpointStarts, type EndpointState } from './endpoint-starts.js'
-import { EntryProcess, type SharedPlan } from './entry-process.js'
-import type { ConfigurationWrite, EndpointEnd, VersionNamed } from './journal.js'
-import { GRACE } from './promises.js'
+import { EntryProcess, type SharedSettings } from './entry-process.js'
+import type { ConfigurationWrite, EndpointDeparture, PublishedVersion } from './journal.js'
+import { GRACE_MILLISECONDS } from './promises.js'
 
 const AVAILABILITY_ZONES = ['koshi', 'bagmati', 'gandaki'] as const
-const ENDPOINTS_OF_SERVICE = 3
+const ENDPOINTS_PER_SERVICE = 3
 const SERVICES = ['desk', 'archive', 'pool'] as const
 /** First three octets of the engines' addresses. They depend on the process id so that concurrent soaks share no address. */
-const ownNetwork = `127.${1 + (process.pid >> 8) % 254}.${process.pid & 255}`
+const engineNetwork = `127.${1 + (process.pid >> 8) % 254}.${process.pid & 255}`
 /** Last octet of the address of the first engine. */
-const FIRST_ENGINE = 11
+const FIRST_ENGINE_OCTET = 11
 /** Number of entries that read the store for the others, one in each availability zone if there are enough entries. */
 const RELAYS = 3
-const LOOK_PAUSE = 500
+const READINESS_CHECK_MILLISECONDS = 500
 /** Rate limit of the stand-ins, above the rate that the processes of a soak reach. */
 const CALLS_PER_SECOND = 10_000
-const START_PATIENCE = 30_000
+const START_TIMEOUT_MILLISECONDS = 30_000
 /** The stop timeout of a process is this many milliseconds below the grace period, so that it exits before the platform would kill it. */
-const GRACE_RESERVE = 2_000
+const STOP_MARGIN_MILLISECONDS = 2_000
 /** API key that every configuration allows. */
 export const STEADY_KEY = 'key-steady'
 
 /** Returns a rotating API key. Only the newest is allowed, all earlier ones are revoked. */
-export function keyOfTurn (turn: number): string { return `key-turn-${turn}` }
+export function rotatingKey (keyNumber: number): string { return `key-turn-${keyNumber}` }
 
 /** Reason for which a deployment cannot start. */
 export type SoakFailure =
@@ -50,18 +50,18 @@
   readonly endpoints: EndpointStarts[] = []
   /** One agent for each engine. */
   readonly agents: DaemonProcess[] = []
-  readonly ends: EndpointEnd[] = []
+  readonly departures: EndpointDeparture[] = []
   readonly configurations: ConfigurationWrite[] = []
-  readonly versions: VersionNamed[] = []
+  readonly versions: PublishedVersion[] = []
   /** Number of the newest rotating key. */
-  turn = 1
+  newestKeyNumber = 1
   readonly directory = mkdtempSync(join(tmpdir(), 'drumdrift-soak-'))
   private _configuration: unknown
   /** Listed endpoints and their states, by the id of their start. */
   private readonly _listed = new Map<string, { readonly endpoint: EndpointStarts, readonly state: EndpointState }>()
   private readonly _removed = new Set<string>()
-  private readonly _ways: Link[] = []
-  private _lookTimer: NodeJS.Timeout | undefined
+  private readonly _storeLinks: Link[] = []
+  private _readinessTimer: NodeJS.Timeout | undefined
   /** Kills the child processes when this process exits early. */
   private readonly _killAll = (): void => { for (const daemon of this.daemons) daemon.signal('SIGKILL') }
 
@@ -74,11 +74,11 @@
       return { type: 'address-taken', detail: error.message }
     }
     this.configure('desk')
-    this.nameVersion()
+    this.publishVersion()
     process.once('exit', this._killAll)
     for (const daemon of this.daemons) daemon.start()
-    this._lookTimer = setInterval(() => { for (const entry of this.entries) entry.look() }, LOOK_PAUSE)
-    const ready = await this.until(() => this.entries.every(entry => entry.ready), START_PATIENCE)
+    this._readinessTimer = setInterval(() => { for (const entry of this.entries) entry.checkReadiness() }, READINESS_CHECK_MILLISECONDS)
+    const ready = await this.waitFor(() => this.entries.every(entry => entry.ready), START_TIMEOUT_MILLISECONDS)
     return ready ? undefined : { type: 'not-ready', detail: this.entries.filter(entry => !entry.ready).map(({ instance }) => instance).join(', ') }
   }
 
@@ -98,14 +98,14 @@
   /** Writes the next version of the configuration. */
   configure (movingTo: string): void {
     const version = (this.configurations.at(-1)?.version ?? 0) + 1
-    const keys = [STEADY_KEY, keyOfTurn(this.turn)]
+    const keys = [STEADY_KEY, rotatingKey(this.newestKeyNumber)]
     this._configuration = movingConfiguration({ version, movingTo, keys, origin: this.origin.address })
     this.store.putConfiguration(this._configuration)
     this.configurations.push({ version, at: performance.now(), movingTo, keys })
   }
 
   /** Publishes the next desired version of the engines' model. */
-  nameVersion (): void {
+  publishVersion (): void {
     const version = (this.versions.at(-1)?.version ?? 0) + 1
     this.store.putVersion('m', version)
     this.versions.push({ version, at: performance.now() })
@@ -116,7 +116,7 @@
     const { id } = endpoint.worker
     this._listed.set(id, { endpoint, state })
     this.store.putWorker(id, endpoint.entry(state))
-    if (state === 'draining') this.ends.push({ endpoint: id, says: 'draining', at: performance.now() })
+    if (state === 'draining') this.departures.push({ endpoint: id, kind: 'draining', at: performance.now() })
   }
 
   /** Removes the record of an endpoint. */
@@ -125,30 +125,30 @@
     this._listed.delete(id)
     this._removed.add(id)
     this.store.removeWorker(id)
-    this.ends.push({ endpoint: id, says: 'gone', at: performance.now() })
+    this.departures.push({ endpoint: id, kind: 'gone', at: performance.now() })
   }
 
   /** Writes the configuration, the version and all records again, since a restored snapshot may lack them. */
-  writeAgain (): void {
+  rewriteAll (): void {
     this.store.putConfiguration(this._configuration)
     this.store.putVersion('m', this.versions.length)
-    this.writeEndpoints()
+    this.rewriteRecords()
   }
 
   /** Writes the records of all running listed endpoints again. */
-  writeEndpoints (): void {
+  rewriteRecords (): void {
     for (const [id, { endpoint, state }] of this._listed) if (endpoint.isUp) this.store.putWorker(id, endpoint.entry(state))
   }
 
   /** Removes records of former endpoints that a restored snapshot has brought back. */
-  lapse (): void {
+  removeExpiredRecords (): void {
     for (const id of this._removed) this.store.removeWorker(id)
     this._removed.clear()
   }
 
   /** Waits until a condition holds or the time is up. Returns whether it holds. */
-  async until (holds: () => boolean, patience: number): Promise<boolean> {
-    const end = performance.now() + patience
+  async waitFor (holds: () => boolean, timeout: number): Promise<boolean> {
+    const end = performance.now() + timeout
     while (performance.now() < end) {
       if (holds()) return true
       await pause(20)
@@ -167,10 +167,10 @@
    * @param keepLogs Whether to keep the directory of settings and logs.
    */
   async close (keepLogs: boolean): Promise<void> {
-    clearInterval(this._lookTimer)
+    clearInterval(this._readinessTimer)
     await Promise.all(this.daemons.map(daemon => daemon.kill()))
     process.off('exit', this._killAll)
-    for (const way of this._ways) way.close()
+    for (const link of this._storeLinks) link.close()
     for (const endpoint of this.endpoints) endpoint.end()
     this.store.close()
     this.origin.close()
@@ -178,31 +178,31 @@
   }
 
   private async _prepare (entries: number): Promise<void> {
-    const ports = await freePorts(1 + entries + SERVICES.length * ENDPOINTS_OF_SERVICE)
+    const ports = await freePorts(1 + entries + SERVICES.length * ENDPOINTS_PER_SERVICE)
     const port = (): number => ports.pop() ?? 0
     const agentPort = port()
     const peers = Array.from({ length: entries }, port)
     const seeds = peers.slice(0, RELAYS).map(peer => `127.0.0.1:${peer}`)
-    const shared = { directory: this.directory, availabilityZones: AVAILABILITY_ZONES, seeds, agentPort, stopPatience: (GRACE - GRACE_RESERVE) / 1_000 }
+    const shared = { directory: this.directory, availabilityZones: AVAILABILITY_ZONES, seeds, agentPort, stopTimeoutSeconds: (GRACE_MILLISECONDS - STOP_MARGIN_MILLISECONDS) / 1_000 }
     for (const [index, peer] of peers.entries()) await this._addEntry(index, peer, shared)
-    for (const service of SERVICES) for (let index = 0; index < ENDPOINTS_OF_SERVICE; index += 1) this._addEndpoint(service, index, port(), shared)
+    for (const service of SERVICES) for (let index = 0; index < ENDPOINTS_PER_SERVICE; index += 1) this._addEndpoint(service, index, port(), shared)
   }
 
-  private async _addEntry (index: number, peer: number, shared: SharedPlan): Promise<void> {
-    const [way = 0, http = 0, readiness = 0] = await freePorts(3)
-    const storeWay = new Link(way, Number(this.store.address.split(':')[1]))
-    await storeWay.listen()
-    this._ways.push(storeWay)
-    this.entries.push(new EntryProcess({ instance: `entry-${index + 1}`, availabilityZone: zoneOf(index), shared, ports: { http, readiness, peer }, storeWay }))
+  private async _addEntry (index: number, peer: number, shared: SharedSettings): Promise<void> {
+    const [linkPort = 0, http = 0, readiness = 0] = await freePorts(3)
+    const storeLink = new Link(linkPort, Number(this.store.address.split(':')[1]))
+    await storeLink.listen()
+    this._storeLinks.push(storeLink)
+    this.entries.push(new EntryProcess({ instance: `entry-${index + 1}`, availabilityZone: zoneOf(index), shared, ports: { http, readiness, peer }, storeLink }))
   }
 
   /** An engine keeps its address over all starts, since the address is part of its agent's settings. All agents use one port. */
-  private _addEndpoint (service: typeof SERVICES[number], index: number, port: number, shared: SharedPlan): void {
+  private _addEndpoint (service: typeof SERVICES[number], index: number, port: number, shared: SharedSettings): void {
     const isEngine = service === 'pool'
-    const host = isEngine ? `${ownNetwork}.${FIRST_ENGINE + index}` : '127.0.0.1'
+    const host = isEngine ? `${engineNetwork}.${FIRST_ENGINE_OCTET + index}` : '127.0.0.1'
     const endpoint = new EndpointStarts({ name: `${service}-${index + 1}`, service, availabilityZone: zoneOf(index), host, port: isEngine ? port : undefined })
     this.endpoints.push(endpoint)
-    if (isEngine) this.agents.push(agentProcess(endpoint.plan, this.store.address, shared))
+    if (isEngine) this.agents.push(createAgentProcess(endpoint.plan, this.store.address, shared))
   }
 }
 
--- a/packages/soak/src/lib/endpoint-starts.ts
+++ b/packages/soak/src/lib/endpoint-starts.ts
@@ -26,31 +26,31 @@
   /** Whether the latest start is running. */
   isUp = false
   private readonly _workers: UsersWorkerStandIn[] = []
-  private readonly _ways: Link[] = []
+  private readonly _links: Link[] = []
 
   constructor (readonly plan: EndpointPlan) {}
 
   get name (): string { return this.plan.name }
   get worker (): UsersWorkerStandIn { return this._workers.at(-1) as UsersWorkerStandIn }
-  get way (): Link { return this._ways.at(-1) as Link }
+  get link (): Link { return this._links.at(-1) as Link }
 
   /** Starts the endpoint again. */
   async start (): Promise<void> {
     const { name, service, host } = this.plan
-    const [ownPort = 0, wayPort = 0] = await freePorts(2)
+    const [ownPort = 0, linkPort = 0] = await freePorts(2)
     const port = this.plan.port ?? ownPort
     const worker = new UsersWorkerStandIn(`${name}.${this._workers.length + 1}`, service === 'pool' ? 'm' : '')
-    const way = new Link(wayPort, port, host)
-    this._inherit(worker)
+    const link = new Link(linkPort, port, host)
+    this._keepStagedPieces(worker)
     await worker.listen(port, host)
-    await way.listen()
+    await link.listen()
     this._workers.push(worker)
-    this._ways.push(way)
+    this._links.push(link)
     this.isUp = true
   }
 
   /** Staged pieces survive a crash, loaded weights do not. */
-  private _inherit (worker: UsersWorkerStandIn): void {
+  private _keepStagedPieces (worker: UsersWorkerStandIn): void {
     const former = this._workers.at(-1)
     if (former === undefined) return
     for (const [index, piece] of former.staged) worker.staged.set(index, piece)
@@ -61,12 +61,12 @@
   end (): void {
     this.isUp = false
     this._workers.at(-1)?.close()
-    this._ways.at(-1)?.close()
+    this._links.at(-1)?.close()
   }
 
   /** Returns the current record of the latest start for the store. */
   entry (state: EndpointState): Record<string, unknown> {
-    return { ...this.worker.entry(this.plan.service, this.plan.availabilityZone, state) as object, address: this.way.address }
+    return { ...this.worker.entry(this.plan.service, this.plan.availabilityZone, state) as object, address: this.link.address }
   }
 
   /** Requests that any start received. */
--- a/packages/soak/src/lib/entry-process.ts
+++ b/packages/soak/src/lib/entry-process.ts
@@ -8,28 +8,28 @@
 import { DaemonProcess } from './daemon-process.js'
 
 /** Heap limit in megabytes, as in the users' deployment. */
-const HEAP = 160
-const READY_TIMEOUT = 400
+const HEAP_MEGABYTES = 160
+const READINESS_TIMEOUT_MILLISECONDS = 400
 /** Consecutive failed readiness checks after which callers use other entries. */
-const MISSES = 2
+const MAX_FAILED_CHECKS = 2
 
 /** Settings that all processes of a deployment share. */
-export interface SharedPlan {
+export interface SharedSettings {
   readonly directory: string
   readonly availabilityZones: readonly string[]
   readonly seeds: readonly string[]
   readonly agentPort: number
   /** Time within which a process has to stop, in seconds. */
-  readonly stopPatience: number
+  readonly stopTimeoutSeconds: number
 }
 
 /** Parameters of an entry. */
 export interface EntryPlan {
   readonly instance: string
   readonly availabilityZone: string
-  readonly shared: SharedPlan
+  readonly shared: SharedSettings
   readonly ports: { readonly http: number, readonly readiness: number, readonly peer: number }
-  readonly storeWay: Link
+  readonly storeLink: Link
 }
 
 /** An entry. */
@@ -37,21 +37,21 @@
   readonly daemon: DaemonProcess
   /** Whether new callers may choose this entry. */
   ready = false
-  private _misses = 0
+  private _failedChecks = 0
 
   constructor (readonly plan: EntryPlan) {
-    this.daemon = new DaemonProcess({ instance: plan.instance, role: 'route-entry', directory: plan.shared.directory, heap: HEAP, settings: settingsText(plan) })
+    this.daemon = new DaemonProcess({ instance: plan.instance, role: 'route-entry', directory: plan.shared.directory, heap: HEAP_MEGABYTES, settings: settingsText(plan) })
   }
 
   get instance (): string { return this.plan.instance }
   get address (): string { return `127.0.0.1:${this.plan.ports.http}` }
 
   /** Checks once whether the entry accepts new callers, and counts consecutive failures. */
-  async look (): Promise<void> {
-    const answered = await isReady(`127.0.0.1:${this.plan.ports.readiness}`, AbortSignal.timeout(READY_TIMEOUT))
-    this._misses = answered ? 0 : this._misses + 1
-    if (this._misses === 0) this.ready = true
-    if (this._misses >= MISSES) this.ready = false
+  async checkReadiness (): Promise<void> {
+    const answered = await isReady(`127.0.0.1:${this.plan.ports.readiness}`, AbortSignal.timeout(READINESS_TIMEOUT_MILLISECONDS))
+    this._failedChecks = answered ? 0 : this._failedChecks + 1
+    if (this._failedChecks === 0) this.ready = true
+    if (this._failedChecks >= MAX_FAILED_CHECKS) this.ready = false
   }
 
   /** Stops or kills the process and starts it again. */
@@ -62,7 +62,7 @@
   }
 }
 
-function settingsText ({ instance, availabilityZone, shared, ports, storeWay }: EntryPlan): string {
+function settingsText ({ instance, availabilityZone, shared, ports, storeLink }: EntryPlan): string {
   return `
 [process]
 instance = ${instance}
@@ -70,10 +70,10 @@
 address = 127.0.0.1:${ports.peer}
 http-address = 127.0.0.1:${ports.http}
 readiness-address = 127.0.0.1:${ports.readiness}
-stop-patience-seconds = ${shared.stopPatience}
+stop-patience-seconds = ${shared.stopTimeoutSeconds}
 [platform]
 availability-zones = ${shared.availabilityZones.join(', ')}
-store-address = ${storeWay.address}
+store-address = ${storeLink.address}
 watch-seconds = 3
 [peers]
 seeds = ${shared.seeds.join(', ')}
--- a/packages/soak/src/lib/fault-handlers.ts
+++ b/packages/soak/src/lib/fault-handlers.ts
@@ -11,10 +11,10 @@
 import type { EndpointStarts } from './endpoint-starts.js'
 import type { EntryProcess } from './entry-process.js'
 import type { FaultKind, PlannedFault } from './fault-plan.js'
-import { DRAIN_BOUND } from './promises.js'
+import { DRAIN_BOUND_MILLISECONDS } from './promises.js'
 
 /** Targets that are available to a fault handler. */
-export interface FaultScene {
+export interface FaultContext {
   readonly deployment: Deployment
   readonly fault: PlannedFault
   readonly entry: EntryProcess
@@ -23,21 +23,21 @@
 }
 
 /** Injects a fault and reverts it. */
-export type FaultHandler = (scene: FaultScene) => Promise<void>
+export type FaultHandler = (scene: FaultContext) => Promise<void>
 
-const READY_PATIENCE = 15_000
+const READY_TIMEOUT_MILLISECONDS = 15_000
 /** Time after which the record of a crashed endpoint expires, in milliseconds. */
-const LAPSE_TIME = 3_000
+const RECORD_EXPIRY_MILLISECONDS = 3_000
 /** Time between the removal of an endpoint and its next start, in milliseconds. */
-const SUCCESSOR_PAUSE = 500
+const REPLACEMENT_DELAY_MILLISECONDS = 500
 /** How often all records are written between a snapshot and its restore, so that the snapshot's revision is far behind the entries'. */
-const WRITINGS_SINCE_COPY = 8
+const WRITES_SINCE_SNAPSHOT = 8
 /** Time for the entries to receive these writes, in milliseconds. */
-const HEARING_TIME = 400
+const PROPAGATION_MILLISECONDS = 400
 /** Longest outage of the store during a restore, in milliseconds. */
-const LONGEST_DRILL = 1_000
+const MAX_RESTORE_OUTAGE_MILLISECONDS = 1_000
 /** Time between a restore and the writes that follow it, in milliseconds. */
-const REWRITE_PAUSE = 500
+const REWRITE_DELAY_MILLISECONDS = 500
 
 /** Handlers by kind of fault. */
 export const faultHandlers: Record<FaultKind, FaultHandler> = {
@@ -48,69 +48,69 @@
   'agent-killed': restartAgent('kill'),
   'agent-paused': async ({ fault, agent }) => { await pauseProcess(agent, fault) },
   'entry-reloads': async ({ entry }) => { entry.daemon.signal('SIGHUP') },
-  'store-way-cut': onStoreWay('cut'),
-  'store-way-stalls': onStoreWay('stall'),
-  'store-way-deaf': onStoreWay('deaf'),
-  'store-way-mute': onStoreWay('mute'),
-  'store-way-slow': onStoreWay('delay'),
+  'store-way-cut': onStoreLink('cut'),
+  'store-way-stalls': onStoreLink('stall'),
+  'store-way-deaf': onStoreLink('deaf'),
+  'store-way-mute': onStoreLink('mute'),
+  'store-way-slow': onStoreLink('delay'),
   'store-down': async ({ deployment: { store }, fault }) => {
     store.behaviour = 'down'
-    await pause(fault.lasts)
+    await pause(fault.durationMilliseconds)
     store.behaviour = 'normal'
   },
   'store-silent': inStoreMode('silent'),
   'store-turns-away': inStoreMode('turns-away'),
   'store-slow': async ({ deployment: { store }, fault }) => {
     store.behaviour = 'slow'
-    await pause(fault.lasts)
+    await pause(fault.durationMilliseconds)
     store.behaviour = 'normal'
   },
   'store-forgets': async ({ deployment }) => { deployment.store.compact() },
   'store-restored': async ({ deployment, fault }) => {
     const { store } = deployment
     store.makeCopy()
-    await pause(fault.lasts)
-    for (let count = 0; count < WRITINGS_SINCE_COPY; count += 1) deployment.writeEndpoints()
-    await pause(HEARING_TIME)
+    await pause(fault.durationMilliseconds)
+    for (let count = 0; count < WRITES_SINCE_SNAPSHOT; count += 1) deployment.rewriteRecords()
+    await pause(PROPAGATION_MILLISECONDS)
     store.behaviour = 'down'
     store.restore()
-    await pause(Math.min(LONGEST_DRILL, fault.lasts))
+    await pause(Math.min(MAX_RESTORE_OUTAGE_MILLISECONDS, fault.durationMilliseconds))
     store.behaviour = 'normal'
-    await pause(REWRITE_PAUSE)
-    deployment.writeAgain()
-    await pause(LAPSE_TIME)
-    deployment.lapse()
+    await pause(REWRITE_DELAY_MILLISECONDS)
+    deployment.rewriteAll()
+    await pause(RECORD_EXPIRY_MILLISECONDS)
+    deployment.removeExpiredRecords()
   },
   'endpoint-drains': async ({ deployment, endpoint }) => {
     deployment.list(endpoint, 'draining')
-    await pause(DRAIN_BOUND + REWRITE_PAUSE)
+    await pause(DRAIN_BOUND_MILLISECONDS + REWRITE_DELAY_MILLISECONDS)
     deployment.unlist(endpoint)
-    await succeed(deployment, endpoint)
+    await startReplacement(deployment, endpoint)
   },
   'endpoint-crashes': async ({ deployment, endpoint }) => {
     endpoint.end()
-    await pause(LAPSE_TIME)
+    await pause(RECORD_EXPIRY_MILLISECONDS)
     deployment.unlist(endpoint)
-    await succeed(deployment, endpoint)
+    await startReplacement(deployment, endpoint)
   },
   'endpoint-sheds': inWorkerMode('sheds'),
   'endpoint-mute': inWorkerMode('mute'),
-  'endpoint-way-cut': onEndpointWay('cut'),
-  'endpoint-way-stalls': onEndpointWay('stall'),
-  'endpoint-way-slow': onEndpointWay('delay'),
+  'endpoint-way-cut': onEndpointLink('cut'),
+  'endpoint-way-stalls': onEndpointLink('stall'),
+  'endpoint-way-slow': onEndpointLink('delay'),
   'route-moves': async ({ deployment }) => { deployment.configure(deployment.configurations.at(-1)?.movingTo === 'desk' ? 'archive' : 'desk') },
   'key-revoked': async ({ deployment }) => {
-    deployment.turn += 1
+    deployment.newestKeyNumber += 1
     deployment.configure(deployment.configurations.at(-1)?.movingTo ?? 'desk')
   },
   'configuration-written': async ({ deployment }) => { deployment.configure(deployment.configurations.at(-1)?.movingTo ?? 'desk') },
-  'version-named': async ({ deployment }) => { deployment.nameVersion() }
+  'version-named': async ({ deployment }) => { deployment.publishVersion() }
 }
 
 function restartEntry (how: 'stop' | 'kill'): FaultHandler {
   return async ({ deployment, entry }) => {
     await entry.restart(how)
-    await deployment.until(() => entry.ready, READY_PATIENCE)
+    await deployment.waitFor(() => entry.ready, READY_TIMEOUT_MILLISECONDS)
   }
 }
 
@@ -121,27 +121,27 @@
   }
 }
 
-function onStoreWay (mode: LinkMode): FaultHandler {
+function onStoreLink (mode: LinkMode): FaultHandler {
   return async ({ entry, fault }) => {
-    entry.plan.storeWay.set(mode)
-    await pause(fault.lasts)
-    entry.plan.storeWay.set('pass')
+    entry.plan.storeLink.set(mode)
+    await pause(fault.durationMilliseconds)
+    entry.plan.storeLink.set('pass')
   }
 }
 
-function onEndpointWay (mode: LinkMode): FaultHandler {
+function onEndpointLink (mode: LinkMode): FaultHandler {
   return async ({ endpoint, fault }) => {
-    const { way } = endpoint
-    way.set(mode)
-    await pause(fault.lasts)
-    way.set('pass')
+    const { link } = endpoint
+    link.set(mode)
+    await pause(fault.durationMilliseconds)
+    link.set('pass')
   }
 }
 
 function inStoreMode (mode: StoreMode): FaultHandler {
   return async ({ deployment: { store }, fault }) => {
     store.mode = mode
-    await pause(fault.lasts)
+    await pause(fault.durationMilliseconds)
     store.mode = 'answers'
   }
 }
@@ -150,19 +150,19 @@
   return async ({ endpoint, fault }) => {
     const { worker } = endpoint
     worker.mode = mode
-    await pause(fault.lasts)
+    await pause(fault.durationMilliseconds)
     worker.mode = 'whole'
   }
 }
 
 async function pauseProcess (daemon: DaemonProcess, fault: PlannedFault): Promise<void> {
   daemon.signal('SIGSTOP')
-  await pause(fault.lasts)
+  await pause(fault.durationMilliseconds)
   daemon.signal('SIGCONT')
 }
 
-async function succeed (deployment: Deployment, endpoint: EndpointStarts): Promise<void> {
-  await pause(SUCCESSOR_PAUSE)
+async function startReplacement (deployment: Deployment, endpoint: EndpointStarts): Promise<void> {
+  await pause(REPLACEMENT_DELAY_MILLISECONDS)
   endpoint.end()
   await endpoint.start()
   deployment.list(endpoint, 'ready')
--- a/packages/soak/src/lib/fault-plan.ts
+++ b/packages/soak/src/lib/fault-plan.ts
@@ -10,28 +10,28 @@
 const storeFaults = ['store-down', 'store-silent', 'store-turns-away', 'store-slow', 'store-forgets', 'store-restored'] as const
 const endpointFaults = ['endpoint-drains', 'endpoint-crashes', 'endpoint-sheds', 'endpoint-mute', 'endpoint-way-cut', 'endpoint-way-stalls', 'endpoint-way-slow'] as const
 const agentFaults = ['agent-stops', 'agent-killed', 'agent-paused'] as const
-const operatorActs = ['route-moves', 'key-revoked', 'configuration-written', 'version-named'] as const
+const operatorActions = ['route-moves', 'key-revoked', 'configuration-written', 'version-named'] as const
 
 /** Kinds of faults and of acts of the operator. */
-export type FaultKind = typeof entryFaults[number] | typeof storeFaults[number] | typeof endpointFaults[number] | typeof agentFaults[number] | typeof operatorActs[number]
+export type FaultKind = typeof entryFaults[number] | typeof storeFaults[number] | typeof endpointFaults[number] | typeof agentFaults[number] | typeof operatorActions[number]
 
 /** Kinds of targets. */
-export type FaultAim = 'entry' | 'store' | 'endpoint' | 'agent' | 'operator'
+export type TargetKind = 'entry' | 'store' | 'endpoint' | 'agent' | 'operator'
 
-const kindsOf: Record<FaultAim, readonly FaultKind[]> = { entry: entryFaults, store: storeFaults, endpoint: endpointFaults, agent: agentFaults, operator: operatorActs }
+const faultsByTarget: Record<TargetKind, readonly FaultKind[]> = { entry: entryFaults, store: storeFaults, endpoint: endpointFaults, agent: agentFaults, operator: operatorActions }
 /** Relative frequency of each kind of target. There are many entries and endpoints but one store. */
-const weights: Record<FaultAim, number> = { entry: 4, store: 1, endpoint: 3, agent: 1, operator: 2 }
+const weights: Record<TargetKind, number> = { entry: 4, store: 1, endpoint: 3, agent: 1, operator: 2 }
 
 /** A fault to inject. */
 export interface PlannedFault {
   readonly kind: FaultKind
-  readonly aim: FaultAim
+  readonly targetKind: TargetKind
   /** Milliseconds after the start. */
   readonly at: number
   /** Duration in milliseconds. Faults without a duration ignore it. */
-  readonly lasts: number
+  readonly durationMilliseconds: number
   /** Position of the target among those of its kind, as a share of their number. */
-  readonly which: number
+  readonly targetPosition: number
 }
 
 /** Parameters of a plan. */
@@ -42,14 +42,14 @@
   readonly pause: number
 }
 
-const SHORTEST_FAULT = 200
-const LONGEST_FAULT = 3_000
+const MIN_FAULT_MILLISECONDS = 200
+const MAX_FAULT_MILLISECONDS = 3_000
 /** Share of faults that start a series. */
 const SERIES_SHARE = 0.2
 /** Number of faults that follow the first of a series. */
 const SERIES_LENGTH = 3
 /** Longest time between two faults of a series, in milliseconds. */
-const LONGEST_SERIES_PAUSE = 1_200
+const MAX_SERIES_PAUSE_MILLISECONDS = 1_200
 
 /**
  * Draws the faults of one soak. The faults of a series have one kind and go through the targets in turn.
@@ -65,8 +65,8 @@
     if (random() >= SERIES_SHARE) continue
     let next = at
     for (let count = 1; count <= SERIES_LENGTH; count += 1) {
-      next += random() * LONGEST_SERIES_PAUSE
-      faults.push({ ...first, at: next, which: (first.which + count / (SERIES_LENGTH + 1)) % 1 })
+      next += random() * MAX_SERIES_PAUSE_MILLISECONDS
+      faults.push({ ...first, at: next, targetPosition: (first.targetPosition + count / (SERIES_LENGTH + 1)) % 1 })
     }
   }
   return faults.filter(fault => fault.at < length).sort((left, right) => left.at - right.at)
@@ -75,18 +75,18 @@
 function drawPause (random: () => number, mean: number): number { return -Math.log(1 - random()) * mean }
 
 function drawFault (random: () => number, at: number): PlannedFault {
-  const aim = drawAim(random)
-  const kinds = kindsOf[aim]
+  const targetKind = drawTargetKind(random)
+  const kinds = faultsByTarget[targetKind]
   const kind = kinds[Math.floor(random() * kinds.length)] as FaultKind
-  return { kind, aim, at, lasts: SHORTEST_FAULT + random() * (LONGEST_FAULT - SHORTEST_FAULT), which: random() }
+  return { kind, targetKind, at, durationMilliseconds: MIN_FAULT_MILLISECONDS + random() * (MAX_FAULT_MILLISECONDS - MIN_FAULT_MILLISECONDS), targetPosition: random() }
 }
 
-function drawAim (random: () => number): FaultAim {
-  const aims = Object.keys(weights) as FaultAim[]
-  let left = random() * aims.reduce((sum, aim) => sum + weights[aim], 0)
-  for (const aim of aims) {
-    left -= weights[aim]
-    if (left < 0) return aim
+function drawTargetKind (random: () => number): TargetKind {
+  const targetKinds = Object.keys(weights) as TargetKind[]
+  let left = random() * targetKinds.reduce((sum, targetKind) => sum + weights[targetKind], 0)
+  for (const targetKind of targetKinds) {
+    left -= weights[targetKind]
+    if (left < 0) return targetKind
   }
   return 'operator'
 }
--- a/packages/soak/src/lib/journal.ts
+++ b/packages/soak/src/lib/journal.ts
@@ -31,9 +31,9 @@
 }
 
 /** A drain or removal of an endpoint that the store has acknowledged. */
-export interface EndpointEnd {
+export interface EndpointDeparture {
   readonly endpoint: string
-  readonly says: 'draining' | 'gone'
+  readonly kind: 'draining' | 'gone'
   readonly at: number
 }
 
@@ -47,7 +47,7 @@
 }
 
 /** A published version of the model. */
-export interface VersionNamed {
+export interface PublishedVersion {
   readonly version: number
   readonly at: number
 }
@@ -72,38 +72,38 @@
 }
 
 /** An exit of a process. */
-export interface ProcessEnd {
+export interface ProcessExit {
   /** Instance of the process. */
   readonly process: string
   readonly at: number
   /** How the soak ended the process; `nothing` if it exited by itself. */
-  readonly asked: 'stop' | 'kill' | 'nothing'
+  readonly exitRequest: 'stop' | 'kill' | 'nothing'
   /** Exit code; `null` if a signal ended the process. */
   readonly code: number | null
   /** Time from the stop request to the exit; 0 without a request. */
   readonly took: number
   /** Whether the process had started up, which is taken from output since its start. */
-  readonly up: boolean
+  readonly startedUp: boolean
 }
 
 /** All records that the promises are checked against. */
 export interface Journal {
   readonly calls: readonly CallRecord[]
   readonly arrivals: readonly EndpointArrival[]
-  readonly ends: readonly EndpointEnd[]
+  readonly departures: readonly EndpointDeparture[]
   readonly configurations: readonly ConfigurationWrite[]
-  readonly versions: readonly VersionNamed[]
+  readonly versions: readonly PublishedVersion[]
   readonly loads: readonly VersionLoad[]
   readonly disturbances: readonly Disturbance[]
-  readonly processEnds: readonly ProcessEnd[]
+  readonly processExits: readonly ProcessExit[]
   /** Time after which no fault was injected. */
-  readonly calmFrom: number
+  readonly faultsEndedAt: number
   /** Entries that accepted no new callers at the end of the calm period after the last fault. */
   readonly unready: readonly string[]
 }
 
 /** Time without faults of an entry and the store after which bounds on time apply to the entry, in milliseconds. */
-export const SETTLE_TIME = 3_000
+export const SETTLE_MILLISECONDS = 3_000
 
 /**
  * Returns whether a fault affected one of the targets in a time span.
@@ -122,5 +122,5 @@
  * if (isSettled(journal, call.entry, call.sentAt)) holdToBounds(call)
  */
 export function isSettled (journal: Pick<Journal, 'disturbances'>, entry: string, at: number): boolean {
-  return !isDisturbed(journal, [entry, 'store'], at - SETTLE_TIME, at)
+  return !isDisturbed(journal, [entry, 'store'], at - SETTLE_MILLISECONDS, at)
 }
--- a/packages/soak/src/lib/promises.ts
+++ b/packages/soak/src/lib/promises.ts
@@ -5,7 +5,7 @@
  */
 /** The promises that a soak checks, each against the records of callers, endpoints and the store. */
 import { EVENTS_PER_STREAM, signerOf } from '@drumdrift/stand-ins'
-import { SETTLE_TIME, isDisturbed, isSettled, type CallRecord, type ConfigurationWrite, type EndpointArrival, type Journal } from './journal.js'
+import { SETTLE_MILLISECONDS, isDisturbed, isSettled, type CallRecord, type ConfigurationWrite, type EndpointArrival, type Journal } from './journal.js'
 
 /** A violation of a promise. */
 export interface Violation {
@@ -44,101 +44,101 @@
   | 'ready'
 
 /** Bounds of the users' platform, in milliseconds. */
-export const DRAIN_BOUND = 2_000
-export const IN_FORCE_BOUND = 2_000
-export const VERSION_BOUND = 8_000
-export const GRACE = 8_000
+export const DRAIN_BOUND_MILLISECONDS = 2_000
+export const IN_FORCE_BOUND_MILLISECONDS = 2_000
+export const VERSION_BOUND_MILLISECONDS = 8_000
+export const GRACE_MILLISECONDS = 8_000
 /** Timeout of all routes, in milliseconds. */
-export const ROUTE_TIMEOUT = 2_000
+export const ROUTE_TIMEOUT_MILLISECONDS = 2_000
 /** Time after the timeout within which an answer may still end, in milliseconds. */
-const ANSWER_SLACK = 500
+const ANSWER_SLACK_MILLISECONDS = 500
 /** A request sent this many milliseconds after the end of another must not be handled by an older configuration. */
-const ORDER_SLACK = 100
+const ORDER_SLACK_MILLISECONDS = 100
 /** Time after the last fault from which callers have to be served, in milliseconds. */
-const RECOVERY = 3_000
+const RECOVERY_MILLISECONDS = 3_000
 /** Share of calls that have to be served after the recovery time. */
-const LEAST_SERVED = 0.95
+const MIN_SERVED_SHARE = 0.95
 
-const statusesOfNotRun: ReadonlySet<number> = new Set([408, 421, 429, 503])
+const notRunStatuses: ReadonlySet<number> = new Set([408, 421, 429, 503])
 
 type Check = (journal: Journal) => Omit<Violation, 'promise'>[]
 
 const checks: Record<PromiseName, Check> = {
   'not-run': ({ calls, arrivals }) => {
     const ran = new Set(arrivals.filter(arrival => arrival.ran).map(({ id }) => id))
-    return calls.filter(({ id, kind, answer }) => !mayRepeat(kind) && statusesOfNotRun.has(answer.status) && ran.has(id)).map(call => found(call, `answered with status ${call.answer.status}, but it ran`))
+    return calls.filter(({ id, kind, answer }) => !isRepeatable(kind) && notRunStatuses.has(answer.status) && ran.has(id)).map(call => violationOf(call, `answered with status ${call.answer.status}, but it ran`))
   },
   once: ({ calls, arrivals }) => {
     const runs = groupBy(arrivals.filter(({ ran }) => ran), ({ id }) => id)
-    return calls.filter(({ id, kind }) => !mayRepeat(kind) && (runs.get(id)?.length ?? 0) > 1).map(call => found(call, `ran ${runs.get(call.id)?.length} times`))
+    return calls.filter(({ id, kind }) => !isRepeatable(kind) && (runs.get(id)?.length ?? 0) > 1).map(call => violationOf(call, `ran ${runs.get(call.id)?.length} times`))
   },
   'own-answer': ({ calls, arrivals }) => {
     const reached = groupBy(arrivals, ({ id }) => id)
     return calls.filter(({ answer }) => answer.status === 200 && answer.whole).flatMap(call => {
-      const wrong = wrongAnswer(call, reached.get(call.id) ?? [])
-      return wrong === undefined ? [] : [found(call, wrong)]
+      const error = findAnswerError(call, reached.get(call.id) ?? [])
+      return error === undefined ? [] : [violationOf(call, error)]
     })
   },
   drain: journal => {
     const calls = new Map(journal.calls.map(call => [call.id, call]))
-    const ends = groupBy(journal.ends, ({ endpoint }) => endpoint)
+    const departures = groupBy(journal.departures, ({ endpoint }) => endpoint)
     return journal.arrivals.flatMap(({ id, endpoint, at }) => {
       const call = calls.get(id)
-      const since = Math.min(...(ends.get(endpoint) ?? []).map(end => end.at))
-      const isLate = call !== undefined && at > since + DRAIN_BOUND && isSettled(journal, call.entry, at)
-      return isLate ? [found({ ...call, endedAt: at }, `reached ${endpoint} ${Math.round(at - since)} ms after its drain or removal was acknowledged`)] : []
+      const since = Math.min(...(departures.get(endpoint) ?? []).map(departure => departure.at))
+      const isLate = call !== undefined && at > since + DRAIN_BOUND_MILLISECONDS && isSettled(journal, call.entry, at)
+      return isLate ? [violationOf({ ...call, endedAt: at }, `reached ${endpoint} ${Math.round(at - since)} ms after its drain or removal was acknowledged`)] : []
     })
   },
   'in-force': journal => {
     const services = servicesOf(journal)
     return journal.calls.filter(call => isSettled(journal, call.entry, call.sentAt) && isSettled(journal, call.entry, call.endedAt)).flatMap(call => {
-      const allowed = mayBeInForce(journal.configurations, call.sentAt - IN_FORCE_BOUND, call.endedAt)
+      const allowed = possibleConfigurations(journal.configurations, call.sentAt - IN_FORCE_BOUND_MILLISECONDS, call.endedAt)
       if (allowed.some(configuration => isAllowed(call, configuration, services))) return []
-      return [found(call, `answered with status ${call.answer.status} by a configuration older than version ${allowed[0]?.version}`)]
+      return [violationOf(call, `answered with status ${call.answer.status} by a configuration older than version ${allowed[0]?.version}`)]
     })
   },
   'never-back': journal => {
     const services = servicesOf(journal)
-    return [...groupBy(journal.calls, ({ entry }) => entry)].flatMap(([entry, calls]) => goingBack(calls, journal, entry, services))
+    return [...groupBy(journal.calls, ({ entry }) => entry)].flatMap(([entry, calls]) => findRegressions(calls, journal, entry, services))
   },
   version: journal => {
     const calls = new Map(journal.calls.map(call => [call.id, call]))
     return journal.arrivals.filter(({ service, ran }) => service === 'pool' && ran).flatMap(({ id, endpoint, at, version }) => {
       const call = calls.get(id)
-      const due = journal.versions.filter(named => named.version > version && named.at + VERSION_BOUND < at).at(0)
-      if (call === undefined || due === undefined || isDisturbed(journal, [call.entry, 'store', nameOf(endpoint)], due.at - SETTLE_TIME, at)) return []
-      return [found({ ...call, endedAt: at }, `started on version ${version} at ${endpoint}, ${Math.round(at - due.at)} ms after version ${due.version} was published`)]
+      const newer = journal.versions.filter(named => named.version > version && named.at + VERSION_BOUND_MILLISECONDS < at).at(0)
+      if (call === undefined || newer === undefined || isDisturbed(journal, [call.entry, 'store', endpointNameOf(endpoint)], newer.at - SETTLE_MILLISECONDS, at)) return []
+      return [violationOf({ ...call, endedAt: at }, `started on version ${version} at ${endpoint}, ${Math.round(at - newer.at)} ms after version ${newer.version} was published`)]
     })
   },
-  'whole-version': ({ loads, calmFrom }) => loads.filter(({ whole }) => !whole).map(({ endpoint, version }) => ({ at: calmFrom, detail: `${endpoint} switched to version ${version}, which was incomplete` })),
+  'whole-version': ({ loads, faultsEndedAt }) => loads.filter(({ whole }) => !whole).map(({ endpoint, version }) => ({ at: faultsEndedAt, detail: `${endpoint} switched to version ${version}, which was incomplete` })),
   finished: journal => {
     const reached = groupBy(journal.arrivals, ({ id }) => id)
     const stops = journal.disturbances.filter(({ kind }) => kind === 'entry-stops')
     return journal.calls.filter(call => !isFinished(call)).flatMap(call => {
-      const stop = stops.find(({ target, from }) => target === call.entry && from >= call.sentAt - GRACE && from <= call.endedAt)
+      const stop = stops.find(({ target, from }) => target === call.entry && from >= call.sentAt - GRACE_MILLISECONDS && from <= call.endedAt)
       const arrivals = reached.get(call.id) ?? []
-      if (stop === undefined || arrivals.length === 0 || isExcused(journal, call, arrivals)) return []
-      return [found(call, `interrupted after it had reached ${arrivals[0]?.endpoint}`)]
+      if (stop === undefined || arrivals.length === 0 || mayHaveOtherCause(journal, call, arrivals)) return []
+      return [violationOf(call, `interrupted after it had reached ${arrivals[0]?.endpoint}`)]
     })
   },
   answered: journal => journal.calls.filter(call => {
     const took = call.endedAt - call.sentAt
-    return call.kind !== 'stream' && took > ROUTE_TIMEOUT + ANSWER_SLACK && isSettled(journal, call.entry, call.endedAt)
-  }).map(call => found(call, `ended after ${Math.round(call.endedAt - call.sentAt)} ms`)),
-  process: ({ processEnds }) => processEnds.flatMap(({ process, at, asked, code, took, up }) => {
+    return call.kind !== 'stream' && took > ROUTE_TIMEOUT_MILLISECONDS + ANSWER_SLACK_MILLISECONDS && isSettled(journal, call.entry, call.endedAt)
+  }).map(call => violationOf(call, `ended after ${Math.round(call.endedAt - call.sentAt)} ms`)),
+  process: ({ processExits }) => processExits.flatMap(({ process, at, exitRequest, code, took, startedUp }) => {
     // A process that has not started up does not handle signals yet and has no requests to complete.
-    const endedBySignal = asked === 'stop' && code === null && !up
-    if (asked === 'kill' || endedBySignal) return []
-    if (asked === 'nothing') return [{ at, detail: `${process} exited by itself with code ${code}` }]
-    return took > GRACE || code !== 0 ? [{ at, detail: `${process} exited with code ${code}, ${Math.round(took)} ms after the stop request` }] : []
+    const endedBySignal = exitRequest === 'stop' && code === null && !startedUp
+    if (exitRequest === 'kill' || endedBySignal) return []
+    if (exitRequest === 'nothing') return [{ at, detail: `${process} exited by itself with code ${code}` }]
+    return took > GRACE_MILLISECONDS || code !== 0 ? [{ at, detail: `${process} exited with code ${code}, ${Math.round(took)} ms after the stop request` }] : []
   }),
-  served: ({ calls, configurations, calmFrom }) => {
+  served: ({ calls, configurations, faultsEndedAt }) => {
     const keys = configurations.at(-1)?.keys ?? []
-    const late = calls.filter(({ sentAt, key }) => sentAt >= calmFrom + RECOVERY && keys.includes(key))
-    const served = late.filter(({ answer }) => answer.status === 200 && answer.whole).length
-    return late.length === 0 || served / late.length >= LEAST_SERVED ? [] : [{ at: calmFrom, detail: `${served} of ${late.length} calls served after the last fault` }]
+    const judged = calls.filter(({ sentAt, key }) => sentAt >= faultsEndedAt + RECOVERY_MILLISECONDS && keys.includes(key))
+    const served = judged.filter(({ answer }) => answer.status === 200 && answer.whole).length
+    return judged.length === 0 || served / judged.length >= MIN_SERVED_SHARE ? [] : [{ at: faultsEndedAt, detail: `${served} of ${judged.length} calls served after the last fault` }]
   },
-  ready: ({ unready, calmFrom }) => unready.map(entry => ({ at: calmFrom, detail: `${entry} accepts no new callers` }))
+  ready: ({ unready, faultsEndedAt }) => unready.map(entry => ({ at: faultsEndedAt, detail: `${entry} accepts no new callers` }))
 }
 
 /** All promises. */
@@ -154,20 +154,20 @@
   return promiseNames.flatMap(promise => checks[promise](journal).map(violation => ({ promise, ...violation })))
 }
 
-function found ({ id, kind, entry, sentAt, endedAt }: CallRecord, detail: string): Omit<Violation, 'promise'> {
+function violationOf ({ id, kind, entry, sentAt, endedAt }: CallRecord, detail: string): Omit<Violation, 'promise'> {
   return { at: endedAt, detail: `${kind} ${id} by ${entry}, sent at ${Math.round(sentAt)}: ${detail}` }
 }
 
 /** Returns the name of the endpoint from the id of one of its starts. */
-function nameOf (start: string): string { return start.replace(/\.\d+$/, '') }
+function endpointNameOf (start: string): string { return start.replace(/\.\d+$/, '') }
 
-function mayRepeat (kind: CallRecord['kind']): boolean { return kind !== 'unsafe' }
+function isRepeatable (kind: CallRecord['kind']): boolean { return kind !== 'unsafe' }
 
 /** Returns why a successful response is wrong; `undefined` if it is right. */
-function wrongAnswer ({ kind, answer }: CallRecord, arrivals: readonly EndpointArrival[]): string | undefined {
+function findAnswerError ({ kind, answer }: CallRecord, arrivals: readonly EndpointArrival[]): string | undefined {
   const signer = signerOf(answer)
   if (!arrivals.some(({ ran, endpoint }) => ran && endpoint === signer)) return `signed by ${signer}, which did not run the request`
-  if (kind !== 'stream') return answer.body === `answer of ${signer}` ? undefined : `signed by ${signer}, but the body "${answer.body.slice(0, 40)}" is not from it`
+  if (kind !== 'stream') return answer.body === `answer of ${signer}` ? undefined : `the body "${answer.body.slice(0, 40)}" is not from ${signer}, which signed it`
   const ids = [...answer.body.matchAll(/^id: (\d+)$/gm)].map(([, id]) => Number(id))
   const isWhole = ids.length === EVENTS_PER_STREAM && ids.every((id, index) => id === index + 1)
   return isWhole ? undefined : `wrong sequence of events: ${ids.join(',')}`
@@ -176,15 +176,15 @@
 function isFinished ({ answer }: CallRecord): boolean { return answer.status !== 0 && answer.whole }
 
 /** Returns whether the call may have ended for another reason than the stop: another fault of the entry, a fault of an endpoint, or the route's timeout. */
-function isExcused ({ disturbances }: Journal, call: CallRecord, arrivals: readonly EndpointArrival[]): boolean {
-  const endpoints = new Set(arrivals.map(({ endpoint }) => nameOf(endpoint)))
+function mayHaveOtherCause ({ disturbances }: Journal, call: CallRecord, arrivals: readonly EndpointArrival[]): boolean {
+  const endpoints = new Set(arrivals.map(({ endpoint }) => endpointNameOf(endpoint)))
   const others = disturbances.filter(({ kind, target }) => (target === call.entry && kind !== 'entry-stops') || endpoints.has(target))
-  if (others.some(({ from, to }) => from <= call.endedAt && to >= call.sentAt - SETTLE_TIME)) return true
-  return call.endedAt - call.sentAt >= ROUTE_TIMEOUT - ANSWER_SLACK
+  if (others.some(({ from, to }) => from <= call.endedAt && to >= call.sentAt - SETTLE_MILLISECONDS)) return true
+  return call.endedAt - call.sentAt >= ROUTE_TIMEOUT_MILLISECONDS - ANSWER_SLACK_MILLISECONDS
 }
 
 /** Returns the configurations that may be in force in a time span: the newest acknowledged before its start, and all written up to its end. */
-function mayBeInForce (configurations: readonly ConfigurationWrite[], from: number, to: number): ConfigurationWrite[] {
+function possibleConfigurations (configurations: readonly ConfigurationWrite[], from: number, to: number): ConfigurationWrite[] {
   const first = configurations.filter(({ at }) => at <= from).at(-1)
   return configurations.filter(({ at, version }) => at <= to && version >= (first?.version ?? 0))
 }
@@ -203,20 +203,20 @@
 }
 
 /** Returns the calls that a process handled by an older configuration than one it had applied before. */
-function goingBack (calls: readonly CallRecord[], { configurations, processEnds }: Journal, entry: string, services: ReadonlyMap<string, string>): Omit<Violation, 'promise'>[] {
-  const starts = processEnds.filter(({ process }) => process === entry).map(({ at }) => at)
-  const broken: Omit<Violation, 'promise'>[] = []
-  const shown: { version: number, at: number }[] = []
+function findRegressions (calls: readonly CallRecord[], { configurations, processExits }: Journal, entry: string, services: ReadonlyMap<string, string>): Omit<Violation, 'promise'>[] {
+  const starts = processExits.filter(({ process }) => process === entry).map(({ at }) => at)
+  const regressions: Omit<Violation, 'promise'>[] = []
+  const applied: { version: number, at: number }[] = []
   for (const call of [...calls].sort((left, right) => left.endedAt - right.endedAt)) {
     const allowing = configurations.filter(configuration => configuration.at <= call.endedAt && isAllowed(call, configuration, services))
-    const life = Math.max(-Infinity, ...starts.filter(at => at <= call.sentAt))
-    const before = Math.max(0, ...shown.filter(({ at }) => at >= life && at < call.sentAt - ORDER_SLACK).map(({ version }) => version))
+    const startedAt = Math.max(-Infinity, ...starts.filter(at => at <= call.sentAt))
+    const before = Math.max(0, ...applied.filter(({ at }) => at >= startedAt && at < call.sentAt - ORDER_SLACK_MILLISECONDS).map(({ version }) => version))
     const oldest = allowing[0]?.version ?? 0
     const newest = allowing.at(-1)?.version ?? 0
-    if (newest > 0 && newest < before) broken.push(found(call, `handled by version ${newest} or older, after version ${before} had been applied`))
-    if (oldest > 0) shown.push({ version: oldest, at: call.endedAt })
+    if (newest > 0 && newest < before) regressions.push(violationOf(call, `handled by version ${newest} or older, after version ${before} had been applied`))
+    if (oldest > 0) applied.push({ version: oldest, at: call.endedAt })
   }
-  return broken
+  return regressions
 }
 
 function groupBy<Item> (items: readonly Item[], keyOf: (item: Item) => string): ReadonlyMap<string, Item[]> {
--- a/packages/soak/src/lib/soak-options.ts
+++ b/packages/soak/src/lib/soak-options.ts
@@ -19,17 +19,17 @@
 }
 
 interface Range {
-  readonly least: number
-  readonly most: number
+  readonly min: number
+  readonly max: number
   readonly whole: boolean
 }
 
 const ranges: Record<keyof SoakOptions, Range> = {
-  seed: { least: 0, most: 2 ** 31, whole: true },
-  minutes: { least: 0.1, most: 600, whole: false },
-  processes: { least: 2, most: 300, whole: true },
-  rate: { least: 1, most: 5_000, whole: false },
-  pause: { least: 50, most: 60_000, whole: false }
+  seed: { min: 0, max: 2 ** 31, whole: true },
+  minutes: { min: 0.1, max: 600, whole: false },
+  processes: { min: 2, max: 300, whole: true },
+  rate: { min: 1, max: 5_000, whole: false },
+  pause: { min: 50, max: 60_000, whole: false }
 }
 
 /**
@@ -44,9 +44,9 @@
   return Object.fromEntries(checked) as unknown as SoakOptions
 }
 
-function checkNumber (key: string, text: string, { least, most, whole }: Range): number {
+function checkNumber (key: string, text: string, { min, max, whole }: Range): number {
   const value = text.trim() === '' ? Number.NaN : Number(text)
-  if (value >= least && value <= most && (!whole || Number.isInteger(value))) return value
-  const expected = `${whole ? 'a whole number' : 'a number'} from ${least} to ${most}`
+  if (value >= min && value <= max && (!whole || Number.isInteger(value))) return value
+  const expected = `${whole ? 'a whole number' : 'a number'} from ${min} to ${max}`
   throw new DrumdriftError({ type: 'settings-failure', file: 'the command line', section: 'soak', key, expected })
 }
--- a/packages/soak/src/lib/soak-run.ts
+++ b/packages/soak/src/lib/soak-run.ts
@@ -11,30 +11,30 @@
 import { Callers } from './callers.js'
 import { Deployment } from './deployment.js'
 import { faultHandlers } from './fault-handlers.js'
-import { drawPlan, type FaultAim, type PlannedFault } from './fault-plan.js'
+import { drawPlan, type TargetKind, type PlannedFault } from './fault-plan.js'
 import type { Disturbance, Journal } from './journal.js'
 import { judge, type Violation } from './promises.js'
 import type { SoakOptions } from './soak-options.js'
 
 const MILLISECONDS_PER_MINUTE = 60_000
 /** Time under load before the first fault, in milliseconds. */
-const WARM_UP = 2_000
+const WARM_UP_MILLISECONDS = 2_000
 /** Time under load after the last fault, in milliseconds. */
-const CALM = 8_000
+const CALM_MILLISECONDS = 8_000
 const NANOSECONDS_PER_MILLISECOND = 1e6
 /** Number of random numbers that are discarded. */
-const FIRST_NUMBERS = 20
+const DISCARDED_NUMBERS = 20
 
 type Print = (fields: LogFields) => void
 
 /** Returns the target of a fault from those of its kind. */
-function chosen<Target> (targets: readonly Target[], { which }: PlannedFault): Target | undefined { return targets[Math.floor(which * targets.length)] }
+function pickTarget<Target> (targets: readonly Target[], { targetPosition }: PlannedFault): Target | undefined { return targets[Math.floor(targetPosition * targets.length)] }
 
 /** Name of the target of a fault. */
-const targetOf: Record<FaultAim, (deployment: Deployment, fault: PlannedFault) => string> = {
-  entry: ({ entries }, fault) => chosen(entries, fault)?.instance ?? '',
-  endpoint: ({ endpoints }, fault) => chosen(endpoints, fault)?.name ?? '',
-  agent: ({ agents }, fault) => chosen(agents, fault)?.instance ?? '',
+const targetNames: Record<TargetKind, (deployment: Deployment, fault: PlannedFault) => string> = {
+  entry: ({ entries }, fault) => pickTarget(entries, fault)?.instance ?? '',
+  endpoint: ({ endpoints }, fault) => pickTarget(endpoints, fault)?.name ?? '',
+  agent: ({ agents }, fault) => pickTarget(agents, fault)?.instance ?? '',
   store: () => 'store',
   operator: () => 'operator'
 }
@@ -51,84 +51,84 @@
   const deployment = new Deployment()
   const lag = monitorEventLoopDelay()
   lag.enable()
-  let kept = false
+  let passed = false
   try {
     const failure = await deployment.start(options.processes)
     if (failure !== undefined) {
       print({ event: 'not-started', reason: failure.type, detail: failure.detail, logs: deployment.directory })
       return false
     }
-    const journal = await play(deployment, options, print)
+    const journal = await runFaults(deployment, options, print)
     const violations = judge(journal)
-    kept = violations.length === 0
+    passed = violations.length === 0
     report(journal, violations, options, lag.max / NANOSECONDS_PER_MILLISECOND, print)
-    if (!kept) print({ event: 'logs-kept', directory: deployment.directory })
-    return kept
+    if (!passed) print({ event: 'logs-kept', directory: deployment.directory })
+    return passed
   } finally {
-    await deployment.close(!kept)
+    await deployment.close(!passed)
   }
 }
 
-async function play (deployment: Deployment, { seed, minutes, rate, pause: meanPause }: SoakOptions, print: Print): Promise<Journal> {
-  const random = warmedUp(seededRandom(seed))
+async function runFaults (deployment: Deployment, { seed, minutes, rate, pause: meanPause }: SoakOptions, print: Print): Promise<Journal> {
+  const random = discardFirstNumbers(seededRandom(seed))
   const plan = drawPlan(random, { length: minutes * MILLISECONDS_PER_MINUTE, pause: meanPause })
   const callers = new Callers(deployment, random)
   callers.start(rate)
-  await pause(WARM_UP)
-  const disturbances = await causeFaults(deployment, plan, print)
+  await pause(WARM_UP_MILLISECONDS)
+  const disturbances = await injectFaults(deployment, plan, print)
   const calmFrom = performance.now()
-  await pause(CALM)
+  await pause(CALM_MILLISECONDS)
   const unready = deployment.entries.filter(({ ready }) => !ready).map(({ instance }) => instance)
   await callers.stop()
   await deployment.stop()
   return {
     calls: callers.records,
     arrivals: deployment.endpoints.flatMap(({ arrivals }) => arrivals),
-    ends: deployment.ends,
+    departures: deployment.departures,
     configurations: deployment.configurations,
     versions: deployment.versions,
     loads: deployment.endpoints.flatMap(({ loads }) => loads),
     disturbances,
-    processEnds: deployment.daemons.flatMap(({ ends }) => ends),
-    calmFrom,
+    processExits: deployment.daemons.flatMap(({ exits }) => exits),
+    faultsEndedAt: calmFrom,
     unready
   }
 }
 
 /** Discards the first random numbers, which are similar for neighbouring seeds. */
-function warmedUp (random: () => number): () => number {
-  for (let count = 0; count < FIRST_NUMBERS; count += 1) random()
+function discardFirstNumbers (random: () => number): () => number {
+  for (let count = 0; count < DISCARDED_NUMBERS; count += 1) random()
   return random
 }
 
-async function causeFaults (deployment: Deployment, plan: readonly PlannedFault[], print: Print): Promise<Disturbance[]> {
+async function injectFaults (deployment: Deployment, plan: readonly PlannedFault[], print: Print): Promise<Disturbance[]> {
   const startedAt = performance.now()
   const disturbances: Disturbance[] = []
   const busy = new Map<string, Promise<void>>()
   for (const fault of plan) {
     await pause(Math.max(0, startedAt + fault.at - performance.now()))
-    const target = targetOf[fault.aim](deployment, fault)
+    const target = targetNames[fault.targetKind](deployment, fault)
     // Faults of one target do not overlap, except that a fault of its link may overlap with one of the target itself.
     const part = `${target}/${fault.kind.includes('-way-')}`
     if (busy.has(part)) continue
     print({ event: 'fault', kind: fault.kind, target, at: Math.round(performance.now()) })
     const disturbance = { kind: fault.kind, target, from: performance.now(), to: Infinity }
     disturbances.push(disturbance)
-    const under = causeFault(deployment, fault).then(() => {
+    const recovery = injectFault(deployment, fault).then(() => {
       disturbance.to = performance.now()
       busy.delete(part)
     })
-    busy.set(part, under)
+    busy.set(part, recovery)
   }
   await Promise.all(busy.values())
   return disturbances
 }
 
-async function causeFault (deployment: Deployment, fault: PlannedFault): Promise<void> {
+async function injectFault (deployment: Deployment, fault: PlannedFault): Promise<void> {
   const { entries, endpoints, agents } = deployment
-  const entry = chosen(entries, fault)
-  const endpoint = chosen(endpoints, fault)
-  const agent = chosen(agents, fault)
+  const entry = pickTarget(entries, fault)
+  const endpoint = pickTarget(endpoints, fault)
+  const agent = pickTarget(agents, fault)
   if (entry !== undefined && endpoint !== undefined && agent !== undefined) await faultHandlers[fault.kind]({ deployment, fault, entry, endpoint, agent })
 }
 
--- a/packages/soak/src/soak.ts
+++ b/packages/soak/src/soak.ts
@@ -22,8 +22,8 @@
   .action(async (given: Record<keyof SoakOptions, string>) => {
     const options = orExit(() => checkOptions(given))
     for (const signal of ['SIGINT', 'SIGTERM'] as const) process.once(signal, () => process.exit(EXIT_INTERRUPTED))
-    const kept = await runSoak(options, fields => { process.stdout.write(`${formatPairs(fields)}\n`) })
-    process.exitCode = kept ? 0 : 1
+    const passed = await runSoak(options, fields => { process.stdout.write(`${formatPairs(fields)}\n`) })
+    process.exitCode = passed ? 0 : 1
   })
 
 program.parseAsync(process.argv)
--- a/packages/soak/src/test/lib/fault-plan_test.ts
+++ b/packages/soak/src/test/lib/fault-plan_test.ts
@@ -26,7 +26,7 @@
 
   it('draws series of faults that go through the targets', () => {
     const plan = drawPlan(seededRandom(7), options)
-    const series = plan.filter((fault, index) => plan.slice(index + 1, index + 6).some(next => next.kind === fault.kind && next.lasts === fault.lasts && next.which !== fault.which))
+    const series = plan.filter((fault, index) => plan.slice(index + 1, index + 6).some(next => next.kind === fault.kind && next.durationMilliseconds === fault.durationMilliseconds && next.targetPosition !== fault.targetPosition))
     assert.ok(series.length > plan.length / 5, `${series.length} of ${plan.length}`)
   })
 })
--- a/packages/soak/src/test/lib/promises_test.ts
+++ b/packages/soak/src/test/lib/promises_test.ts
@@ -27,30 +27,30 @@
   return {
     calls: [call({})],
     arrivals: [arrival()],
-    ends: [],
+    departures: [],
     configurations: [{ version: 1, at: 0, movingTo: 'desk', keys: ['steady'] }],
     versions: [],
     loads: [],
     disturbances: [],
-    processEnds: [{ process: 'entry-1', at: 60_000, asked: 'stop', code: 0, took: 100, up: true }],
-    calmFrom: 50_000,
+    processExits: [{ process: 'entry-1', at: 60_000, exitRequest: 'stop', code: 0, took: 100, startedUp: true }],
+    faultsEndedAt: 50_000,
     unready: [],
     ...part
   }
 }
 
 const refused = call({ kind: 'unsafe', answer: answer(503) })
-const toArchive = [{ version: 1, at: 0, movingTo: 'desk', keys: ['steady'] }, { version: 2, at: 5_000, movingTo: 'archive', keys: ['steady'] }]
-const cutOff = call({ answer: answer(0, { whole: false }) })
+const configurationsToArchive = [{ version: 1, at: 0, movingTo: 'desk', keys: ['steady'] }, { version: 2, at: 5_000, movingTo: 'archive', keys: ['steady'] }]
+const interrupted = call({ answer: answer(0, { whole: false }) })
 const stop: Disturbance = { kind: 'entry-stops', target: 'entry-1', from: 10_030, to: 11_000 }
-const storeAway: Disturbance = { kind: 'store-down', target: 'store', from: 9_000, to: 9_500 }
+const storeOutage: Disturbance = { kind: 'store-down', target: 'store', from: 9_000, to: 9_500 }
 const moved = call({ id: 'call-2', kind: 'moving', sentAt: 6_000, endedAt: 6_050, answer: answer(200, { headers: { 'x-server-seal': 'seal-of-archive-1.1' }, body: 'answer of archive-1.1' }) })
-const movedThere = arrival({ id: 'call-2', endpoint: 'archive-1.1', service: 'archive', at: 6_020 })
+const movedArrival = arrival({ id: 'call-2', endpoint: 'archive-1.1', service: 'archive', at: 6_020 })
 const inPool = arrival({ service: 'pool' })
-const ownEnd = { process: 'entry-1', at: 20_000, asked: 'nothing', code: 1, took: 0, up: true } as const
+const selfExit = { process: 'entry-1', at: 20_000, exitRequest: 'nothing', code: 1, took: 0, startedUp: true } as const
 
 describe('judge', () => {
-  const cases: [name: string, part: Partial<Journal>, broken: string[]][] = [
+  const cases: [name: string, part: Partial<Journal>, expected: string[]][] = [
     ['a served call', {}, []],
     ['a refusal of a request that has run', { calls: [refused] }, ['not-run']],
     ['a refusal of a repeatable request that has run', { calls: [call({ answer: answer(503) })] }, []],
@@ -64,42 +64,42 @@
     ['a stream that lacks an event but ends as complete', { calls: [call({ kind: 'stream', answer: answer(200, { body: events.slice(1).join('') }) })] }, ['own-answer']],
     ['a stream that repeats an event', { calls: [call({ kind: 'stream', answer: answer(200, { body: [...events, events[5]].join('') }) })] }, ['own-answer']],
     ['a stream that is cut and recognisable as incomplete', { calls: [call({ kind: 'stream', answer: answer(200, { body: events[0] ?? '', whole: false }) })] }, []],
-    ['a request that reaches an endpoint after the drain bound', { ends: [{ endpoint: 'desk-1.1', says: 'draining', at: 8_000 }] }, ['drain']],
-    ['a request that reaches an endpoint within the drain bound', { ends: [{ endpoint: 'desk-1.1', says: 'draining', at: 8_500 }] }, []],
-    ['a request to a removed endpoint from an entry that could not reach the store', { ends: [{ endpoint: 'desk-1.1', says: 'gone', at: 8_000 }], disturbances: [storeAway] }, []],
-    ['a route that leads to the former service after the bound', { calls: [call({ kind: 'moving' })], configurations: toArchive }, ['in-force']],
-    ['a route that leads to the former service within the bound', { calls: [call({ kind: 'moving', sentAt: 6_500, endedAt: 6_550 })], configurations: toArchive }, []],
+    ['a request that reaches an endpoint after the drain bound', { departures: [{ endpoint: 'desk-1.1', kind: 'draining', at: 8_000 }] }, ['drain']],
+    ['a request that reaches an endpoint within the drain bound', { departures: [{ endpoint: 'desk-1.1', kind: 'draining', at: 8_500 }] }, []],
+    ['a request to a removed endpoint from an entry that could not reach the store', { departures: [{ endpoint: 'desk-1.1', kind: 'gone', at: 8_000 }], disturbances: [storeOutage] }, []],
+    ['a route that leads to the former service after the bound', { calls: [call({ kind: 'moving' })], configurations: configurationsToArchive }, ['in-force']],
+    ['a route that leads to the former service within the bound', { calls: [call({ kind: 'moving', sentAt: 6_500, endedAt: 6_550 })], configurations: configurationsToArchive }, []],
     ['a revoked key that is accepted', { calls: [call({ key: 'old' })] }, ['in-force']],
     ['a valid key that is refused', { calls: [call({ answer: answer(401) })], arrivals: [] }, ['in-force']],
     ['a revoked key that is refused', { calls: [call({ key: 'old', answer: answer(401) })], arrivals: [] }, []],
     ['a route that is not found', { calls: [call({ answer: answer(404) })], arrivals: [] }, ['in-force']],
-    ['a process that returns to an older configuration', { calls: [moved, call({ kind: 'moving', sentAt: 6_200, endedAt: 6_250 })], arrivals: [movedThere, arrival({ at: 6_220 })], configurations: toArchive }, ['never-back']],
-    ['a process that applies an older configuration after a restart', { calls: [moved, call({ kind: 'moving', sentAt: 6_200, endedAt: 6_250 })], arrivals: [movedThere, arrival({ at: 6_220 })], configurations: toArchive, processEnds: [{ process: 'entry-1', at: 6_100, asked: 'kill', code: null, took: 1, up: true }] }, []],
+    ['a process that returns to an older configuration', { calls: [moved, call({ kind: 'moving', sentAt: 6_200, endedAt: 6_250 })], arrivals: [movedArrival, arrival({ at: 6_220 })], configurations: configurationsToArchive }, ['never-back']],
+    ['a process that applies an older configuration after a restart', { calls: [moved, call({ kind: 'moving', sentAt: 6_200, endedAt: 6_250 })], arrivals: [movedArrival, arrival({ at: 6_220 })], configurations: configurationsToArchive, processExits: [{ process: 'entry-1', at: 6_100, exitRequest: 'kill', code: null, took: 1, startedUp: true }] }, []],
     ['a request that starts on an old version after the bound', { arrivals: [inPool], versions: [{ version: 2, at: 2_000 }] }, ['version']],
     ['a request that starts on an old version within the bound', { arrivals: [inPool], versions: [{ version: 2, at: 2_500 }] }, []],
     ['a request on an old version whose engine had a slow link', { arrivals: [inPool], versions: [{ version: 2, at: 2_000 }], disturbances: [{ kind: 'endpoint-way-slow', target: 'desk-1', from: 4_000, to: 5_000 }] }, []],
     ['a switch to a version that lacks a piece', { loads: [{ endpoint: 'pool-1.1', version: 2, whole: false }] }, ['whole-version']],
     ['a switch to a complete version', { loads: [{ endpoint: 'pool-1.1', version: 2, whole: true }] }, []],
-    ['a call that the stop of an entry interrupts', { calls: [cutOff], disturbances: [stop] }, ['finished']],
-    ['a call interrupted by a stop before it reached an endpoint', { calls: [cutOff], arrivals: [], disturbances: [stop] }, []],
-    ['a call interrupted by a stop whose endpoint crashes too', { calls: [cutOff], disturbances: [stop, { kind: 'endpoint-crashes', target: 'desk-1', from: 10_000, to: 14_000 }] }, []],
+    ['a call that the stop of an entry interrupts', { calls: [interrupted], disturbances: [stop] }, ['finished']],
+    ['a call interrupted by a stop before it reached an endpoint', { calls: [interrupted], arrivals: [], disturbances: [stop] }, []],
+    ['a call interrupted by a stop whose endpoint crashes too', { calls: [interrupted], disturbances: [stop, { kind: 'endpoint-crashes', target: 'desk-1', from: 10_000, to: 14_000 }] }, []],
     ['a call that is answered after its timeout', { calls: [call({ endedAt: 12_600 })] }, ['answered']],
     ['a call that is answered after its timeout by an entry that was paused', { calls: [call({ endedAt: 12_600 })], disturbances: [{ kind: 'entry-paused', target: 'entry-1', from: 10_010, to: 12_000 }] }, []],
-    ['a process that exits by itself', { processEnds: [ownEnd] }, ['process']],
-    ['a process that stops with a failure code', { processEnds: [{ ...ownEnd, asked: 'stop' }] }, ['process']],
-    ['a process that stops after the grace period', { processEnds: [{ ...ownEnd, asked: 'stop', code: 0, took: 8_100 }] }, ['process']],
-    ['a process that the stop signal kills', { processEnds: [{ ...ownEnd, asked: 'stop', code: null }] }, ['process']],
-    ['a process that the stop signal kills before it has started up', { processEnds: [{ ...ownEnd, asked: 'stop', code: null, up: false }] }, []],
-    ['a process that exits by itself before it has started up', { processEnds: [{ ...ownEnd, up: false }] }, ['process']],
-    ['a process that was killed', { processEnds: [{ ...ownEnd, asked: 'kill', code: null }] }, []],
+    ['a process that exits by itself', { processExits: [selfExit] }, ['process']],
+    ['a process that stops with a failure code', { processExits: [{ ...selfExit, exitRequest: 'stop' }] }, ['process']],
+    ['a process that stops after the grace period', { processExits: [{ ...selfExit, exitRequest: 'stop', code: 0, took: 8_100 }] }, ['process']],
+    ['a process that the stop signal kills', { processExits: [{ ...selfExit, exitRequest: 'stop', code: null }] }, ['process']],
+    ['a process that the stop signal kills before it has started up', { processExits: [{ ...selfExit, exitRequest: 'stop', code: null, startedUp: false }] }, []],
+    ['a process that exits by itself before it has started up', { processExits: [{ ...selfExit, startedUp: false }] }, ['process']],
+    ['a process that was killed', { processExits: [{ ...selfExit, exitRequest: 'kill', code: null }] }, []],
     ['callers who are not served after the last fault', { calls: [call({ sentAt: 54_000, endedAt: 54_050, answer: answer(502) })] }, ['served']],
     ['an entry that accepts no callers after the last fault', { unready: ['entry-1'] }, ['ready']]
   ]
-  for (const [name, part, broken] of cases) {
-    it(`judges ${name}`, () => { assert.deepEqual(judge(journal(part)).map(({ promise }) => promise), broken) })
+  for (const [name, part, expected] of cases) {
+    it(`judges ${name}`, () => { assert.deepEqual(judge(journal(part)).map(({ promise }) => promise), expected) })
   }
 
   it('has a case that breaks each promise', () => {
-    assert.deepEqual([...new Set(cases.flatMap(([, , broken]) => broken))].sort(), [...promiseNames].sort())
+    assert.deepEqual([...new Set(cases.flatMap(([, , expected]) => expected))].sort(), [...promiseNames].sort())
   })
 })
