--- a/packages/soak/src/lib/agent-process.ts
+++ b/packages/soak/src/lib/agent-process.ts
@@ -40,5 +40,5 @@
 link-percent = 75
 memory-megabytes = 8
 `
-  return new DaemonProcess({ instance: `agent-${name}`, role: 'weights-agent', directory: shared.directory, heap: HEAP_MEGABYTES, settings })
+  return new DaemonProcess({ instance: `agent-${name}`, role: 'weights-agent', directory: shared.directory, heapMegabytes: HEAP_MEGABYTES, settings })
 }
--- a/packages/soak/src/lib/callers.ts
+++ b/packages/soak/src/lib/callers.ts
@@ -37,7 +37,7 @@
    */
   start (rate: number): void {
     const connections = Math.round(rate / 2 * PERSISTENT_CALL_PAUSE_MILLISECONDS / MILLISECONDS_PER_SECOND)
-    for (let index = 0; index < connections; index += 1) this._track(this._callOnPersistentConnections(index / connections * PERSISTENT_CALL_PAUSE_MILLISECONDS))
+    for (let index = 0; index < connections; index += 1) this._track(this._callOnPersistentConnection(index / connections * PERSISTENT_CALL_PAUSE_MILLISECONDS))
     this._track(this._callOnNewConnections(2 * MILLISECONDS_PER_SECOND / rate))
   }
 
@@ -52,8 +52,8 @@
     work.then(() => { this._inFlight.delete(work) })
   }
 
-  private async _callOnPersistentConnections (after: number): Promise<void> {
-    await pause(after)
+  private async _callOnPersistentConnection (delay: number): Promise<void> {
+    await pause(delay)
     while (!this._stopped) {
       const entry = this._drawEntry()
       if (entry === undefined) await pause(PERSISTENT_CALL_PAUSE_MILLISECONDS)
@@ -72,11 +72,11 @@
     agent.destroy()
   }
 
-  private async _callOnNewConnections (mean: number): Promise<void> {
+  private async _callOnNewConnections (meanPause: number): Promise<void> {
     while (!this._stopped) {
       const entry = this._drawEntry()
       if (entry !== undefined) this._track(this._call(entry, undefined).then(() => {}))
-      await pause(-Math.log(1 - this._random()) * mean)
+      await pause(-Math.log(1 - this._random()) * meanPause)
     }
   }
 
--- a/packages/soak/src/lib/daemon-process.ts
+++ b/packages/soak/src/lib/daemon-process.ts
@@ -17,7 +17,7 @@
   readonly role: 'route-entry' | 'weights-agent'
   readonly directory: string
   /** Heap limit in megabytes, as in the users' deployment. */
-  readonly heap: number
+  readonly heapMegabytes: number
   /** Settings file, in INI format. */
   readonly settings: string
 }
@@ -41,7 +41,7 @@
   private get _logFile (): string { return `${this._settingsFile}.log` }
 
   start (): void {
-    const { role, heap } = this._plan
+    const { role, heapMegabytes: heap } = this._plan
     const output = openSync(this._logFile, 'a')
     this._logSizeAtStart = statSync(this._logFile).size
     const child = spawn(process.execPath, [`--max-old-space-size=${heap}`, PROGRAM, role, this._settingsFile], { stdio: ['ignore', output, output] })
--- a/packages/soak/src/lib/deployment.ts
+++ b/packages/soak/src/lib/deployment.ts
@@ -24,7 +24,7 @@
 /** Last octet of the address of the first engine. */
 const FIRST_ENGINE_OCTET = 11
 /** Number of entries that read the store for the others, one in each availability zone if there are enough entries. */
-const RELAYS = 3
+const RELAY_COUNT = 3
 const READINESS_CHECK_MILLISECONDS = 500
 /** Rate limit of the stand-ins, above the rate that the processes of a soak reach. */
 const CALLS_PER_SECOND = 10_000
@@ -88,7 +88,7 @@
     await this._prepare(processes)
     for (const endpoint of this.endpoints) {
       await endpoint.start()
-      this.list(endpoint, 'ready')
+      this.writeRecord(endpoint, 'ready')
     }
   }
 
@@ -112,7 +112,7 @@
   }
 
   /** Writes the record of an endpoint, in place of the endpoint itself. */
-  list (endpoint: EndpointStarts, state: EndpointState): void {
+  writeRecord (endpoint: EndpointStarts, state: EndpointState): void {
     const { id } = endpoint.worker
     this._listed.set(id, { endpoint, state })
     this.store.putWorker(id, endpoint.entry(state))
@@ -120,7 +120,7 @@
   }
 
   /** Removes the record of an endpoint. */
-  unlist (endpoint: EndpointStarts): void {
+  removeRecord (endpoint: EndpointStarts): void {
     const { id } = endpoint.worker
     this._listed.delete(id)
     this._removed.add(id)
@@ -182,7 +182,7 @@
     const port = (): number => ports.pop() ?? 0
     const agentPort = port()
     const peers = Array.from({ length: entries }, port)
-    const seeds = peers.slice(0, RELAYS).map(peer => `127.0.0.1:${peer}`)
+    const seeds = peers.slice(0, RELAY_COUNT).map(peer => `127.0.0.1:${peer}`)
     const shared = { directory: this.directory, availabilityZones: AVAILABILITY_ZONES, seeds, agentPort, stopTimeoutSeconds: (GRACE_MILLISECONDS - STOP_MARGIN_MILLISECONDS) / 1_000 }
     for (const [index, peer] of peers.entries()) await this._addEntry(index, peer, shared)
     for (const service of SERVICES) for (let index = 0; index < ENDPOINTS_PER_SERVICE; index += 1) this._addEndpoint(service, index, port(), shared)
--- a/packages/soak/src/lib/endpoint-starts.ts
+++ b/packages/soak/src/lib/endpoint-starts.ts
@@ -77,6 +77,6 @@
 
   /** Versions that any start switched to. */
   get loads (): VersionLoad[] {
-    return this._workers.flatMap(({ id: endpoint, versionSwitches: versionsTaken }) => versionsTaken.map(({ version, whole }) => ({ endpoint, version, whole })))
+    return this._workers.flatMap(({ id: endpoint, versionSwitches }) => versionSwitches.map(({ version, whole }) => ({ endpoint, version, whole })))
   }
 }
--- a/packages/soak/src/lib/entry-process.ts
+++ b/packages/soak/src/lib/entry-process.ts
@@ -40,7 +40,7 @@
   private _failedChecks = 0
 
   constructor (readonly plan: EntryPlan) {
-    this.daemon = new DaemonProcess({ instance: plan.instance, role: 'route-entry', directory: plan.shared.directory, heap: HEAP_MEGABYTES, settings: settingsText(plan) })
+    this.daemon = new DaemonProcess({ instance: plan.instance, role: 'route-entry', directory: plan.shared.directory, heapMegabytes: HEAP_MEGABYTES, settings: settingsText(plan) })
   }
 
   get instance (): string { return this.plan.instance }
--- a/packages/soak/src/lib/fault-handlers.ts
+++ b/packages/soak/src/lib/fault-handlers.ts
@@ -13,7 +13,7 @@
 import type { FaultKind, PlannedFault } from './fault-plan.js'
 import { DRAIN_BOUND_MILLISECONDS } from './promises.js'
 
-/** Targets that are available to a fault handler. */
+/** The fault to inject, and the deployment and targets that a handler may use. */
 export interface FaultContext {
   readonly deployment: Deployment
   readonly fault: PlannedFault
@@ -23,7 +23,7 @@
 }
 
 /** Injects a fault and reverts it. */
-export type FaultHandler = (scene: FaultContext) => Promise<void>
+export type FaultHandler = (context: FaultContext) => Promise<void>
 
 const READY_TIMEOUT_MILLISECONDS = 15_000
 /** Time after which the record of a crashed endpoint expires, in milliseconds. */
@@ -82,15 +82,15 @@
     deployment.removeExpiredRecords()
   },
   'endpoint-drains': async ({ deployment, endpoint }) => {
-    deployment.list(endpoint, 'draining')
+    deployment.writeRecord(endpoint, 'draining')
     await pause(DRAIN_BOUND_MILLISECONDS + REWRITE_DELAY_MILLISECONDS)
-    deployment.unlist(endpoint)
+    deployment.removeRecord(endpoint)
     await startReplacement(deployment, endpoint)
   },
   'endpoint-crashes': async ({ deployment, endpoint }) => {
     endpoint.end()
     await pause(RECORD_EXPIRY_MILLISECONDS)
-    deployment.unlist(endpoint)
+    deployment.removeRecord(endpoint)
     await startReplacement(deployment, endpoint)
   },
   'endpoint-sheds': inWorkerMode('sheds'),
@@ -165,5 +165,5 @@
   await pause(REPLACEMENT_DELAY_MILLISECONDS)
   endpoint.end()
   await endpoint.start()
-  deployment.list(endpoint, 'ready')
+  deployment.writeRecord(endpoint, 'ready')
 }
--- a/packages/soak/src/lib/promises.ts
+++ b/packages/soak/src/lib/promises.ts
@@ -122,8 +122,8 @@
     })
   },
   answered: journal => journal.calls.filter(call => {
-    const took = call.endedAt - call.sentAt
-    return call.kind !== 'stream' && took > ROUTE_TIMEOUT_MILLISECONDS + ANSWER_SLACK_MILLISECONDS && isSettled(journal, call.entry, call.endedAt)
+    const elapsed = call.endedAt - call.sentAt
+    return call.kind !== 'stream' && elapsed > ROUTE_TIMEOUT_MILLISECONDS + ANSWER_SLACK_MILLISECONDS && isSettled(journal, call.entry, call.endedAt)
   }).map(call => violationOf(call, `ended after ${Math.round(call.endedAt - call.sentAt)} ms`)),
   process: ({ processExits }) => processExits.flatMap(({ process, at, exitRequest, code, took, startedUp }) => {
     // A process that has not started up does not handle signals yet and has no requests to complete.
--- a/packages/soak/src/lib/soak-options.ts
+++ b/packages/soak/src/lib/soak-options.ts
@@ -21,15 +21,15 @@
 interface Range {
   readonly min: number
   readonly max: number
-  readonly whole: boolean
+  readonly integer: boolean
 }
 
 const ranges: Record<keyof SoakOptions, Range> = {
-  seed: { min: 0, max: 2 ** 31, whole: true },
-  minutes: { min: 0.1, max: 600, whole: false },
-  processes: { min: 2, max: 300, whole: true },
-  rate: { min: 1, max: 5_000, whole: false },
-  pause: { min: 50, max: 60_000, whole: false }
+  seed: { min: 0, max: 2 ** 31, integer: true },
+  minutes: { min: 0.1, max: 600, integer: false },
+  processes: { min: 2, max: 300, integer: true },
+  rate: { min: 1, max: 5_000, integer: false },
+  pause: { min: 50, max: 60_000, integer: false }
 }
 
 /**
@@ -44,9 +44,9 @@
   return Object.fromEntries(checked) as unknown as SoakOptions
 }
 
-function checkNumber (key: string, text: string, { min, max, whole }: Range): number {
+function checkNumber (key: string, text: string, { min, max, integer }: Range): number {
   const value = text.trim() === '' ? Number.NaN : Number(text)
-  if (value >= min && value <= max && (!whole || Number.isInteger(value))) return value
-  const expected = `${whole ? 'a whole number' : 'a number'} from ${min} to ${max}`
+  if (value >= min && value <= max && (!integer || Number.isInteger(value))) return value
+  const expected = `${integer ? 'a whole number' : 'a number'} from ${min} to ${max}`
   throw new DrumdriftError({ type: 'settings-failure', file: 'the command line', section: 'soak', key, expected })
 }
--- a/packages/soak/src/lib/soak-run.ts
+++ b/packages/soak/src/lib/soak-run.ts
@@ -134,7 +134,7 @@
 
 function report ({ calls, arrivals, versions, loads, disturbances }: Journal, violations: readonly Violation[], options: SoakOptions, longestPause: number, print: Print): void {
   for (const { promise, at, detail } of violations) print({ event: 'broken', promise, at: Math.round(at), detail })
-  const count = (holds: (status: number, whole: boolean) => boolean): number => calls.filter(({ answer }) => holds(answer.status, answer.whole)).length
+  const count = (matches: (status: number, complete: boolean) => boolean): number => calls.filter(({ answer }) => matches(answer.status, answer.whole)).length
   print({
     event: 'soak',
     seed: options.seed,
@@ -142,10 +142,10 @@
     processes: options.processes,
     faults: disturbances.length,
     calls: calls.length,
-    served: count((status, whole) => status === 200 && whole),
+    served: count((status, complete) => status === 200 && complete),
     refused: count(status => status === 503),
     failed: count(status => status >= 500 && status !== 503),
-    cut: count((status, whole) => status === 0 || !whole),
+    cut: count((status, complete) => status === 0 || !complete),
     arrivals: arrivals.length,
     versions: versions.length,
     loads: loads.length,
--- a/packages/stand-ins/src/endpoint-host.ts
+++ b/packages/stand-ins/src/endpoint-host.ts
@@ -9,7 +9,7 @@
 import type { HostOrder, HostReply } from './lib/host-messages.js'
 
 const engines = new Map<number, ModelEngine>()
-const plains = new Map<number, PlainService>()
+const plainServices = new Map<number, PlainService>()
 
 async function execute (order: HostOrder): Promise<HostReply> {
   if (order.type === 'engine') {
@@ -19,7 +19,7 @@
   }
   if (order.type === 'plain') {
     const plain = new PlainService(order.duration)
-    plains.set(order.port, plain)
+    plainServices.set(order.port, plain)
     await plain.listen(order.port)
   }
   if (order.type === 'freeze') {
@@ -27,7 +27,7 @@
     if (engine !== undefined) engine.frozen = order.frozen
   }
   if (order.type === 'behave') {
-    const service = engines.get(order.port) ?? plains.get(order.port)
+    const service = engines.get(order.port) ?? plainServices.get(order.port)
     if (service !== undefined) service.behaviour = order.behaviour
   }
   if (order.type === 'fail-loads') {
@@ -37,7 +37,7 @@
   return {
     id: order.id,
     engines: order.type === 'journal' ? [...engines].map(([port, engine]) => ({ port, version: engine.version, journal: engine.journal })) : [],
-    plains: order.type === 'journal' ? [...plains].map(([port, plain]) => ({ port, runs: plain.runs })) : []
+    plains: order.type === 'journal' ? [...plainServices].map(([port, plain]) => ({ port, runs: plain.runs })) : []
   }
 }
 
--- a/packages/stand-ins/src/lib/http-service.ts
+++ b/packages/stand-ins/src/lib/http-service.ts
@@ -79,7 +79,7 @@
   }
 }
 
-/** Reads the whole body of a request. */
+/** Reads the complete body of a request. */
 export async function readAll (request: IncomingMessage): Promise<Buffer> {
   const chunks: Buffer[] = []
   for await (const chunk of request) chunks.push(chunk as Buffer)
--- a/packages/stand-ins/src/lib/link.ts
+++ b/packages/stand-ins/src/lib/link.ts
@@ -69,14 +69,14 @@
     }
   }
 
-  private _accept (near: Socket): void {
+  private _accept (client: Socket): void {
     if (this._mode === 'cut') {
-      near.destroy()
+      client.destroy()
       return
     }
-    const far = createConnection({ host: this._host, port: this._target })
-    this._forward(near, far, 'to-target')
-    this._forward(far, near, 'from-target')
+    const upstream = createConnection({ host: this._host, port: this._target })
+    this._forward(client, upstream, 'to-target')
+    this._forward(upstream, client, 'from-target')
   }
 
   private _forward (from: Socket, to: Socket, direction: Direction): void {
--- a/packages/stand-ins/src/lib/shared-link.ts
+++ b/packages/stand-ins/src/lib/shared-link.ts
@@ -56,17 +56,17 @@
     for (const socket of this._sockets) socket.destroy()
   }
 
-  private _accept (near: Socket): void {
-    const far = createConnection({ host: '127.0.0.1', port: this._target })
-    for (const socket of [near, far]) {
+  private _accept (client: Socket): void {
+    const upstream = createConnection({ host: '127.0.0.1', port: this._target })
+    for (const socket of [client, upstream]) {
       this._sockets.add(socket)
       socket.on('error', () => socket.destroy())
       socket.on('close', () => { this._sockets.delete(socket) })
     }
-    near.on('data', bytes => { far.write(bytes) })
-    near.on('close', () => far.destroy())
-    far.on('data', bytes => this._enqueue({ bytes, from: far, to: near }))
-    far.on('close', () => { if (!this._queuedBytes.has(far)) near.destroy() })
+    client.on('data', bytes => { upstream.write(bytes) })
+    client.on('close', () => upstream.destroy())
+    upstream.on('data', bytes => this._enqueue({ bytes, from: upstream, to: client }))
+    upstream.on('close', () => { if (!this._queuedBytes.has(upstream)) client.destroy() })
   }
 
   private _enqueue (queued: Queued): void {
--- a/packages/stand-ins/src/lib/users-platform/caller.ts
+++ b/packages/stand-ins/src/lib/users-platform/caller.ts
@@ -61,9 +61,9 @@
 /** Sends one request and collects the response. Resolves also if the request fails. */
 export function ask (address: string, { path, method = 'POST', body = 'question', headers = {}, agent, signal }: Asked): Promise<SeenAnswer> {
   const [host, port] = address.split(':')
-  const all = { host: 'halls.example', 'x-attempt-id': 'attempt-1', 'x-credential': 'key-1', 'x-deadline-ms': '3000', 'content-length': String(Buffer.byteLength(body)), ...headers }
+  const allHeaders = { host: 'halls.example', 'x-attempt-id': 'attempt-1', 'x-credential': 'key-1', 'x-deadline-ms': '3000', 'content-length': String(Buffer.byteLength(body)), ...headers }
   return new Promise(resolve => {
-    const outgoing = openRequest({ host, port, path, method, headers: all, agent: agent ?? false, signal }, response => { collect(response, outgoing.reusedSocket, resolve) })
+    const outgoing = openRequest({ host, port, path, method, headers: allHeaders, agent: agent ?? false, signal }, response => { collect(response, outgoing.reusedSocket, resolve) })
     outgoing.on('error', () => resolve({ status: 0, headers: {}, body: '', whole: false, reused: outgoing.reusedSocket }))
     outgoing.end(body)
   })
--- a/packages/stand-ins/src/lib/users-platform/key-value-store.ts
+++ b/packages/stand-ins/src/lib/users-platform/key-value-store.ts
@@ -104,9 +104,9 @@
   private _currentSnapshot (): StoreSnapshot { return { items: [...this._items.values()], history: [...this._history], revision: this._revision } }
 
   private _closeWatches (): void {
-    for (const waiting of this._pendingWatches) {
-      clearTimeout(waiting.timer)
-      waiting.response.destroy()
+    for (const watch of this._pendingWatches) {
+      clearTimeout(watch.timer)
+      watch.response.destroy()
     }
     this._pendingWatches.clear()
   }
@@ -125,31 +125,31 @@
     if (this.mode === 'turns-away') return sendJson(response, {}, 503)
     const url = new URL(request.url ?? '/', 'http://store')
     const prefix = url.searchParams.get('pathPrefix') ?? ''
-    const old = url.searchParams.get('allowStale') === '1' ? this._staleSnapshot : undefined
-    if (url.pathname === '/api/kv-range') this._range(old ?? { items: [...this._items.values()], revision: this._revision }, prefix, url.searchParams.get('sinceRev') ?? '', response)
+    const stale = url.searchParams.get('allowStale') === '1' ? this._staleSnapshot : undefined
+    if (url.pathname === '/api/kv-range') this._range(stale ?? { items: [...this._items.values()], revision: this._revision }, prefix, url.searchParams.get('sinceRev') ?? '', response)
     else if (url.pathname === '/api/kv-watch') this._watch(prefix, Number(url.searchParams.get('sinceRev')), Number(url.searchParams.get('waitMs')), response)
     else sendJson(response, {}, 404)
   }
 
-  private _range (held: Pick<StoreSnapshot, 'items' | 'revision'>, prefix: string, afterKey: string, response: ServerResponse): void {
-    const items = held.items.filter(({ key }) => key.startsWith(prefix) && key > afterKey).sort((left, right) => left.key < right.key ? -1 : 1)
-    sendJson(response, { items: items.slice(0, this.pageSize), truncated: items.length > this.pageSize, storeRevision: held.revision })
+  private _range (snapshot: Pick<StoreSnapshot, 'items' | 'revision'>, prefix: string, afterKey: string, response: ServerResponse): void {
+    const items = snapshot.items.filter(({ key }) => key.startsWith(prefix) && key > afterKey).sort((left, right) => left.key < right.key ? -1 : 1)
+    sendJson(response, { items: items.slice(0, this.pageSize), truncated: items.length > this.pageSize, storeRevision: snapshot.revision })
     this._pageListener(++this._pages)
   }
 
   private _watch (prefix: string, after: number, wait: number, response: ServerResponse): void {
     if (after < this._compactedRevision || after > this._revision) return sendJson(response, {}, 410)
     if (this._sendEvents(prefix, after, response)) return
-    const waiting: PendingWatch = {
+    const watch: PendingWatch = {
       prefix,
       after,
       response,
       timer: setTimeout(() => {
-        this._pendingWatches.delete(waiting)
+        this._pendingWatches.delete(watch)
         sendJson(response, { events: [], storeRevision: this._revision })
       }, wait)
     }
-    this._pendingWatches.add(waiting)
+    this._pendingWatches.add(watch)
   }
 
   private _sendEvents (prefix: string, after: number, response: ServerResponse): boolean {
@@ -164,10 +164,10 @@
     else this._items.set(event.key, event)
     this._history.push(event)
     if (this.mode === 'silent') return event.revision
-    for (const waiting of this._pendingWatches) {
-      if (!this._sendEvents(waiting.prefix, waiting.after, waiting.response)) continue
-      clearTimeout(waiting.timer)
-      this._pendingWatches.delete(waiting)
+    for (const watch of this._pendingWatches) {
+      if (!this._sendEvents(watch.prefix, watch.after, watch.response)) continue
+      clearTimeout(watch.timer)
+      this._pendingWatches.delete(watch)
     }
     return event.revision
   }
--- a/packages/stand-ins/src/lib/users-platform/worker.ts
+++ b/packages/stand-ins/src/lib/users-platform/worker.ts
@@ -185,8 +185,8 @@
     setTimeout(() => response.writeHead(504, worker.head(request)).end('too late'), LATE_ERROR_MILLISECONDS)
   },
   sheds: (worker, _request, response) => {
-    const rest = worker.rest === undefined ? {} : { 'retry-after': String(worker.rest) }
-    response.writeHead(503, { 'x-not-run': '1', ...rest }).end()
+    const retryAfter = worker.rest === undefined ? {} : { 'retry-after': String(worker.rest) }
+    response.writeHead(503, { 'x-not-run': '1', ...retryAfter }).end()
   },
   'wrong-instance': (worker, _request, response) => { response.writeHead(421, { 'x-instance-id': worker.id }).end() },
   'wrong-version': (_worker, _request, response) => { response.writeHead(421).end() },
--- a/packages/stand-ins/src/lib/weight-source.ts
+++ b/packages/stand-ins/src/lib/weight-source.ts
@@ -53,10 +53,10 @@
 
   /** Sends one response after the other. */
   private async _send (bytes: Buffer, response: ServerResponse): Promise<void> {
-    const before = this._lastSend
+    const previous = this._lastSend
     let done = (): void => {}
     this._lastSend = new Promise(resolve => { done = resolve })
-    await before
+    await previous
     for (let start = 0; start < bytes.length && !response.destroyed; start += SLICE_BYTES) {
       const wait = this._link.wait(performance.now())
       if (wait > 0) await pause(wait)
--- a/packages/stand-ins/src/test/lib/link_test.ts
+++ b/packages/stand-ins/src/test/lib/link_test.ts
@@ -12,16 +12,16 @@
 describe('Link', () => {
   let server: Server
   let link: Link
-  let near: Socket
+  let client: Socket
   /** Data received by the target and by the caller. */
-  let heard: { target: string, caller: string }
+  let received: { target: string, caller: string }
 
   beforeEach(async () => {
-    heard = { target: '', caller: '' }
+    received = { target: '', caller: '' }
     server = createServer(socket => {
       socket.on('error', () => {})
       socket.on('data', bytes => {
-        heard.target += bytes.toString('utf8')
+        received.target += bytes.toString('utf8')
         socket.write(bytes)
       })
     })
@@ -29,48 +29,48 @@
     const [port = 0] = await freePorts(1)
     link = new Link(port, (server.address() as AddressInfo).port)
     await link.listen()
-    near = createConnection({ host: '127.0.0.1', port })
-    near.on('data', bytes => { heard.caller += bytes.toString('utf8') })
-    near.on('error', () => {})
+    client = createConnection({ host: '127.0.0.1', port })
+    client.on('data', bytes => { received.caller += bytes.toString('utf8') })
+    client.on('error', () => {})
   })
   afterEach(() => {
-    near.destroy()
+    client.destroy()
     link.close()
     server.close()
   })
 
-  async function until (holds: () => boolean): Promise<void> {
+  async function waitFor (holds: () => boolean): Promise<void> {
     for (let tries = 0; tries < 250 && !holds(); tries += 1) await new Promise(resolve => setTimeout(resolve, 20))
-    assert.ok(holds(), JSON.stringify(heard))
+    assert.ok(holds(), JSON.stringify(received))
   }
 
   it('forwards data in both directions', async () => {
-    near.write('a')
-    await until(() => heard.caller === 'a')
+    client.write('a')
+    await waitFor(() => received.caller === 'a')
   })
 
   const swallowing: [mode: LinkMode, target: string][] = [['deaf', 'a'], ['mute', 'ab']]
   for (const [mode, target] of swallowing) {
     it(`drops data of one direction in mode ${mode}, and closes the incomplete connection in mode pass`, async () => {
-      near.write('a')
-      await until(() => heard.caller === 'a')
+      client.write('a')
+      await waitFor(() => received.caller === 'a')
       link.set(mode)
-      near.write('b')
-      await until(() => heard.target === target)
+      client.write('b')
+      await waitFor(() => received.target === target)
       await new Promise(resolve => setTimeout(resolve, 60))
-      assert.deepEqual([heard, near.closed], [{ target, caller: 'a' }, false])
+      assert.deepEqual([received, client.closed], [{ target, caller: 'a' }, false])
       link.set('pass')
-      await until(() => near.closed)
+      await waitFor(() => client.closed)
     })
   }
 
   it('keeps the order of delayed data and data sent after the delay ended', async () => {
     link.set('delay')
-    near.write('a')
+    client.write('a')
     await new Promise(resolve => setTimeout(resolve, 60))
-    assert.equal(heard.target, '')
+    assert.equal(received.target, '')
     link.set('pass')
-    near.write('b')
-    await until(() => heard.caller === 'ab')
+    client.write('b')
+    await waitFor(() => received.caller === 'ab')
   })
 })
