--- a/packages/soak/src/lib/callers.ts
+++ b/packages/soak/src/lib/callers.ts
@@ -3,91 +3,91 @@
  * Copyright 2026 the drumdrift contributors
  * SPDX-License-Identifier: BSD-3-Clause
  */
-/** Callers of a deployment: some keep a connection as long as it lasts, the others open one for each call. */
+/** Callers of a deployment: some keep a connection open as long as possible, the others open one for each call. */
 import { Agent } from 'node:http'
 import { setTimeout as pause } from 'node:timers/promises'
 import { call, type CallKind } from '@drumdrift/stand-ins'
-import { keyOfTurn, STEADY_KEY, type Deployment } from './deployment.js'
+import { rotatingKey, STEADY_KEY, type Deployment } from './deployment.js'
 import type { EntryProcess } from './entry-process.js'
 import type { CallRecord } from './journal.js'
 
-/** A caller gives up after this, in milliseconds: later than every time-out of a route. */
-const PATIENCE = 6_000
-/** A caller that keeps its connection asks so often, in milliseconds. */
-const KEPT_PAUSE = 400
-/** The share of calls whose key is of the newest turn, and of the one before. */
-const TURN_SHARE = 0.15
+/** Timeout of a call in milliseconds, longer than the timeout of every route. */
+const CALL_TIMEOUT_MILLISECONDS = 6_000
+/** Pause between two calls on a persistent connection, in milliseconds. */
+const PERSISTENT_CALL_PAUSE_MILLISECONDS = 400
+/** Share of calls with the newest rotating key, and equal share with the revoked key before it. */
+const ROTATING_KEY_SHARE = 0.15
 const MILLISECONDS_PER_SECOND = 1_000
 
 const kinds: readonly CallKind[] = ['safe', 'unsafe', 'stream', 'moving']
 
-/** All callers. */
+/** Sends calls to the entries of a deployment and records the results. */
 export class Callers {
   readonly records: CallRecord[] = []
   private _count = 0
   private _stopped = false
-  private readonly _under = new Set<Promise<void>>()
+  private readonly _inFlight = new Set<Promise<void>>()
 
   constructor (private readonly _deployment: Deployment, private readonly _random: () => number) {}
 
   /**
-   * Begins to call.
+   * Starts to send calls.
    *
-   * @param rate Calls a second, of all together.
+   * @param rate Calls per second, of all callers together.
    */
   start (rate: number): void {
-    const kept = Math.round(rate / 2 * KEPT_PAUSE / MILLISECONDS_PER_SECOND)
-    for (let index = 0; index < kept; index += 1) this._keep(this._callOnKept(index / kept * KEPT_PAUSE))
-    this._keep(this._callAnew(2 * MILLISECONDS_PER_SECOND / rate))
+    const connections = Math.round(rate / 2 * PERSISTENT_CALL_PAUSE_MILLISECONDS / MILLISECONDS_PER_SECOND)
+    for (let index = 0; index < connections; index += 1) this._track(this._callOnPersistentConnection(index / connections * PERSISTENT_CALL_PAUSE_MILLISECONDS))
+    this._track(this._callOnNewConnections(2 * MILLISECONDS_PER_SECOND / rate))
   }
 
-  /** Stops calling, and waits until what runs has ended. */
+  /** Sends no more calls and waits for those in flight. */
   async stop (): Promise<void> {
     this._stopped = true
-    await Promise.all(this._under)
+    await Promise.all(this._inFlight)
   }
 
-  private _keep (work: Promise<void>): void {
-    this._under.add(work)
-    work.then(() => { this._under.delete(work) })
+  private _track (work: Promise<void>): void {
+    this._inFlight.add(work)
+    work.then(() => { this._inFlight.delete(work) })
   }
 
-  private async _callOnKept (after: number): Promise<void> {
-    await pause(after)
+  private async _callOnPersistentConnection (delay: number): Promise<void> {
+    await pause(delay)
     while (!this._stopped) {
       const entry = this._drawEntry()
-      if (entry === undefined) await pause(KEPT_PAUSE)
-      else await this._useUp(entry)
+      if (entry === undefined) await pause(PERSISTENT_CALL_PAUSE_MILLISECONDS)
+      else await this._callUntilClosed(entry)
     }
   }
 
-  /** Uses one connection until it ends, also when its entry takes no new callers any more. */
-  private async _useUp (entry: EntryProcess): Promise<void> {
+  /** Uses one connection until it closes, also after its entry has stopped accepting new callers. */
+  private async _callUntilClosed (entry: EntryProcess): Promise<void> {
     const agent = new Agent({ keepAlive: true, maxSockets: 1 })
-    let lasts = true
-    while (lasts && !this._stopped) {
-      lasts = await this._call(entry, agent)
-      await pause(KEPT_PAUSE)
+    let reusable = true
+    while (reusable && !this._stopped) {
+      reusable = await this._call(entry, agent)
+      await pause(PERSISTENT_CALL_PAUSE_MILLISECONDS)
     }
     agent.destroy()
   }
 
-  private async _callAnew (mean: number): Promise<void> {
+  private async _callOnNewConnections (meanPause: number): Promise<void> {
     while (!this._stopped) {
       const entry = this._drawEntry()
-      if (entry !== undefined) this._keep(this._call(entry, undefined).then(() => {}))
-      await pause(-Math.log(1 - this._random()) * mean)
+      if (entry !== undefined) this._track(this._call(entry, undefined).then(() => {}))
+      await pause(-Math.log(1 - this._random()) * meanPause)
     }
   }
 
-  /** Returns whether the connection can be used once more. */
+  /** Sends one call. Returns whether its connection can be reused. */
   private async _call (entry: EntryProcess, agent: Agent | undefined): Promise<boolean> {
     this._count += 1
     const kind = kinds[Math.floor(this._random() * kinds.length)] ?? 'safe'
     const id = `call-${this._count}`
     const key = this._drawKey()
     const sentAt = performance.now()
-    const answer = await call(entry.address, { id, kind, key, agent, signal: AbortSignal.timeout(PATIENCE) })
+    const answer = await call(entry.address, { id, kind, key, agent, signal: AbortSignal.timeout(CALL_TIMEOUT_MILLISECONDS) })
     this.records.push({ id, kind, key, entry: entry.instance, sentAt, endedAt: performance.now(), answer })
     return answer.whole && answer.headers.connection !== 'close'
   }
@@ -99,7 +99,7 @@
 
   private _drawKey (): string {
     const draw = this._random()
-    if (draw < TURN_SHARE) return keyOfTurn(this._deployment.turn)
-    return draw < 2 * TURN_SHARE ? keyOfTurn(this._deployment.turn - 1) : STEADY_KEY
+    if (draw < ROTATING_KEY_SHARE) return rotatingKey(this._deployment.newestKeyNumber)
+    return draw < 2 * ROTATING_KEY_SHARE ? rotatingKey(this._deployment.newestKeyNumber - 1) : STEADY_KEY
   }
 }
--- a/packages/soak/src/lib/entry-process.ts
+++ b/packages/soak/src/lib/entry-process.ts
@@ -3,58 +3,58 @@
  * Copyright 2026 the drumdrift contributors
  * SPDX-License-Identifier: BSD-3-Clause
  */
-/** One entry as a process of its own, with the way between it and the store. */
+/** An entry as a separate process, with the link between it and the store. */
 import { isReady, type Link } from '@drumdrift/stand-ins'
 import { DaemonProcess } from './daemon-process.js'
 
-/** As in the users' deployment, in megabytes. */
-const HEAP = 160
-const READY_TIMEOUT = 400
-/** Questions in a row without a yes after which callers are sent elsewhere. */
-const MISSES = 2
+/** Heap limit in megabytes, as in the users' deployment. */
+const HEAP_MEGABYTES = 160
+const READINESS_TIMEOUT_MILLISECONDS = 400
+/** Consecutive failed readiness checks after which callers use other entries. */
+const MAX_FAILED_CHECKS = 2
 
-/** What all processes of a deployment are told. */
-export interface SharedPlan {
+/** Settings that all processes of a deployment share. */
+export interface SharedSettings {
   readonly directory: string
   readonly availabilityZones: readonly string[]
   readonly seeds: readonly string[]
   readonly agentPort: number
-  /** Within which a process has to stop, in seconds. */
-  readonly stopPatience: number
+  /** Time within which a process has to stop, in seconds. */
+  readonly stopTimeoutSeconds: number
 }
 
-/** What an entry is started with. */
+/** Parameters of an entry. */
 export interface EntryPlan {
   readonly instance: string
   readonly availabilityZone: string
-  readonly shared: SharedPlan
+  readonly shared: SharedSettings
   readonly ports: { readonly http: number, readonly readiness: number, readonly peer: number }
-  readonly storeWay: Link
+  readonly storeLink: Link
 }
 
-/** One entry. */
+/** An entry. */
 export class EntryProcess {
   readonly daemon: DaemonProcess
-  /** Whether callers who look for an entry are sent to it. */
+  /** Whether new callers may choose this entry. */
   ready = false
-  private _misses = 0
+  private _failedChecks = 0
 
   constructor (readonly plan: EntryPlan) {
-    this.daemon = new DaemonProcess({ instance: plan.instance, role: 'route-entry', directory: plan.shared.directory, heap: HEAP, settings: settingsText(plan) })
+    this.daemon = new DaemonProcess({ instance: plan.instance, role: 'route-entry', directory: plan.shared.directory, heapMegabytes: HEAP_MEGABYTES, settings: settingsText(plan) })
   }
 
   get instance (): string { return this.plan.instance }
   get address (): string { return `127.0.0.1:${this.plan.ports.http}` }
 
-  /** Asks once whether it takes new callers, and counts the misses. */
-  async look (): Promise<void> {
-    const answered = await isReady(`127.0.0.1:${this.plan.ports.readiness}`, AbortSignal.timeout(READY_TIMEOUT))
-    this._misses = answered ? 0 : this._misses + 1
-    if (this._misses === 0) this.ready = true
-    if (this._misses >= MISSES) this.ready = false
+  /** Checks once whether the entry accepts new callers, and counts consecutive failures. */
+  async checkReadiness (): Promise<void> {
+    const answered = await isReady(`127.0.0.1:${this.plan.ports.readiness}`, AbortSignal.timeout(READINESS_TIMEOUT_MILLISECONDS))
+    this._failedChecks = answered ? 0 : this._failedChecks + 1
+    if (this._failedChecks === 0) this.ready = true
+    if (this._failedChecks >= MAX_FAILED_CHECKS) this.ready = false
   }
 
-  /** Ends the process, with or without time to stop, and starts it again. */
+  /** Stops or kills the process and starts it again. */
   async restart (how: 'stop' | 'kill'): Promise<void> {
     await this.daemon[how]()
     this.ready = false
@@ -62,7 +62,7 @@
   }
 }
 
-function settingsText ({ instance, availabilityZone, shared, ports, storeWay }: EntryPlan): string {
+function settingsText ({ instance, availabilityZone, shared, ports, storeLink }: EntryPlan): string {
   return `
 [process]
 instance = ${instance}
@@ -70,10 +70,10 @@
 address = 127.0.0.1:${ports.peer}
 http-address = 127.0.0.1:${ports.http}
 readiness-address = 127.0.0.1:${ports.readiness}
-stop-patience-seconds = ${shared.stopPatience}
+stop-patience-seconds = ${shared.stopTimeoutSeconds}
 [platform]
 availability-zones = ${shared.availabilityZones.join(', ')}
-store-address = ${storeWay.address}
+store-address = ${storeLink.address}
 watch-seconds = 3
 [peers]
 seeds = ${shared.seeds.join(', ')}
--- a/packages/soak/src/lib/soak-options.ts
+++ b/packages/soak/src/lib/soak-options.ts
@@ -3,39 +3,39 @@
  * Copyright 2026 the drumdrift contributors
  * SPDX-License-Identifier: BSD-3-Clause
  */
-/** Options of a soak, checked. */
+/** Validation of the options of a soak. */
 import { DrumdriftError } from '@drumdrift/core'
 
-/** How one soak is run. */
+/** Options of a soak. */
 export interface SoakOptions {
   readonly seed: number
   readonly minutes: number
-  /** Entries, each a process. */
+  /** Number of entry processes. */
   readonly processes: number
-  /** Calls a second, of all callers together. */
+  /** Calls per second, of all callers together. */
   readonly rate: number
-  /** Mean pause between two faults, in milliseconds. */
+  /** Mean time between two faults, in milliseconds. */
   readonly pause: number
 }
 
 interface Range {
-  readonly least: number
-  readonly most: number
-  readonly whole: boolean
+  readonly min: number
+  readonly max: number
+  readonly integer: boolean
 }
 
 const ranges: Record<keyof SoakOptions, Range> = {
-  seed: { least: 0, most: 2 ** 31, whole: true },
-  minutes: { least: 0.1, most: 600, whole: false },
-  processes: { least: 2, most: 300, whole: true },
-  rate: { least: 1, most: 5_000, whole: false },
-  pause: { least: 50, most: 60_000, whole: false }
+  seed: { min: 0, max: 2 ** 31, integer: true },
+  minutes: { min: 0.1, max: 600, integer: false },
+  processes: { min: 2, max: 300, integer: true },
+  rate: { min: 1, max: 5_000, integer: false },
+  pause: { min: 50, max: 60_000, integer: false }
 }
 
 /**
- * Checks options as they were given.
+ * Parses and checks options from the command line.
  *
- * @throws DrumdriftError with a settings failure that names the first wrong one.
+ * @throws DrumdriftError with a settings failure that names the first invalid option.
  * @example
  * const options = checkOptions({ seed: '7', minutes: '1', processes: '6', rate: '60', pause: '1500' })
  */
@@ -44,9 +44,9 @@
   return Object.fromEntries(checked) as unknown as SoakOptions
 }
 
-function checkNumber (key: string, text: string, { least, most, whole }: Range): number {
+function checkNumber (key: string, text: string, { min, max, integer }: Range): number {
   const value = text.trim() === '' ? Number.NaN : Number(text)
-  if (value >= least && value <= most && (!whole || Number.isInteger(value))) return value
-  const expected = `${whole ? 'a whole number' : 'a number'} from ${least} to ${most}`
+  if (value >= min && value <= max && (!integer || Number.isInteger(value))) return value
+  const expected = `${integer ? 'a whole number' : 'a number'} from ${min} to ${max}`
   throw new DrumdriftError({ type: 'settings-failure', file: 'the command line', section: 'soak', key, expected })
 }
--- a/packages/soak/src/lib/soak-run.ts
+++ b/packages/soak/src/lib/soak-run.ts
@@ -3,7 +3,7 @@
  * Copyright 2026 the drumdrift contributors
  * SPDX-License-Identifier: BSD-3-Clause
  */
-/** One soak: a deployment under load, the faults that its seed draws, and the verdict. */
+/** Runs one soak: a deployment under load, the faults drawn from the seed, and the result. */
 import { monitorEventLoopDelay } from 'node:perf_hooks'
 import { setTimeout as pause } from 'node:timers/promises'
 import { seededRandom } from '@drumdrift/stand-ins'
@@ -11,29 +11,30 @@
 import { Callers } from './callers.js'
 import { Deployment } from './deployment.js'
 import { faultHandlers } from './fault-handlers.js'
-import { drawPlan, type FaultAim, type PlannedFault } from './fault-plan.js'
+import { drawPlan, type TargetKind, type PlannedFault } from './fault-plan.js'
 import type { Disturbance, Journal } from './journal.js'
 import { judge, type Violation } from './promises.js'
 import type { SoakOptions } from './soak-options.js'
 
 const MILLISECONDS_PER_MINUTE = 60_000
-/** How long callers are served before the first fault and after the last one, in milliseconds. */
-const WARM_UP = 2_000
-const CALM = 8_000
+/** Time under load before the first fault, in milliseconds. */
+const WARM_UP_MILLISECONDS = 2_000
+/** Time under load after the last fault, in milliseconds. */
+const CALM_MILLISECONDS = 8_000
 const NANOSECONDS_PER_MILLISECOND = 1e6
-/** Numbers of the generator that are skipped. */
-const FIRST_NUMBERS = 20
+/** Number of random numbers that are discarded. */
+const DISCARDED_NUMBERS = 20
 
 type Print = (fields: LogFields) => void
 
-/** The one of several that a fault is aimed at. */
-function chosen<Target> (targets: readonly Target[], { which }: PlannedFault): Target | undefined { return targets[Math.floor(which * targets.length)] }
+/** Returns the target of a fault from those of its kind. */
+function pickTarget<Target> (targets: readonly Target[], { targetPosition }: PlannedFault): Target | undefined { return targets[Math.floor(targetPosition * targets.length)] }
 
-/** The part of a target that a fault takes; two faults of one part do not overlap. */
-const targetOf: Record<FaultAim, (deployment: Deployment, fault: PlannedFault) => string> = {
-  entry: ({ entries }, fault) => chosen(entries, fault)?.instance ?? '',
-  endpoint: ({ endpoints }, fault) => chosen(endpoints, fault)?.name ?? '',
-  agent: ({ agents }, fault) => chosen(agents, fault)?.instance ?? '',
+/** Name of the target of a fault. */
+const targetNames: Record<TargetKind, (deployment: Deployment, fault: PlannedFault) => string> = {
+  entry: ({ entries }, fault) => pickTarget(entries, fault)?.instance ?? '',
+  endpoint: ({ endpoints }, fault) => pickTarget(endpoints, fault)?.name ?? '',
+  agent: ({ agents }, fault) => pickTarget(agents, fault)?.instance ?? '',
   store: () => 'store',
   operator: () => 'operator'
 }
@@ -41,7 +42,7 @@
 /**
  * Runs one soak.
  *
- * @param print Takes each fault, each broken promise and the verdict.
+ * @param print Called for each fault, each broken promise and the result.
  * @returns Whether every promise was kept.
  * @example
  * const kept = await runSoak(options, fields => log.info('soak', fields))
@@ -50,89 +51,90 @@
   const deployment = new Deployment()
   const lag = monitorEventLoopDelay()
   lag.enable()
-  let kept = false
+  let passed = false
   try {
     const failure = await deployment.start(options.processes)
     if (failure !== undefined) {
       print({ event: 'not-started', reason: failure.type, detail: failure.detail, logs: deployment.directory })
       return false
     }
-    const journal = await play(deployment, options, print)
+    const journal = await runFaults(deployment, options, print)
     const violations = judge(journal)
-    kept = violations.length === 0
+    passed = violations.length === 0
     report(journal, violations, options, lag.max / NANOSECONDS_PER_MILLISECOND, print)
-    if (!kept) print({ event: 'logs-kept', directory: deployment.directory })
-    return kept
+    if (!passed) print({ event: 'logs-kept', directory: deployment.directory })
+    return passed
   } finally {
-    await deployment.close(!kept)
+    await deployment.close(!passed)
   }
 }
 
-async function play (deployment: Deployment, { seed, minutes, rate, pause: meanPause }: SoakOptions, print: Print): Promise<Journal> {
-  const random = warmedUp(seededRandom(seed))
+async function runFaults (deployment: Deployment, { seed, minutes, rate, pause: meanPause }: SoakOptions, print: Print): Promise<Journal> {
+  const random = discardFirstNumbers(seededRandom(seed))
   const plan = drawPlan(random, { length: minutes * MILLISECONDS_PER_MINUTE, pause: meanPause })
   const callers = new Callers(deployment, random)
   callers.start(rate)
-  await pause(WARM_UP)
-  const disturbances = await causeFaults(deployment, plan, print)
+  await pause(WARM_UP_MILLISECONDS)
+  const disturbances = await injectFaults(deployment, plan, print)
   const calmFrom = performance.now()
-  await pause(CALM)
+  await pause(CALM_MILLISECONDS)
   const unready = deployment.entries.filter(({ ready }) => !ready).map(({ instance }) => instance)
   await callers.stop()
   await deployment.stop()
   return {
     calls: callers.records,
     arrivals: deployment.endpoints.flatMap(({ arrivals }) => arrivals),
-    ends: deployment.ends,
+    departures: deployment.departures,
     configurations: deployment.configurations,
     versions: deployment.versions,
     loads: deployment.endpoints.flatMap(({ loads }) => loads),
     disturbances,
-    processEnds: deployment.daemons.flatMap(({ ends }) => ends),
-    calmFrom,
+    processExits: deployment.daemons.flatMap(({ exits }) => exits),
+    faultsEndedAt: calmFrom,
     unready
   }
 }
 
-/** The first numbers of neighbouring seeds are alike. */
-function warmedUp (random: () => number): () => number {
-  for (let count = 0; count < FIRST_NUMBERS; count += 1) random()
+/** Discards the first random numbers, which are similar for neighbouring seeds. */
+function discardFirstNumbers (random: () => number): () => number {
+  for (let count = 0; count < DISCARDED_NUMBERS; count += 1) random()
   return random
 }
 
-async function causeFaults (deployment: Deployment, plan: readonly PlannedFault[], print: Print): Promise<Disturbance[]> {
+async function injectFaults (deployment: Deployment, plan: readonly PlannedFault[], print: Print): Promise<Disturbance[]> {
   const startedAt = performance.now()
   const disturbances: Disturbance[] = []
   const busy = new Map<string, Promise<void>>()
   for (const fault of plan) {
     await pause(Math.max(0, startedAt + fault.at - performance.now()))
-    const target = targetOf[fault.aim](deployment, fault)
+    const target = targetNames[fault.targetKind](deployment, fault)
+    // Faults of one target do not overlap, except that a fault of its link may overlap with one of the target itself.
     const part = `${target}/${fault.kind.includes('-way-')}`
     if (busy.has(part)) continue
     print({ event: 'fault', kind: fault.kind, target, at: Math.round(performance.now()) })
     const disturbance = { kind: fault.kind, target, from: performance.now(), to: Infinity }
     disturbances.push(disturbance)
-    const under = causeFault(deployment, fault).then(() => {
+    const recovery = injectFault(deployment, fault).then(() => {
       disturbance.to = performance.now()
       busy.delete(part)
     })
-    busy.set(part, under)
+    busy.set(part, recovery)
   }
   await Promise.all(busy.values())
   return disturbances
 }
 
-async function causeFault (deployment: Deployment, fault: PlannedFault): Promise<void> {
+async function injectFault (deployment: Deployment, fault: PlannedFault): Promise<void> {
   const { entries, endpoints, agents } = deployment
-  const entry = chosen(entries, fault)
-  const endpoint = chosen(endpoints, fault)
-  const agent = chosen(agents, fault)
+  const entry = pickTarget(entries, fault)
+  const endpoint = pickTarget(endpoints, fault)
+  const agent = pickTarget(agents, fault)
   if (entry !== undefined && endpoint !== undefined && agent !== undefined) await faultHandlers[fault.kind]({ deployment, fault, entry, endpoint, agent })
 }
 
 function report ({ calls, arrivals, versions, loads, disturbances }: Journal, violations: readonly Violation[], options: SoakOptions, longestPause: number, print: Print): void {
   for (const { promise, at, detail } of violations) print({ event: 'broken', promise, at: Math.round(at), detail })
-  const count = (holds: (status: number, whole: boolean) => boolean): number => calls.filter(({ answer }) => holds(answer.status, answer.whole)).length
+  const count = (matches: (status: number, complete: boolean) => boolean): number => calls.filter(({ answer }) => matches(answer.status, answer.whole)).length
   print({
     event: 'soak',
     seed: options.seed,
@@ -140,10 +142,10 @@
     processes: options.processes,
     faults: disturbances.length,
     calls: calls.length,
-    served: count((status, whole) => status === 200 && whole),
+    served: count((status, complete) => status === 200 && complete),
     refused: count(status => status === 503),
     failed: count(status => status >= 500 && status !== 503),
-    cut: count((status, whole) => status === 0 || !whole),
+    cut: count((status, complete) => status === 0 || !complete),
     arrivals: arrivals.length,
     versions: versions.length,
     loads: loads.length,
--- a/packages/stand-ins/src/endpoint-host.ts
+++ b/packages/stand-ins/src/endpoint-host.ts
@@ -3,15 +3,15 @@
  * Copyright 2026 the drumdrift contributors
  * SPDX-License-Identifier: BSD-3-Clause
  */
-/** A process that holds endpoint stand-ins, told what to do over the channel to its parent. */
+/** A process that hosts endpoint stand-ins and executes orders from its parent process, received over the IPC channel. */
 import { ModelEngine } from './lib/model-engine.js'
 import { PlainService } from './lib/plain-service.js'
 import type { HostOrder, HostReply } from './lib/host-messages.js'
 
 const engines = new Map<number, ModelEngine>()
-const plains = new Map<number, PlainService>()
+const plainServices = new Map<number, PlainService>()
 
-async function carryOut (order: HostOrder): Promise<HostReply> {
+async function execute (order: HostOrder): Promise<HostReply> {
   if (order.type === 'engine') {
     const engine = new ModelEngine(order.times)
     engines.set(order.port, engine)
@@ -19,7 +19,7 @@
   }
   if (order.type === 'plain') {
     const plain = new PlainService(order.duration)
-    plains.set(order.port, plain)
+    plainServices.set(order.port, plain)
     await plain.listen(order.port)
   }
   if (order.type === 'freeze') {
@@ -27,7 +27,7 @@
     if (engine !== undefined) engine.frozen = order.frozen
   }
   if (order.type === 'behave') {
-    const service = engines.get(order.port) ?? plains.get(order.port)
+    const service = engines.get(order.port) ?? plainServices.get(order.port)
     if (service !== undefined) service.behaviour = order.behaviour
   }
   if (order.type === 'fail-loads') {
@@ -37,11 +37,11 @@
   return {
     id: order.id,
     engines: order.type === 'journal' ? [...engines].map(([port, engine]) => ({ port, version: engine.version, journal: engine.journal })) : [],
-    plains: order.type === 'journal' ? [...plains].map(([port, plain]) => ({ port, runs: plain.runs })) : []
+    plains: order.type === 'journal' ? [...plainServices].map(([port, plain]) => ({ port, runs: plain.runs })) : []
   }
 }
 
 process.on('message', (order: HostOrder) => {
-  carryOut(order).then(reply => process.send?.(reply))
+  execute(order).then(reply => process.send?.(reply))
 })
 process.on('disconnect', () => process.exit(0))
--- a/packages/stand-ins/src/lib/endpoint-host-client.ts
+++ b/packages/stand-ins/src/lib/endpoint-host-client.ts
@@ -3,31 +3,31 @@
  * Copyright 2026 the drumdrift contributors
  * SPDX-License-Identifier: BSD-3-Clause
  */
-/** Starts a process that holds endpoint stand-ins, and speaks to it. */
+/** Starts a process that hosts endpoint stand-ins and sends it orders. */
 import { fork, type ChildProcess } from 'node:child_process'
 import { fileURLToPath } from 'node:url'
 import type { HostOrder, HostReply } from './host-messages.js'
 
 type WithoutId<Order> = Order extends unknown ? Omit<Order, 'id'> : never
 
-/** One such process. */
+/** Client of one process that hosts endpoint stand-ins. */
 export class EndpointHost {
   private readonly _child: ChildProcess
-  private readonly _waiting = new Map<number, (reply: HostReply) => void>()
+  private readonly _pending = new Map<number, (reply: HostReply) => void>()
   private _nextId = 1
 
   constructor () {
     this._child = fork(fileURLToPath(new URL('../endpoint-host.js', import.meta.url)), { stdio: ['ignore', 'inherit', 'inherit', 'ipc'] })
     this._child.on('message', (reply: HostReply) => {
-      this._waiting.get(reply.id)?.(reply)
-      this._waiting.delete(reply.id)
+      this._pending.get(reply.id)?.(reply)
+      this._pending.delete(reply.id)
     })
   }
 
   get pid (): number { return this._child.pid ?? 0 }
 
   /**
-   * Gives an order and waits for its reply.
+   * Sends an order and waits for its reply.
    *
    * @example
    * await host.order({ type: 'engine', port: 9000, times: defaultEngineTimes })
@@ -35,7 +35,7 @@
   order (order: WithoutId<HostOrder>): Promise<HostReply> {
     const id = this._nextId++
     return new Promise(resolve => {
-      this._waiting.set(id, resolve)
+      this._pending.set(id, resolve)
       this._child.send({ ...order, id })
     })
   }
--- a/packages/stand-ins/src/lib/link.ts
+++ b/packages/stand-ins/src/lib/link.ts
@@ -3,44 +3,43 @@
  * Copyright 2026 the drumdrift contributors
  * SPDX-License-Identifier: BSD-3-Clause
  */
-/** Stand-in for a link between two processes: a relay that can corrupt, delay, stall, swallow or cut what passes. */
+/** Stand-in for a link between two processes: a TCP proxy that can corrupt, delay, stall, drop or disconnect the traffic. */
 import { createConnection, createServer, type Server, type Socket } from 'node:net'
 
 /**
- * What the link does to what passes. `deaf` and `mute` swallow what goes to the target and what comes from it, and `delay` holds
- * each piece for a while.
+ * How the link treats the traffic. `deaf` drops the data sent to the target and `mute` the data sent by it; `delay` holds each
+ * block of data for a fixed time.
  */
 export type LinkMode = 'pass' | 'corrupt' | 'stall' | 'cut' | 'deaf' | 'mute' | 'delay'
 
-/** Only large pieces are corrupted, in their middle: those are weights. */
-const LEAST_CORRUPTED = 16_384
-/** How long each piece is held, in milliseconds. */
-const DELAY = 300
+/** Least size in bytes of a block that is corrupted, at its middle byte. Blocks of this size carry weights. */
+const MIN_CORRUPTED_BYTES = 16_384
+const DELAY_MILLISECONDS = 300
 
-/** Where a piece goes. */
+/** Direction of the traffic. */
 type Direction = 'to-target' | 'from-target'
 
-const swallows: Partial<Record<LinkMode, Direction>> = { deaf: 'to-target', mute: 'from-target' }
+const droppedDirections: Partial<Record<LinkMode, Direction>> = { deaf: 'to-target', mute: 'from-target' }
 
-/** A link to one address. */
+/** A proxy to one address. */
 export class Link {
-  /** Pieces corrupted so far. */
+  /** Number of blocks corrupted so far. */
   corrupted = 0
-  /** Where callers of the target connect. */
+  /** The address that clients connect to. */
   readonly address: string
   private _mode: LinkMode = 'pass'
-  private _corruptions = 0
+  private _remainingCorruptions = 0
   private readonly _server: Server
   private readonly _sockets = new Set<Socket>()
-  /** Sockets of which something was swallowed: nothing that follows on them makes sense. */
+  /** Sockets from which data was dropped. They are closed at the next change of mode, since the rest of their stream is unusable. */
   private readonly _incomplete = new Set<Socket>()
 
   /**
-   * @param _host The address of both ends.
+   * @param _host The address of the proxy and of the target.
    */
   constructor (private readonly _port: number, private readonly _target: number, private readonly _host = '127.0.0.1') {
     this.address = `${_host}:${_port}`
-    this._server = createServer(socket => this._join(socket))
+    this._server = createServer(socket => this._accept(socket))
   }
 
   listen (): Promise<void> {
@@ -56,13 +55,13 @@
   }
 
   /**
-   * Changes what the link does.
+   * Sets the mode of the link.
    *
-   * @param corruptions How many pieces to corrupt before passing again.
+   * @param corruptions How many blocks to corrupt before the link forwards data unchanged again.
    */
   set (mode: LinkMode, corruptions = Infinity): void {
     this._mode = mode
-    this._corruptions = corruptions
+    this._remainingCorruptions = corruptions
     for (const socket of this._sockets) {
       if (mode === 'cut' || this._incomplete.has(socket)) socket.destroy()
       else if (mode === 'stall') socket.pause()
@@ -70,30 +69,30 @@
     }
   }
 
-  private _join (near: Socket): void {
+  private _accept (client: Socket): void {
     if (this._mode === 'cut') {
-      near.destroy()
+      client.destroy()
       return
     }
-    const far = createConnection({ host: this._host, port: this._target })
-    this._forward(near, far, 'to-target')
-    this._forward(far, near, 'from-target')
+    const upstream = createConnection({ host: this._host, port: this._target })
+    this._forward(client, upstream, 'to-target')
+    this._forward(upstream, client, 'from-target')
   }
 
   private _forward (from: Socket, to: Socket, direction: Direction): void {
-    let held = 0
+    let delayed = 0
     const inOrder = (run: () => void): void => {
-      if (this._mode !== 'delay' && held === 0) return run()
-      held += 1
+      if (this._mode !== 'delay' && delayed === 0) return run()
+      delayed += 1
       setTimeout(() => {
-        held -= 1
+        delayed -= 1
         run()
-      }, DELAY)
+      }, DELAY_MILLISECONDS)
     }
     this._sockets.add(from)
     from.on('data', bytes => {
-      if (swallows[this._mode] === direction) this._incomplete.add(from)
-      else inOrder(() => { if (to.writable && !to.write(this._spoil(bytes)) && this._mode !== 'stall') from.pause() })
+      if (droppedDirections[this._mode] === direction) this._incomplete.add(from)
+      else inOrder(() => { if (to.writable && !to.write(this._corruptBlock(bytes)) && this._mode !== 'stall') from.pause() })
     })
     to.on('drain', () => { if (this._mode !== 'stall') from.resume() })
     from.on('error', () => from.destroy())
@@ -105,13 +104,13 @@
     if (this._mode === 'stall') from.pause()
   }
 
-  private _spoil (bytes: Buffer): Buffer {
-    if (this._mode !== 'corrupt' || bytes.length < LEAST_CORRUPTED || this._corruptions <= 0) return bytes
-    this._corruptions -= 1
+  private _corruptBlock (bytes: Buffer): Buffer {
+    if (this._mode !== 'corrupt' || bytes.length < MIN_CORRUPTED_BYTES || this._remainingCorruptions <= 0) return bytes
+    this._remainingCorruptions -= 1
     this.corrupted += 1
-    const spoiled = Buffer.from(bytes)
-    const middle = spoiled.length >> 1
-    spoiled[middle] = (spoiled[middle] ?? 0) ^ 0xff
-    return spoiled
+    const result = Buffer.from(bytes)
+    const middle = result.length >> 1
+    result[middle] = (result[middle] ?? 0) ^ 0xff
+    return result
   }
 }
--- a/packages/stand-ins/src/lib/model-engine.ts
+++ b/packages/stand-ins/src/lib/model-engine.ts
@@ -4,9 +4,9 @@
  * SPDX-License-Identifier: BSD-3-Clause
  */
 /**
- * Stand-in for a model engine: staging memory, fenced loads, and streamed answers in the chat-completions form. Each
- * token depends on the version, the prompt and its place, so that a caller can tell a whole answer of one version from
- * a cut or mixed one.
+ * Stand-in for a model engine: staging memory, fenced loads, and streamed answers in the chat-completions format. Each
+ * token depends on the version, the prompt and its index, so that a caller can distinguish a complete answer of one
+ * version from one that is truncated or mixes versions.
  */
 import type { IncomingMessage, ServerResponse } from 'node:http'
 import { setTimeout as pause } from 'node:timers/promises'
@@ -14,19 +14,19 @@
 import { digestOf } from 'drumdrift'
 import { HttpService, readAll, sendJson } from './http-service.js'
 
-/** Times of an engine, in milliseconds. */
+/** Latencies of an engine, in milliseconds. */
 export interface EngineTimes {
   readonly load: number
   readonly firstToken: number
-  /** Saved on the first token when the prompt's start was seen lately. */
+  /** Time to the first token when the prefix of the prompt is cached. */
   readonly cachedFirstToken: number
   readonly betweenTokens: number
   readonly reportLag: number
 }
 
-/** What happened at an engine, for the oracles. */
+/** What an engine recorded, for the oracles. */
 export interface EngineJournal {
-  /** `at` is when the load ended, in milliseconds since 1970. */
+  /** `whole` tells whether all staged chunks were complete; `at` is the end of the load, in milliseconds since 1970. */
   readonly loads: { readonly manifest: string, readonly fence: number, readonly whole: boolean, readonly at: number }[]
   partialLoads: number
   staleFences: number
@@ -37,7 +37,7 @@
   readonly runs: Record<string, number>
 }
 
-/** The usual times. */
+/** Default latencies. */
 export const defaultEngineTimes: EngineTimes = { load: 300, firstToken: 40, cachedFirstToken: 15, betweenTokens: 8, reportLag: 300 }
 
 const PREFIX_CHARACTERS = 200
@@ -45,7 +45,7 @@
 const DEFAULT_TOKENS = 16
 
 /**
- * One token of an answer.
+ * Returns one token of an answer.
  *
  * @example
  * tokenOf(versionDigest, 'Draft a plan', 0) // 'w1f3a '
@@ -54,17 +54,17 @@
   return `w${(hash32(`${version} ${prompt} ${index}`) & 0xffff).toString(16)} `
 }
 
-/** The whole text that an engine of a version answers. */
+/** Returns the complete text that an engine with a version answers. */
 export function expectedText (version: string, prompt: string, tokens: number): string {
   return Array.from({ length: tokens }, (_, index) => tokenOf(version, prompt, index)).join('')
 }
 
-/** A model engine. */
+/** A model engine on loopback. */
 export class ModelEngine extends HttpService {
   readonly journal: EngineJournal = { loads: [], partialLoads: 0, staleFences: 0, answers: 0, cancelled: 0, prefixHits: 0, prefixMisses: 0, runs: {} }
-  /** The next loads that fail, though the version is whole. */
+  /** How many of the next loads fail although the version is complete. */
   failLoads = 0
-  /** Answers are held while frozen. */
+  /** While true, no answer makes progress. */
   frozen = false
   private readonly _chunks = new Map<string, Buffer>()
   private readonly _manifests = new Map<string, Buffer>()
@@ -74,13 +74,13 @@
   private _failed = ''
   private _fence = 0
   private _running = 0
-  private _reported = 0
+  private _reportedRunning = 0
 
   constructor (private readonly _times: EngineTimes = defaultEngineTimes) {
     super(100_000)
   }
 
-  /** The version that is served. */
+  /** Digest of the version that the engine serves. */
   get version (): string { return this._version }
 
   protected override async answer (request: IncomingMessage, response: ServerResponse): Promise<void> {
@@ -97,30 +97,30 @@
   }
 
   private _state (response: ServerResponse): void {
-    sendJson(response, { version: this._version, loading: this._loading, failed: this._failed, fence: this._fence, running: this._reported })
+    sendJson(response, { version: this._version, loading: this._loading, failed: this._failed, fence: this._fence, running: this._reportedRunning })
   }
 
-  private async _staging (request: IncomingMessage, response: ServerResponse, held: Map<string, Buffer>, digest: string, fence: number): Promise<void> {
+  private async _staging (request: IncomingMessage, response: ServerResponse, staged: Map<string, Buffer>, digest: string, fence: number): Promise<void> {
     if (request.method === 'DELETE' && fence < this._fence) {
       this.journal.staleFences += 1
       response.writeHead(409).end()
       return
     }
-    if (request.method === 'PUT') held.set(digest, await readAll(request))
-    if (request.method === 'DELETE') held.delete(digest)
-    const bytes = held.get(digest)
+    if (request.method === 'PUT') staged.set(digest, await readAll(request))
+    if (request.method === 'DELETE') staged.delete(digest)
+    const bytes = staged.get(digest)
     if (request.method !== 'GET') response.writeHead(204).end()
     else if (bytes === undefined) response.writeHead(404).end()
     else response.end(bytes)
   }
 
-  /** A new agent takes over with a fence above every earlier one. */
+  /** Accepts a new agent if its fence is above every earlier one. */
   private async _takeOver (request: IncomingMessage, response: ServerResponse): Promise<void> {
     const { fence } = JSON.parse((await readAll(request)).toString()) as { fence: number }
-    const taken = fence > this._fence
-    if (taken) this._fence = fence
+    const accepted = fence > this._fence
+    if (accepted) this._fence = fence
     else this.journal.staleFences += 1
-    response.writeHead(taken ? 204 : 409).end()
+    response.writeHead(accepted ? 204 : 409).end()
   }
 
   private async _load (request: IncomingMessage, response: ServerResponse): Promise<void> {
@@ -134,18 +134,18 @@
     this._loading = manifest
     this._failed = ''
     response.writeHead(202).end()
-    const whole = await this._isWhole(manifest)
-    if (!whole) this.journal.partialLoads += 1
+    const complete = await this._isComplete(manifest)
+    if (!complete) this.journal.partialLoads += 1
     await pause(this._times.load)
-    this.journal.loads.push({ manifest, fence, whole, at: Date.now() })
-    if (whole && this.failLoads === 0) this._version = manifest
+    this.journal.loads.push({ manifest, fence, whole: complete, at: Date.now() })
+    if (complete && this.failLoads === 0) this._version = manifest
     else this._failed = manifest
     this.failLoads = Math.max(0, this.failLoads - 1)
     this._loading = ''
   }
 
-  /** The engine's own look at what it was told to load, for the oracle. */
-  private async _isWhole (manifestDigest: string): Promise<boolean> {
+  /** Returns whether all of a version is staged and matches its digests, for the oracle. */
+  private async _isComplete (manifestDigest: string): Promise<boolean> {
     const bytes = this._manifests.get(manifestDigest)
     if (bytes === undefined || await digestOf(bytes) !== manifestDigest) return false
     const checked = checkManifest(JSON.parse(bytes.toString()), Number.MAX_SAFE_INTEGER)
@@ -175,16 +175,16 @@
     const prompt = body.messages.at(-1)?.content ?? ''
     const tokens = body.max_tokens ?? DEFAULT_TOKENS
     const resumeAfter = Number(request.headers['x-resume-after'] ?? 0)
-    this._run(1)
+    this._changeRunning(1)
     try {
-      await this._whileThawed()
+      await this._untilThawed()
       await pause(this._firstTokenTime(prompt))
       const answer = { id, model: body.model, version, prompt, tokens, resumeAfter }
-      const whole = body.stream === true ? await this._stream(answer, response) : await this._whole(answer, response)
-      if (whole) this.journal.answers += 1
+      const complete = body.stream === true ? await this._stream(answer, response) : await this._completion(answer, response)
+      if (complete) this.journal.answers += 1
       else this.journal.cancelled += 1
     } finally {
-      this._run(-1)
+      this._changeRunning(-1)
     }
   }
 
@@ -196,7 +196,7 @@
       if (response.destroyed) return false
       send({ ...common, choices: [{ index: 0, delta: { role: 'assistant', content: tokenOf(answer.version, answer.prompt, index) }, finish_reason: null }] })
       await pause(this._times.betweenTokens)
-      await this._whileThawed()
+      await this._untilThawed()
     }
     if (answer.resumeAfter <= answer.tokens) send({ ...common, choices: [{ index: 0, delta: {}, finish_reason: 'stop' }] })
     send('[DONE]')
@@ -204,9 +204,9 @@
     return !response.destroyed
   }
 
-  private async _whole (answer: Answer, response: ServerResponse): Promise<boolean> {
+  private async _completion (answer: Answer, response: ServerResponse): Promise<boolean> {
     await pause(this._times.betweenTokens * answer.tokens)
-    await this._whileThawed()
+    await this._untilThawed()
     if (response.destroyed) return false
     response.setHeader('x-model-version', answer.version)
     sendJson(response, {
@@ -232,14 +232,14 @@
     return cached ? this._times.cachedFirstToken : this._times.firstToken
   }
 
-  /** Reports of load come late. */
-  private _run (change: number): void {
+  /** Changes the number of running requests. The reported number follows after the lag of load reports. */
+  private _changeRunning (change: number): void {
     this._running += change
     const reported = this._running
-    setTimeout(() => { this._reported = reported }, this._times.reportLag)
+    setTimeout(() => { this._reportedRunning = reported }, this._times.reportLag)
   }
 
-  private async _whileThawed (): Promise<void> {
+  private async _untilThawed (): Promise<void> {
     while (this.frozen) await pause(20)
   }
 }
--- a/packages/stand-ins/src/lib/published-service.ts
+++ b/packages/stand-ins/src/lib/published-service.ts
@@ -3,9 +3,7 @@
  * Copyright 2026 the drumdrift contributors
  * SPDX-License-Identifier: BSD-3-Clause
  */
-/**
- * Stand-in for the platform's configuration service and instance list: documents with revisions, read or watched.
- */
+/** Stand-in for the platform's configuration service and instance list: documents with revisions, for reads and long polls. */
 import type { IncomingMessage, ServerResponse } from 'node:http'
 import type { Published, Topic } from '@drumdrift/core'
 import { HttpService, sendJson } from './http-service.js'
@@ -16,23 +14,23 @@
   readonly timer: NodeJS.Timeout
 }
 
-const LONGEST_WAIT = 30_000
+const MAX_WAIT_MILLISECONDS = 30_000
 
-/** One published topic. */
+/** Serves one published topic. */
 export class PublishedService extends HttpService {
-  /** When each revision was published, by the clock of `performance`. */
+  /** Publication time of each revision, in milliseconds of `performance.now()`. */
   readonly publishedAt = new Map<number, number>()
   private readonly _history: Published[] = []
   private readonly _watches = new Set<Watch>()
 
   /**
-   * @param lag Milliseconds between publishing and showing.
+   * @param lag Milliseconds between the publication of a revision and its visibility to readers.
    */
   constructor (private readonly _topic: Topic, private readonly _source: string, callsPerSecond?: number, private readonly _lag = 0) {
     super(callsPerSecond)
   }
 
-  /** The newest revision published. */
+  /** The newest visible revision; 0 before the first. */
   get revision (): number { return this._history.at(-1)?.revision ?? 0 }
 
   /**
@@ -47,7 +45,7 @@
     this.publishedAt.set(revision, performance.now())
     setTimeout(() => {
       this._history.push(published)
-      this._wake()
+      this._notifyWatches()
     }, this._lag)
     return revision
   }
@@ -59,15 +57,15 @@
       return
     }
     const after = Number(url.searchParams.get('after') ?? 0)
-    const wait = Math.min(LONGEST_WAIT, Number(url.searchParams.get('wait') ?? 0))
-    const newest = this._shown()
+    const wait = Math.min(MAX_WAIT_MILLISECONDS, Number(url.searchParams.get('wait') ?? 0))
+    const newest = this._visible()
     if (newest !== undefined && (newest.revision > after || this.behaviour === 'stale')) sendJson(response, newest)
     else if (wait > 0) this._watch(after, wait, response)
     else response.writeHead(304).end()
   }
 
-  /** A stale service shows its first revision. */
-  private _shown (): Published | undefined {
+  /** The document that readers get: the first revision if the service is stale, otherwise the newest. */
+  private _visible (): Published | undefined {
     return this.behaviour === 'stale' ? this._history[0] : this._history.at(-1)
   }
 
@@ -88,9 +86,9 @@
     })
   }
 
-  private _wake (): void {
+  private _notifyWatches (): void {
     if (this.behaviour !== 'normal') return
-    const newest = this._shown()
+    const newest = this._visible()
     for (const watch of this._watches) {
       if (newest === undefined || newest.revision <= watch.after) continue
       clearTimeout(watch.timer)
--- a/packages/stand-ins/src/lib/users-platform/key-value-store.ts
+++ b/packages/stand-ins/src/lib/users-platform/key-value-store.ts
@@ -3,13 +3,11 @@
  * Copyright 2026 the drumdrift contributors
  * SPDX-License-Identifier: BSD-3-Clause
  */
-/**
- * Stands in for the users' store: items with revisions, reads by prefix in pages, watches that wait, and its faults.
- */
+/** Stand-in for the users' store: items with revisions, paginated reads by prefix, watches by long polling, and faults. */
 import type { IncomingMessage, ServerResponse } from 'node:http'
 import { HttpService, sendJson } from '../http-service.js'
 
-/** One change, as the store tells it. */
+/** A change, as the store sends it. */
 interface StoreEvent {
   readonly key: string
   readonly revision: number
@@ -17,108 +15,108 @@
   readonly removed?: true
 }
 
-interface Waiting {
+interface PendingWatch {
   readonly prefix: string
   readonly after: number
   readonly response: ServerResponse
   readonly timer: NodeJS.Timeout
 }
 
-/** Everything that the store holds at one moment. */
-interface StoreCopy {
+/** A snapshot of the store. */
+interface StoreSnapshot {
   readonly items: readonly StoreEvent[]
   readonly history: readonly StoreEvent[]
   readonly revision: number
 }
 
-/** What the store does with calls, besides `behaviour`: answer, turn away, or hear and say nothing. */
+/** How the store treats requests, in addition to `behaviour`: answers, refuses with 503, or reads them and never answers. */
 export type StoreMode = 'answers' | 'turns-away' | 'silent'
 
 /** The store on loopback. */
 export class KeyValueStoreStandIn extends HttpService {
   mode: StoreMode = 'answers'
-  /** Items in one page of a read. */
+  /** Maximum number of items in one page of a read. */
   pageSize = 500
-  /** Names the store's epoch in all its answers; nothing where it tells none. */
+  /** Epoch that all responses carry; `undefined` to send none. */
   epoch: number | undefined = 1
-  private _onPage: (page: number) => void = () => {}
+  private _pageListener: (page: number) => void = () => {}
   private _pages = 0
   private _items = new Map<string, StoreEvent>()
-  /** What readings get that may be old; the same as others without. */
-  private _old: StoreCopy | undefined
-  private _copy: StoreCopy | undefined
+  /** Result of reads that allow stale data; `undefined` if they get current data. */
+  private _staleSnapshot: StoreSnapshot | undefined
+  private _savedSnapshot: StoreSnapshot | undefined
   private _history: StoreEvent[] = []
   private _revision = 1
-  private _forgottenUpTo = 0
-  private readonly _waiting = new Set<Waiting>()
+  private _compactedRevision = 0
+  private readonly _pendingWatches = new Set<PendingWatch>()
 
-  /** Writes a document, as operators and workers do. Returns its revision. */
+  /** Writes a document and returns its revision. */
   put (key: string, document: unknown): number {
     const value = Buffer.from(JSON.stringify(document)).toString('base64')
-    return this._change({ key, revision: ++this._revision, value })
+    return this._applyChange({ key, revision: ++this._revision, value })
   }
 
-  /** Has something done after each page of a reading, by how many there were since. */
+  /** Calls a function after each page of a read, with the number of pages since this call. */
   eachPage (run: (page: number) => void): void {
-    this._onPage = run
+    this._pageListener = run
     this._pages = 0
   }
 
   remove (key: string): number {
-    return this._change({ key, revision: ++this._revision, removed: true })
+    return this._applyChange({ key, revision: ++this._revision, removed: true })
   }
 
-  /** Writes the operators' configuration. */
+  /** Writes the configuration. */
   putConfiguration (document: unknown): number { return this.put('op/config', document) }
 
-  /** Names a version of a model. */
+  /** Publishes the desired version of a model. */
   putVersion (model: string, version: number): number { return this.put(`op/version/${model}`, { model, version }) }
 
-  /** Writes what a worker says of itself. */
+  /** Writes the record of a worker. */
   putWorker (id: string, entry: unknown): number { return this.put(`servers/${id}`, entry) }
 
   removeWorker (id: string): number { return this.remove(`servers/${id}`) }
 
-  /** From now on readings that may be old get what is here now. */
-  keepOld (): void { this._old = this._copyOfAll() }
+  /** Freezes the result of reads that allow stale data at the current contents. */
+  keepOld (): void { this._staleSnapshot = this._currentSnapshot() }
 
-  /** Makes the copy that the store may be restored from. */
-  makeCopy (): void { this._copy = this._copyOfAll() }
+  /** Takes the snapshot that `restore` uses. */
+  makeCopy (): void { this._savedSnapshot = this._currentSnapshot() }
 
-  /** Goes back to the copy, in the next epoch: what was written since is gone, and its revisions are given out again. */
+  /** Restores the snapshot in the next epoch: later writes are lost and their revisions are assigned again. */
   restore (): void {
-    if (this._copy === undefined) throw new Error('there is no copy')
-    const { items, history, revision } = this._copy
+    if (this._savedSnapshot === undefined) throw new Error('no snapshot was taken')
+    const { items, history, revision } = this._savedSnapshot
     this._items = new Map(items.map(item => [item.key, item]))
     this._history = [...history]
     this._revision = revision
     this.epoch = (this.epoch ?? 0) + 1
-    this._cutWatches()
+    this._closeWatches()
   }
 
-  /** Forgets its history and cuts all watches. */
+  /** Discards the history and closes all watches. */
   compact (): void {
-    this._forgottenUpTo = this._revision
+    this._compactedRevision = this._revision
     this._history = []
-    this._cutWatches()
+    this._closeWatches()
   }
 
-  private _copyOfAll (): StoreCopy { return { items: [...this._items.values()], history: [...this._history], revision: this._revision } }
+  private _currentSnapshot (): StoreSnapshot { return { items: [...this._items.values()], history: [...this._history], revision: this._revision } }
 
-  private _cutWatches (): void {
-    for (const waiting of this._waiting) {
-      clearTimeout(waiting.timer)
-      waiting.response.destroy()
+  private _closeWatches (): void {
+    for (const watch of this._pendingWatches) {
+      clearTimeout(watch.timer)
+      watch.response.destroy()
     }
-    this._waiting.clear()
+    this._pendingWatches.clear()
   }
 
   override close (): void {
-    for (const { timer } of this._waiting) clearTimeout(timer)
+    for (const { timer } of this._pendingWatches) clearTimeout(timer)
     super.close()
   }
 
-  protected override mark (response: ServerResponse): void {
+  protected override setCommonHeaders (response: ServerResponse): void {
     if (this.epoch !== undefined) response.setHeader('store-era', String(this.epoch))
   }
 
@@ -127,49 +125,49 @@
     if (this.mode === 'turns-away') return sendJson(response, {}, 503)
     const url = new URL(request.url ?? '/', 'http://store')
     const prefix = url.searchParams.get('pathPrefix') ?? ''
-    const old = url.searchParams.get('allowStale') === '1' ? this._old : undefined
-    if (url.pathname === '/api/kv-range') this._range(old ?? { items: [...this._items.values()], revision: this._revision }, prefix, url.searchParams.get('sinceRev') ?? '', response)
+    const stale = url.searchParams.get('allowStale') === '1' ? this._staleSnapshot : undefined
+    if (url.pathname === '/api/kv-range') this._range(stale ?? { items: [...this._items.values()], revision: this._revision }, prefix, url.searchParams.get('sinceRev') ?? '', response)
     else if (url.pathname === '/api/kv-watch') this._watch(prefix, Number(url.searchParams.get('sinceRev')), Number(url.searchParams.get('waitMs')), response)
     else sendJson(response, {}, 404)
   }
 
-  private _range (held: Pick<StoreCopy, 'items' | 'revision'>, prefix: string, afterKey: string, response: ServerResponse): void {
-    const items = held.items.filter(({ key }) => key.startsWith(prefix) && key > afterKey).sort((left, right) => left.key < right.key ? -1 : 1)
-    sendJson(response, { items: items.slice(0, this.pageSize), truncated: items.length > this.pageSize, storeRevision: held.revision })
-    this._onPage(++this._pages)
+  private _range (snapshot: Pick<StoreSnapshot, 'items' | 'revision'>, prefix: string, afterKey: string, response: ServerResponse): void {
+    const items = snapshot.items.filter(({ key }) => key.startsWith(prefix) && key > afterKey).sort((left, right) => left.key < right.key ? -1 : 1)
+    sendJson(response, { items: items.slice(0, this.pageSize), truncated: items.length > this.pageSize, storeRevision: snapshot.revision })
+    this._pageListener(++this._pages)
   }
 
   private _watch (prefix: string, after: number, wait: number, response: ServerResponse): void {
-    if (after < this._forgottenUpTo || after > this._revision) return sendJson(response, {}, 410)
-    if (this._tell(prefix, after, response)) return
-    const waiting: Waiting = {
+    if (after < this._compactedRevision || after > this._revision) return sendJson(response, {}, 410)
+    if (this._sendEvents(prefix, after, response)) return
+    const watch: PendingWatch = {
       prefix,
       after,
       response,
       timer: setTimeout(() => {
-        this._waiting.delete(waiting)
+        this._pendingWatches.delete(watch)
         sendJson(response, { events: [], storeRevision: this._revision })
       }, wait)
     }
-    this._waiting.add(waiting)
+    this._pendingWatches.add(watch)
   }
 
-  private _tell (prefix: string, after: number, response: ServerResponse): boolean {
+  private _sendEvents (prefix: string, after: number, response: ServerResponse): boolean {
     const events = this._history.filter(event => event.key.startsWith(prefix) && event.revision > after)
     if (events.length === 0) return false
     sendJson(response, { events, storeRevision: this._revision })
     return true
   }
 
-  private _change (event: StoreEvent): number {
+  private _applyChange (event: StoreEvent): number {
     if (event.removed === true) this._items.delete(event.key)
     else this._items.set(event.key, event)
     this._history.push(event)
     if (this.mode === 'silent') return event.revision
-    for (const waiting of this._waiting) {
-      if (!this._tell(waiting.prefix, waiting.after, waiting.response)) continue
-      clearTimeout(waiting.timer)
-      this._waiting.delete(waiting)
+    for (const watch of this._pendingWatches) {
+      if (!this._sendEvents(watch.prefix, watch.after, watch.response)) continue
+      clearTimeout(watch.timer)
+      this._pendingWatches.delete(watch)
     }
     return event.revision
   }
