--- a/packages/benchmarks/src/lib/limits/limit-model.ts
+++ b/packages/benchmarks/src/lib/limits/limit-model.ts
@@ -4,36 +4,36 @@
  * SPDX-License-Identifier: BSD-3-Clause
  */
 /**
- * A model of one endpoint that takes few requests from all entries together, before fleets of several sizes, by ways of sharing what
- * it takes. Nobody sees what another entry sends.
+ * Simulates an endpoint with a low request rate limit for all entries together, for fleets of several sizes, and compares policies that
+ * divide the limit among entries. No entry sees what another one sends.
  */
 import { LimitShare } from '@drumdrift/core'
 import { seededRandom } from '@drumdrift/stand-ins'
 
-/** What one entry does about the limit. */
+/** The rate limiter of one entry. */
 interface Sharer {
   maySend (now: number): boolean
   sent (now: number): void
 }
 
-/** What a sharer is made from. */
+/** The inputs of a rate limiter. */
 interface Terms {
-  /** In requests a second. */
+  /** The limit for all entries together, in requests per second. */
   readonly limit: number
   readonly entries: number
   readonly draw: () => number
-  /** When its entry starts, in milliseconds. */
+  /** The start time of the entry, in milliseconds. */
   readonly startedAt: number
 }
 
-/** Ways of sharing a limit. */
+/** The policies for dividing a limit among entries. */
 export type LimitWay = 'whole-for-each' | 'parts-saved' | 'parts-begun-empty' | 'few-holders' | 'parts-that-lapse'
 
 const MILLISECONDS_PER_SECOND = 1_000
-/** Entries that hold the whole limit together, as hashing of names would choose them: each is one with this chance in all. */
+/** The expected number of entries that divide the whole limit among them, as hashing of names would select them; each entry is selected independently. */
 const EXPECTED_HOLDERS = 3
 
-/** One request saved at most, earned at a rate. */
+/** A token bucket with a capacity of one request. */
 class Saver implements Sharer {
   private _lookedAt: number
 
@@ -58,30 +58,30 @@
   'parts-that-lapse': ({ limit, entries, draw, startedAt }) => new LimitShare(limit, () => entries, draw(), startedAt)
 }
 
-/** Every way. */
+/** The names of all policies. */
 export const limitWays = Object.keys(ways) as LimitWay[]
 
-/** One play. */
+/** Parameters of one simulation run. */
 export interface LimitPlay {
   readonly way: LimitWay
   readonly entries: number
   readonly limit: number
-  /** Requests a second that each entry would send there. */
+  /** Requests per second that each entry tries to send. */
   readonly wanted: number
-  /** How long nobody wants anything, out of every 20 s; then all do at once. In milliseconds. */
+  /** How long no entry has requests at the start of every 20 s, in milliseconds; after that all entries have requests at once. */
   readonly silence: number
-  /** Seconds between two restarts of an entry; nothing for none. */
+  /** Seconds between two restarts of an entry; `undefined` for no restarts. */
   readonly restartEvery: number | undefined
   readonly seed: number
 }
 
-/** What came of it. */
+/** Results of one simulation run. */
 export interface LimitFigures {
-  /** The most requests in 4 s. */
+  /** The maximum number of requests in any 4 s. */
   readonly most: number
-  /** What may reach the endpoint in 4 s. */
+  /** The number of requests that may reach the endpoint in 4 s. */
   readonly allowed: number
-  /** The share of the limit that was used while it was wanted. */
+  /** The share of the limit that was used while entries had requests. */
   readonly used: number
 }
 
@@ -91,7 +91,7 @@
 const TICK = 20
 
 /**
- * Plays two minutes.
+ * Simulates two minutes.
  *
  * @example
  * const { most, allowed } = playLimit({ way: 'parts-that-lapse', entries: 98, limit: 1.1, wanted: 1, silence: 0, restartEvery: undefined, seed: 7 })
--- a/packages/benchmarks/src/lib/limits/limits-bench.ts
+++ b/packages/benchmarks/src/lib/limits/limits-bench.ts
@@ -3,7 +3,7 @@
  * Copyright 2026 the drumdrift contributors
  * SPDX-License-Identifier: BSD-3-Clause
  */
-/** Prints what an endpoint gets that takes few requests from all entries together, by fleet, load and way of sharing. */
+/** Prints the load of an endpoint with a low rate limit for all entries together, by fleet size, load and policy. */
 import { printFigures, twoDecimals, type BenchOptions } from '../bench-options.js'
 import { limitWays, playLimit } from './limit-model.js'
 
@@ -15,7 +15,7 @@
   { load: 'with-restarts', wanted: 1, silence: 0, restartEvery: 0.25 }
 ] as const
 
-/** Prints one line for each: the most requests in 4 s of all seeds, the seeds in which that was too many, the mean share used. */
+/** Prints one line for each combination: the maximum number of requests in 4 s over all seeds, the number of seeds that exceeded the limit, and the mean share used. */
 export async function limitsBench ({ seed, seeds }: BenchOptions): Promise<boolean> {
   let good = true
   for (const entries of FLEETS) {
--- a/packages/benchmarks/src/lib/policy/policies.ts
+++ b/packages/benchmarks/src/lib/policy/policies.ts
@@ -3,12 +3,12 @@
  * Copyright 2026 the drumdrift contributors
  * SPDX-License-Identifier: BSD-3-Clause
  */
-/** Ways of choosing an engine that the model compares: the product's own, earlier versions of it, and plain baselines. */
+/** Engine selection policies that the simulation compares: the product's own, earlier versions of it, and baselines. */
 import { decideStart, EndpointChooser, firstTokenTime, type Choice, type EndpointRecord, type EngineWork, type LoadReport, type PoolDescription, type ServiceDescription } from '@drumdrift/core'
 
-/** The names of the policies. */
+/** The names of the selection policies. */
 export const policyNames = ['by-room', 'soonest', 'soonest-unread-unknown', 'least-connections', 'random', 'sees-all'] as const
-/** One of them. */
+/** The name of a selection policy. */
 export type PolicyName = typeof policyNames[number]
 
 /** A request that an entry has to place. */
@@ -19,29 +19,29 @@
   readonly objective: number
 }
 
-/** The choice of one entry. */
+/** The engine selection of one entry. */
 export interface EntryPolicy {
-  /** The index of an engine; nothing to refuse. */
+  /** Returns the index of an engine, or `undefined` to refuse the request. */
   choose (request: PlacedRequest, tried: ReadonlySet<number>, now: number): number | undefined
   begun (engine: number, request: PlacedRequest, now: number): void
   ended (engine: number, request: PlacedRequest, outcome: 'served' | 'refused', now: number): void
   heard (engine: number, report: LoadReport, now: number): void
 }
 
-/** What a policy works with. */
+/** The inputs of a policy. */
 export interface PolicyParts {
   readonly pool: PoolDescription
   /** The engines that the entry may send to. */
   readonly engines: readonly number[]
   readonly draw: () => number
-  /** What an engine has to do at this moment, requests on their way to it included; no real entry can see that. */
+  /** The current work of an engine, including requests in transit to it; a real entry cannot see this. */
   readonly work: (engine: number) => EngineWork
 }
 
 const MODEL = 'model'
 const ZONE = 'zone'
 
-/** The product's chooser and its early refusal; `see` is what it gets of a report. */
+/** The product's chooser with early refusal; `_see` reduces a load report to what the chooser receives. */
 class ChooserPolicy implements EntryPolicy {
   private readonly _chooser: EndpointChooser
   private readonly _service: ServiceDescription
@@ -75,7 +75,7 @@
   heard (engine: number, report: LoadReport, now: number): void { this._chooser.heard(String(engine), this._see(report), now) }
 }
 
-/** Knows only which engines are open and what this entry has sent there. */
+/** Uses only which engines accept requests and how many requests of this entry they have outstanding. */
 class CountingPolicy implements EntryPolicy {
   private readonly _outstanding: number[] = []
   private readonly _closed = new Set<number>()
@@ -101,7 +101,7 @@
   }
 }
 
-/** Sees what every engine has to do at this moment, and sends to the one that answers soonest; refuses what would be late. */
+/** Uses the exact current work of every engine: chooses the one with the earliest first token, and refuses a request that would be late. */
 class SeeingPolicy implements EntryPolicy {
   constructor (private readonly _parts: PolicyParts) {}
 
@@ -117,7 +117,7 @@
   heard (): void {}
 }
 
-/** Makes the choice of one entry, for each policy. */
+/** Creates the engine selection of one entry, by policy. */
 export const entryPolicies: Record<PolicyName, (parts: PolicyParts) => EntryPolicy> = {
   'by-room': parts => new ChooserPolicy(parts, report => report),
   soonest: parts => new ChooserPolicy(parts, report => ({ ...report, sentRate: undefined })),
--- a/packages/benchmarks/src/lib/policy/policy-bench.ts
+++ b/packages/benchmarks/src/lib/policy/policy-bench.ts
@@ -3,7 +3,7 @@
  * Copyright 2026 the drumdrift contributors
  * SPDX-License-Identifier: BSD-3-Clause
  */
-/** Compares ways of choosing an engine over many seeds in the model of a pool, with a plot of worth against load. */
+/** Compares engine selection policies in the simulated pool over many seeds, with an optional plot of worth against load. */
 import { writeFileSync } from 'node:fs'
 import { compile, type TopLevelSpec } from 'vega-lite'
 import { parse, View } from 'vega'
@@ -11,13 +11,13 @@
 import { playPolicy, tellings, type PolicyFigures, type PolicyPlay, type SiteName, type Telling } from './policy-model.js'
 import { policyNames, type PolicyName } from './policies.js'
 
-/** Requests a second: a quiet pool, the users' usual peak, and about what the model's pool can serve. */
+/** Requests per second: a lightly loaded pool, the users' typical peak, and about the capacity of the simulated pool. */
 const LOADS: Record<SiteName, readonly number[]> = { few: [60, 100, 130], crowded: [32, 40, 48], hundreds: [300, 375, 450], 'many-entries': [180, 220, 250] }
-/** A play of hundreds of processes takes as long as so many small ones, and has as many requests. */
+/** One run of a large site takes as long as this many runs of a small one and has as many requests, so large sites use fewer seeds. */
 const SEEDS_OF_ONE_LARGE = 10
-/** Ratios are told against this plain way. */
+/** The policy that `of_baseline` ratios refer to. */
 const BASELINE: PolicyName = 'least-connections'
-/** The product's own way of choosing. */
+/** The product's own policy. */
 const PRODUCT: PolicyName = 'by-room'
 
 interface PolicyPoint {
@@ -26,7 +26,7 @@
   readonly worth: number
 }
 
-/** Plays each policy at each load. */
+/** Runs each policy at each load. */
 export async function policyBench ({ seed, seeds, plot }: BenchOptions): Promise<boolean> {
   const points: PolicyPoint[] = []
   for (const [site, load] of Object.entries(LOADS).flatMap(([name, loads]) => loads.map(load => [name as SiteName, load] as const))) {
@@ -48,7 +48,7 @@
   return site === 'hundreds' || site === 'many-entries' ? Math.ceil(seeds / SEEDS_OF_ONE_LARGE) : seeds
 }
 
-/** How often agents tell, by what it earns and what it costs. */
+/** Compares the load report schedules by credit earned and by the number of reports. */
 function compareTellings (play: PolicyPlay, seeds: number): void {
   for (const telling of Object.keys(tellings) as Telling[]) {
     const { worth, refused, late, heardPerSecond } = meanOf({ ...play, telling }, seeds)
--- a/packages/benchmarks/src/lib/policy/policy-model.ts
+++ b/packages/benchmarks/src/lib/policy/policy-model.ts
@@ -4,8 +4,8 @@
  * SPDX-License-Identifier: BSD-3-Clause
  */
 /**
- * A model of a pool behind several entries, in virtual time: callers, entries that choose, engines, and the agents' reports
- * in between. It says how a policy of choosing fares; it knows nothing of networks, links or weights.
+ * Simulates a pool behind several entries in virtual time: callers, entries that choose engines, engines, and the agents' load
+ * reports. It compares selection policies. Networks, links and weights are not modelled.
  */
 import { type EngineWork, type PoolDescription, readRate, retryAfter, UnreadTokens } from '@drumdrift/core'
 import { quantile } from '../bench-options.js'
@@ -14,28 +14,28 @@
 import { VirtualEngine } from './virtual-engine.js'
 import { VirtualTime } from './virtual-time.js'
 
-/** The pool as the users publish theirs (their sites' figures of one engine). */
+/** The pool description that the users publish for one engine of their sites. */
 export const modelPool: PoolDescription = {
   slots: 16, stride: 5, stepTime: 9.27, stepTimePerRequest: 0.0232, stepTimePerThousandTokens: 0.0322, promptTokensPerMillisecond: 20.7, promptTokensPerStep: 2_048, usualPromptTokens: 935, usualAnswerTokens: 92, models: [], layers: 16, chunks: 96, chunkBytes: 24_576
 }
 
-/** A deployment, as the model plays it. */
+/** A simulated deployment. */
 export interface ModelSite {
   readonly entries: number
   readonly engines: number
-  /** Engines that one entry follows and sends to. */
+  /** Number of engines that one entry follows and sends requests to. */
   readonly followed: number
   readonly pool: PoolDescription
-  /** One way between any two processes, in milliseconds. */
+  /** One-way latency between any two processes, in milliseconds. */
   readonly way: number
-  /** Within which an answer is to begin, in milliseconds. */
+  /** Deadline for the first token, in milliseconds. */
   readonly objective: number
   readonly sizes: Readonly<Record<'prompt' | 'answer', LogNormal>>
-  /** What an answer earns. */
+  /** Credit earned by each kind of answer. */
   readonly credits: Credits
 }
 
-/** Sizes in tokens: their mean, the spread of their logarithms, and the most. */
+/** A truncated log-normal distribution of sizes in tokens: its mean, the standard deviation of the logarithm, and the maximum. */
 interface LogNormal {
   readonly mean: number
   readonly spread: number
@@ -45,14 +45,14 @@
 interface Credits {
   readonly inTime: number
   readonly late: number
-  /** In time after one refusal; nothing where the time counts from the first try. */
+  /** Credit for an answer in time after one refusal; `undefined` if the time counts from the first attempt. */
   readonly afterRefusal: number | undefined
   readonly refusedAgain: number
 }
 
-/** The sites that are played. */
+/** The simulated sites. */
 export const modelSites = {
-  /** A few entries, and engines with room to spare: the users' first sites. */
+  /** Few entries and engines with spare capacity, as in the users' first sites. */
   few: {
     entries: 6,
     engines: 15,
@@ -63,11 +63,11 @@
     sizes: { prompt: { mean: 935, spread: 0.8, most: 3_800 }, answer: { mean: 92, spread: 0.7, most: 250 } },
     credits: { inTime: 1, late: 0.25, afterRefusal: 0.625, refusedAgain: 0 }
   },
-  /** Engines of 8 slots that are full nine tenths of the time, asked by more entries than there are engines. */
+  /** Engines of 8 slots that are full 90% of the time, with more entries than engines. */
   crowded: crowdedSite(15, 9, 9),
-  /** The same with ten times as many of both, where each entry follows some of the engines. */
+  /** The same with about ten times as many engines; each entry follows only some of them. */
   hundreds: crowdedSite(98, 84, 20),
-  /** More entries than engines, each with few requests; fast engines of 12 slots, short ways, longer answers. */
+  /** More entries than engines, each with few requests; fast engines of 12 slots, low latency and longer answers. */
   'many-entries': {
     entries: 40,
     engines: 32,
@@ -96,51 +96,51 @@
   }
 }
 
-/** With the second way of telling, a follower that hardly chooses is told this often, in milliseconds. */
+/** The longest pause between two reports to a follower that rarely chooses, in milliseconds; used by `by-choices`. */
 const LONGEST_TELLING_PAUSE = 200
 
-/** Ways of telling one follower how busy an engine is: the pause, by the requests in a millisecond that the follower sends to the pool. */
+/** Load report schedules: the pause between two reports to a follower, by the requests per millisecond that the follower sends to the pool. */
 export const tellings = {
-  /** With each look: the product's way. */
+  /** A report after each reading of the engine; the product does this. */
   'each-look': () => 0,
-  /** As often as the follower chooses: half of the reports and fewer, but choices rest on older ones. */
+  /** One report per choice of the follower: at most half as many reports, but choices use older ones. */
   'by-choices': sentRate => Math.min(LONGEST_TELLING_PAUSE, 1 / sentRate)
 } as const satisfies Record<string, (sentRate: number) => number>
 
-/** The name of a way of telling. */
+/** The name of a load report schedule. */
 export type Telling = keyof typeof tellings
 
-/** One play of the model. */
+/** Parameters of one simulation run. */
 export interface PolicyPlay {
   readonly site: SiteName
   readonly policy: PolicyName
   readonly seed: number
-  /** Requests a second of all entries together. */
+  /** Requests per second of all entries together. */
   readonly perSecond: number
   readonly telling?: Telling | undefined
 }
 
-/** What came of it. */
+/** Results of one simulation run. */
 export interface PolicyFigures {
-  /** Credit earned of credit owed, 0 to 1. */
+  /** Credit earned per request, at most 1. */
   readonly worth: number
   readonly refused: number
   readonly late: number
   readonly firstMedian: number
   readonly firstLatest: number
-  /** Reports that one entry hears in a second. */
+  /** Load reports that one entry receives per second. */
   readonly heardPerSecond: number
 }
 
-/** Milliseconds: between two looks of an agent, and what callers wait for in all. */
+/** Times in milliseconds: the pause between two readings of an engine, and the total time that callers wait. */
 const LOOK_PAUSE = 50
 const PATIENCE = 6_000
-/** A part of the engines is closed for a while and opens at one moment, as after a switch or an outage. In milliseconds. */
+/** A share of the engines stops accepting requests for a while and reopens at once, as after a switch or an outage; times in milliseconds. */
 const CLOSED = { share: 0.4, from: 6_000, to: 8_000 }
-/** Requests that come before this are not counted, while engines fill; none come after the end. In milliseconds. */
+/** Requests that arrive before this time are not counted, because the engines are still filling; none arrive after `END`. In milliseconds. */
 const COUNTED_FROM = 2_000
 const END = 14_000
-/** Time for the last answers, in milliseconds. */
+/** Time after `END` in which the last answers complete, in milliseconds. */
 const TAIL = 6_000
 
 interface Tally {
@@ -152,18 +152,18 @@
   readonly firsts: number[]
 }
 
-/** One play under way. */
+/** The state of one simulation run. */
 class PolicyModel {
   private readonly _time = new VirtualTime()
   private readonly _draw: () => number
   private readonly _site: ModelSite
   private readonly _engines: VirtualEngine[]
   private readonly _entries: EntryPolicy[]
-  /** The engines that each entry follows. */
+  /** The engines that each entry follows, by the index of the entry. */
   private readonly _followed: ReadonlySet<number>[]
   private readonly _tally: Tally = { asked: 0, credit: 0, refused: 0, late: 0, reports: 0, firsts: [] }
   private _named = 0
-  /** Requests on their way to each engine. */
+  /** Requests in transit to each engine. */
   private readonly _underWay = new Map<number, { requests: number, tokens: number }>()
 
   constructor (private readonly _play: PolicyPlay) {
@@ -201,7 +201,7 @@
     for (const engine of this._engines.slice(0, Math.round(this._engines.length * CLOSED.share))) engine.accepting = accepting
   }
 
-  /** An agent looks at its engine, and tells the entries that follow it. */
+  /** Starts an agent's loop, which reads its engine and sends load reports to the entries that follow it. */
   private _look (engine: VirtualEngine, index: number): void {
     const unread = new UnreadTokens()
     const followers = this._entries.filter((_, entry) => this._followed[entry]?.has(index))
@@ -222,7 +222,7 @@
     this._time.after(this._draw() * LOOK_PAUSE, look)
   }
 
-  /** Requests come to an entry at random times. */
+  /** Schedules Poisson arrivals at an entry. */
   private _arrive (entry: EntryPolicy): void {
     const pause = -Math.log(1 - this._draw()) * 1_000 * this._site.entries / this._play.perSecond
     if (this._time.now + pause > END) return
@@ -236,7 +236,7 @@
     return { id: String(this._named++), promptTokens: this._size(this._site.sizes.prompt), answerTokens: this._size(this._site.sizes.answer), objective: this._site.objective }
   }
 
-  /** A size from a log-normal distribution of this mean, cut off at the most (Box and Muller's way to a normal number). */
+  /** Draws a size from a truncated log-normal distribution of the given mean, by the Box-Muller transform. */
   private _size ({ mean, spread, most }: LogNormal): number {
     const normal = Math.sqrt(-2 * Math.log(1 - this._draw())) * Math.cos(2 * Math.PI * this._draw())
     return Math.max(1, Math.round(Math.min(most, mean * Math.exp(spread * normal - spread ** 2 / 2))))
@@ -297,7 +297,7 @@
 }
 
 /**
- * Plays the model once.
+ * Runs the simulation once.
  *
  * @example
  * playPolicy({ site: 'few', policy: 'by-room', seed: 7, perSecond: 110 }).worth
--- a/packages/benchmarks/src/lib/policy/virtual-engine.ts
+++ b/packages/benchmarks/src/lib/policy/virtual-engine.ts
@@ -4,8 +4,8 @@
  * SPDX-License-Identifier: BSD-3-Clause
  */
 /**
- * A batching engine in virtual time, as the users publish how theirs work: it plays passes, each of which admits what
- * waits, reads prompts up to a limit, and lets every request that has been read write some tokens.
+ * A batching engine in virtual time that follows the users' published description of theirs. It runs passes; each admits
+ * waiting requests, prefills prompts up to a token limit, and generates some tokens for every request whose prompt has been read.
  */
 import { readRate, stepTime, type EngineWork, type PoolDescription } from '@drumdrift/core'
 import type { VirtualTime } from './virtual-time.js'
@@ -24,17 +24,17 @@
   left: number
 }
 
-/** One engine. */
+/** A simulated engine with continuous batching. */
 export class VirtualEngine {
   private readonly _waiting: EngineJob[] = []
   private _running: Running[] = []
   private _busy = false
-  /** Whether it takes new work. */
+  /** Whether the engine accepts new requests. */
   accepting = true
 
   constructor (private readonly _pool: PoolDescription, private readonly _time: VirtualTime) {}
 
-  /** Takes a request; false when it is closed. */
+  /** Queues a request. Returns false if the engine does not accept requests. */
   send (job: EngineJob): boolean {
     if (!this.accepting) return false
     this._waiting.push(job)
@@ -42,13 +42,13 @@
     return true
   }
 
-  /** What it tells of itself. Requests count as running from their admission on, as the users' engines count them. */
+  /** The load that the engine reports. Requests count as running from their admission on, as in the users' engines. */
   reading (): { running: number, waiting: number, contextTokens: number } {
     const contextTokens = this._running.reduce((sum, { job, left }) => sum + job.promptTokens + job.answerTokens - left, 0)
     return { running: this._running.length, waiting: this._waiting.length, contextTokens }
   }
 
-  /** All that it has to do, as nobody outside can see it. */
+  /** The exact remaining work, which is not visible outside the engine. */
   work (): EngineWork {
     const unread = this._running.filter(each => each.unread > 0)
     return {
@@ -88,7 +88,7 @@
   }
 }
 
-/** Reads prompts in the order of their admission. Returns the tokens read. */
+/** Prefills prompts in the order of their admission. Returns the number of tokens read. */
 function readPrompts (readers: readonly Running[], most: number): number {
   let left = most
   for (const reader of readers) {
--- a/packages/benchmarks/src/lib/policy/virtual-time.ts
+++ b/packages/benchmarks/src/lib/policy/virtual-time.ts
@@ -3,17 +3,17 @@
  * Copyright 2026 the drumdrift contributors
  * SPDX-License-Identifier: BSD-3-Clause
  */
-/** A clock that jumps from one event to the next, so that a minute of a fleet plays in a fraction of a second. */
+/** A discrete-event clock: it advances from one event to the next, so that simulating a minute takes a fraction of a second. */
 import TinyQueue from 'tinyqueue'
 
 interface Due {
   readonly at: number
-  /** Keeps events of one moment in the order in which they were planned. */
+  /** Orders events of the same time by when they were scheduled. */
   readonly order: number
   readonly run: () => void
 }
 
-/** Virtual time, in milliseconds from 0 on. */
+/** Virtual time in milliseconds, starting at 0. */
 export class VirtualTime {
   private readonly _queue = new TinyQueue<Due>([], (left, right) => left.at - right.at || left.order - right.order)
   private _now = 0
@@ -21,13 +21,13 @@
 
   get now (): number { return this._now }
 
-  /** Runs something after so many milliseconds. */
+  /** Schedules a callback after a delay in milliseconds. */
   after (milliseconds: number, run: () => void): void {
     this._queue.push({ at: this._now + milliseconds, order: this._planned++, run })
   }
 
   /**
-   * Plays all events up to a time.
+   * Runs all events up to and including a time.
    *
    * @example
    * time.playUntil(10_000)
--- a/packages/benchmarks/src/lib/retries-bench.ts
+++ b/packages/benchmarks/src/lib/retries-bench.ts
@@ -3,7 +3,7 @@
  * Copyright 2026 the drumdrift contributors
  * SPDX-License-Identifier: BSD-3-Clause
  */
-/** A third of the endpoints hang for a while: what retries add to the load, and how fast things recover, with and without a budget. */
+/** Measures the load that retries add, and the recovery time, with and without a retry budget while a third of the endpoints hang. */
 import { setTimeout as pause } from 'node:timers/promises'
 import { printFigures, seededRandom, twoDecimals, type BenchOptions } from './bench-options.js'
 import type { CallRecord } from './callers.js'
@@ -20,10 +20,10 @@
 const AFTER = 6
 const WINDOW = 500
 
-/** Seeds that the model is played with for each line of its table. */
+/** The number of seeds of the simulation for each line of its table. */
 const MODEL_SEEDS = 3
 
-/** Prints the table of the model, then measures the budget of real processes against no bound. */
+/** Prints the table of the simulation, then measures real processes with a retry budget and without a bound. */
 export async function retriesBench (options: BenchOptions): Promise<boolean> {
   let good = printRetryTable(options.seed, MODEL_SEEDS)
   for (const percent of ['10', '1000']) good = await measure(options, percent) && good
@@ -71,7 +71,7 @@
   return figures === undefined ? 'none' : twoDecimals(figures.whole / Math.max(1, figures.asked))
 }
 
-/** Milliseconds after the fault until a stretch of half a second in which 99 in 100 are answered. */
+/** Returns the milliseconds from the end of the fault to the first half second in which 99% of the requests are answered, or -1 if there is none. */
 function recovery (records: readonly CallRecord[], healedAt: number): number {
   for (let start = 0; start < AFTER * 1000; start += WINDOW) {
     const within = records.filter(record => record.at - healedAt >= start && record.at - healedAt < start + WINDOW)
--- a/packages/benchmarks/src/lib/retries/retry-model.ts
+++ b/packages/benchmarks/src/lib/retries/retry-model.ts
@@ -4,67 +4,67 @@
  * SPDX-License-Identifier: BSD-3-Clause
  */
 /**
- * A model of a fleet whose endpoints refuse part of what they are sent, while its entries restart again and again: what retries add
- * to the load of the service, against the bound that its operators set, and how many requests are served in the end.
+ * Simulates a fleet whose endpoints refuse a share of the attempts while its entries restart repeatedly. Measures the load that retries
+ * add to the service, against the bound that its operators set, and the share of requests that are served.
  */
 import { FleetSize, RetryAllowance, RetryBudget, type RetryTerms } from '@drumdrift/core'
 import { seededRandom } from '@drumdrift/stand-ins'
 
-/** Stretch of time for which the bound holds, in milliseconds. */
+/** The time window for which the bound holds, in milliseconds. */
 const WINDOW = 10_000
 
-/** Entries, their traffic and what their operators allow. */
+/** Entries, their traffic and the retry limits that their operators set. */
 export interface RetryFleet {
   readonly entries: number
   readonly perSecond: number
   readonly terms: RetryTerms
 }
 
-/** Fleets of three sizes, with terms as operators set them for such. */
+/** Fleets of three sizes, with retry limits as operators set them for such sizes. */
 export const retryFleets: readonly RetryFleet[] = [
   { entries: 6, perSecond: 120, terms: { ratio: 0.2, slack: 102, window: WINDOW } },
   { entries: 24, perSecond: 240, terms: { ratio: 0.2, slack: 180, window: WINDOW } },
   { entries: 98, perSecond: 628, terms: { ratio: 0.2, slack: 454, window: WINDOW } }
 ]
 
-/** One play. */
+/** Parameters of one simulation run. */
 export interface RetryPlay extends RetryFleet {
   readonly policy: RetryPolicyName
   readonly seed: number
   /** The share of attempts that endpoints refuse. */
   readonly refused: number
-  /** Seconds between restarts of nine in ten entries; nothing for none. */
+  /** Seconds between restarts of nine in ten entries; `undefined` for no restarts. */
   readonly restartEvery: number | undefined
   readonly seconds: number
 }
 
-/** What came of it. */
+/** Results of one simulation run. */
 export interface RetryFigures {
-  /** Further attempts over what is allowed, in the stretch of time in which that is most. */
+  /** The maximum ratio of retries to allowed retries in any window. */
   readonly worst: number
   /** The share of requests that were served. */
   readonly served: number
 }
 
-/** How an entry decides on a retry. */
+/** The retry policy of one entry. */
 interface RetryPolicy {
   requested (now: number): void
   trySpend (now: number): boolean
 }
 
-/** What policies may know. */
+/** The state of the fleet that policies can use. */
 interface Fleet {
   readonly play: RetryPlay
   readonly requests: readonly number[]
   readonly further: readonly number[]
 }
 
-/** Requests may count from the stretch itself, from half a stretch earlier or from one earlier, whichever has most. */
+/** The bound uses the requests of the window itself, or of the window shifted back by half its length or its full length, whichever has the most. */
 const EARLIER = [0, WINDOW / 2, WINDOW]
-/** A retry arrives so long after its request, in milliseconds. */
+/** The time from a request to its retry, in milliseconds. */
 const RETRY_DELAY = 20
 const RESTARTED_SHARE = 0.9
-/** The busiest entry has this many times the traffic of the least busy one. */
+/** The ratio of the busiest entry's traffic to that of the least busy one. */
 const UNEVEN = 5
 
 const policies = {
@@ -87,12 +87,12 @@
   oracle: (fleet: Fleet) => ({ requested () {}, trySpend: (now: number) => excess(fleet, now, 1) <= 1 })
 } satisfies Record<string, (fleet: Fleet, now: number) => RetryPolicy>
 
-/** The policies that are compared; the oracle sees all entries and spends what the bound allows. */
+/** The name of a policy. The oracle sees all entries and retries as often as the bound allows. */
 export type RetryPolicyName = keyof typeof policies
 export const retryPolicyNames = Object.keys(policies) as RetryPolicyName[]
 
 /**
- * Plays one.
+ * Runs the simulation once.
  *
  * @example
  * const { worst, served } = playRetries({ ...retryFleets[0], policy: 'part-of-the-fleet', seed: 7, refused: 0.45, restartEvery: 3, seconds: 60 })
@@ -128,7 +128,7 @@
 
 function nextRequest ({ perSecond }: RetryPlay, random: () => number): number { return -Math.log(1 - random()) / perSecond * 1_000 }
 
-/** Draws entries of uneven traffic. */
+/** Returns a function that draws the index of an entry, weighted by uneven traffic. */
 function unevenPick (entries: number, random: () => number): () => number {
   const weights = Array.from({ length: entries }, (_, index) => 1 + (UNEVEN - 1) * index / Math.max(1, entries - 1))
   const total = weights.reduce((sum, weight) => sum + weight, 0)
@@ -138,13 +138,13 @@
   }
 }
 
-/** Further attempts in the stretch that ends now, and so many more, over what is allowed. */
+/** Returns the ratio of retries in the window that ends now, plus `more`, to the allowed retries. */
 function excess ({ play: { terms }, requests, further }: Fleet, now: number, more: number): number {
   const asked = Math.max(...EARLIER.map(earlier => within(requests, now - earlier - WINDOW, now - earlier)))
   return (within(further, now - WINDOW, now) + more) / (terms.ratio * asked + terms.slack)
 }
 
-/** How many of some rising times lie after one and up to another. */
+/** Counts the sorted times that lie after `from` and not after `to`. */
 function within (times: readonly number[], from: number, to: number): number { return countUpTo(times, to) - countUpTo(times, from) }
 
 function countUpTo (times: readonly number[], to: number): number {
--- a/packages/benchmarks/src/lib/retries/retry-table.ts
+++ b/packages/benchmarks/src/lib/retries/retry-table.ts
@@ -3,7 +3,7 @@
  * Copyright 2026 the drumdrift contributors
  * SPDX-License-Identifier: BSD-3-Clause
  */
-/** Prints what retries add to fleets of three sizes, by policy, restarts and the share that endpoints refuse. */
+/** Prints the load that retries add to fleets of three sizes, by policy, restart interval and share of refused attempts. */
 import { printFigures, twoDecimals } from '../bench-options.js'
 import { playRetries, retryFleets, retryPolicyNames } from './retry-model.js'
 
@@ -12,10 +12,10 @@
 const SECONDS = 40
 
 /**
- * Prints one line for each fleet, policy, pace of restarts and share refused.
+ * Prints one line for each fleet, restart interval, share of refused attempts and policy.
  *
- * @param seeds How many seeds are played, from `seed` on; the worst excess and the mean share served are printed.
- * @returns Whether the product's policy kept to the bound everywhere.
+ * @param seeds The number of seeds, starting at `seed`; the worst ratio and the mean share served are printed.
+ * @returns Whether the product's policy kept to the bound in every run.
  */
 export function printRetryTable (seed: number, seeds: number): boolean {
   let kept = true
--- a/packages/benchmarks/src/lib/suspects/suspect-model.ts
+++ b/packages/benchmarks/src/lib/suspects/suspect-model.ts
@@ -4,8 +4,9 @@
  * SPDX-License-Identifier: BSD-3-Clause
  */
 /**
- * A model of a fleet to which some requests come again and again that end whatever endpoint begins them, beside ordinary ones: how many
- * endpoints end, how many ordinary requests go unserved or are held back in the wrong, and when the last of the others is sent.
+ * Simulates a fleet that receives fatal requests, which crash every endpoint that starts them and arrive repeatedly, beside ordinary
+ * requests. Measures how many endpoints crash, how many ordinary requests go unserved or are wrongly held back, and when the last fatal
+ * request is sent.
  */
 import { SuspectRequests, type Standing, type SuspectNews } from '@drumdrift/core'
 import { VirtualTime } from '../policy/virtual-time.js'
@@ -15,57 +16,57 @@
 export interface SuspectFleet {
   readonly entries: number
   readonly endpoints: number
-  /** Endpoints whose agents an entry follows. */
+  /** Number of endpoints whose agents an entry follows. */
   readonly followed: number
-  /** Ordinary requests in a second. */
+  /** Ordinary requests per second. */
   readonly perSecond: number
 }
 
-/** Fleets of three sizes; an endpoint has some 5 requests a second. */
+/** Fleets of three sizes, with about 5 requests per second for each endpoint. */
 export const suspectFleets: readonly SuspectFleet[] = [
   { entries: 6, endpoints: 12, followed: 12, perSecond: 60 },
   { entries: 24, endpoints: 24, followed: 24, perSecond: 120 },
   { entries: 98, endpoints: 120, followed: 20, perSecond: 600 }
 ]
 
-/** One play. */
+/** Parameters of one simulation run. */
 export interface SuspectPlay extends SuspectFleet {
   readonly policy: SuspectPolicyName
   readonly seed: number
-  /** Requests that end endpoints, and how often each comes in a second. */
+  /** Number of different fatal requests, and how often each arrives per second. */
   readonly fatal: number
   readonly fatalPerSecond: number
-  /** Seconds between restarts of one entry in ten; nothing for none. */
+  /** Seconds between restarts of one entry in ten; `undefined` for no restarts. */
   readonly restartEvery: number | undefined
   readonly seconds: number
 }
 
-/** What came of it. */
+/** Results of one simulation run. */
 export interface SuspectFigures {
   readonly endpointsEnded: number
-  /** Shares of the ordinary requests. */
+  /** Shares of the ordinary requests that were not served and that were held back. */
   readonly unserved: number
   readonly heldBack: number
-  /** Seconds from the first fatal request to the last that an endpoint was sent. */
+  /** When the last fatal request was sent to an endpoint, in seconds from the start of the run. */
   readonly lastSend: number
 }
 
-/** What an entry knows of suspect requests. */
+/** An entry's record of suspect requests. */
 type Evidence = Pick<SuspectRequests, 'standing' | 'lost' | 'lived' | 'answered' | 'heard' | 'takeConfirmed' | 'known'>
 
-/** Knows of nothing. */
+/** Never suspects a request. */
 class Unaware extends SuspectRequests {
   override standing (): Standing { return 'clear' }
 }
 
-/** Knows beforehand what ends endpoints. */
+/** Recognises fatal requests in advance. */
 class AllKnowing extends SuspectRequests {
   override standing (fingerprint: string): Standing { return fingerprint.startsWith(FATAL) ? 'held-back' : 'clear' }
 }
 
 interface Policy {
   readonly evidence: () => Evidence
-  /** Whether entries tell each other by way of agents. */
+  /** Whether entries share reports of suspect requests through agents. */
   readonly shares: boolean
 }
 
@@ -76,22 +77,22 @@
   oracle: { evidence: () => new AllKnowing(), shares: false }
 } satisfies Record<string, Policy>
 
-/** The policies that are compared. */
+/** The name of a policy. */
 export type SuspectPolicyName = keyof typeof policies
 export const suspectPolicyNames = Object.keys(policies) as SuspectPolicyName[]
 
-/** Begins the fingerprints of requests that end endpoints. */
+/** The prefix of the fingerprints of fatal requests. */
 const FATAL = 'fa'
 const MOST_ATTEMPTS = 2
-/** A request waits for its first token, and runs, so long, in milliseconds. */
+/** How long a request waits before an endpoint starts it, and how long it then runs, in milliseconds. */
 const WAIT = 300
 const RUN_TIME = 1_200
-/** An endpoint ends so long after it has begun what it ends under, and is back after that, in milliseconds. */
+/** The time from the start of a fatal request to the crash of its endpoint, and from the crash until the endpoint is up again, in milliseconds. */
 const TIME_TO_END = 80
 const DOWN_TIME = 3_000
-/** A caller whose request was given up comes back once, in milliseconds. */
+/** The delay after which a caller retries a failed request once, in milliseconds. */
 const RETURN_TIME = 100
-/** How often entries tell what they saw, the way between processes, and the pause between events, in milliseconds. */
+/** The interval at which entries share reports, the one-way latency between processes, and the pause between the events of a response, in milliseconds. */
 const TELL_PAUSE = 100
 const WAY = 3
 const EVENT_PAUSE = 75
@@ -100,7 +101,7 @@
 
 interface Entry {
   evidence: Evidence
-  /** Raised with each restart; what is under way then is lost. */
+  /** Incremented at each restart; attempts in flight at a restart are lost. */
   life: number
   readonly followed: readonly number[]
 }
@@ -262,7 +263,7 @@
     for (const endpoint of this._endpoints) this._takeBack(endpoint, entry)
   }
 
-  /** What has not begun and is held back by now ends nothing. */
+  /** Removes an entry's attempts that have not started and whose request is now held back. */
   private _takeBack ({ running }: Endpoint, entry: Entry): void {
     for (const attempt of running) {
       const heldBack = attempt.entry === entry && !attempt.begun && entry.evidence.standing(attempt.request.fingerprint, this._time.now) === 'held-back'
@@ -270,7 +271,7 @@
     }
   }
 
-  /** The numbers below one, in an order that is drawn. */
+  /** Returns the numbers from 0 to `count - 1` in random order. */
   private _shuffled (count: number): number[] {
     return Array.from({ length: count }, (_, index) => ({ index, place: this._random() })).sort((left, right) => left.place - right.place).map(({ index }) => index)
   }
@@ -281,7 +282,7 @@
 function isEmpty ({ losses, answers }: SuspectNews): boolean { return losses.length + answers.length === 0 }
 
 /**
- * Plays one.
+ * Runs the simulation once.
  *
  * @example
  * const { endpointsEnded } = playSuspects({ ...suspectFleets[0], policy: 'whole-fleet', seed: 7, fatal: 1, fatalPerSecond: 10, restartEvery: undefined, seconds: 20 })
--- a/packages/benchmarks/src/lib/suspects/suspects-bench.ts
+++ b/packages/benchmarks/src/lib/suspects/suspects-bench.ts
@@ -3,7 +3,7 @@
  * Copyright 2026 the drumdrift contributors
  * SPDX-License-Identifier: BSD-3-Clause
  */
-/** Prints what requests that end endpoints cost fleets of three sizes, by policy, number, rate and restarts of entries. */
+/** Prints the effect of requests that crash endpoints on fleets of three sizes, by policy, number of requests, rate and restarts of entries. */
 import { printFigures, twoDecimals, type BenchOptions } from '../bench-options.js'
 import { playSuspects, suspectFleets, suspectPolicyNames } from './suspect-model.js'
 
@@ -11,10 +11,10 @@
 const RESTARTS = [undefined, 1] as const
 const SECONDS = 20
 const SEEDS = 3
-/** The largest share of ordinary requests that may be held back in the wrong. */
+/** The maximum share of ordinary requests that may be wrongly held back. */
 const MOST_HELD_BACK = 0.01
 
-/** Prints one line for each fleet, load, pace of restarts and policy: means of three seeds, and the most endpoints that ended. */
+/** Prints one line for each fleet, load, restart interval and policy: means over three seeds, and the maximum number of crashes. */
 export async function suspectsBench ({ seed }: BenchOptions): Promise<boolean> {
   let good = true
   for (const fleet of suspectFleets) {
--- a/packages/benchmarks/src/test/lib/limits/limit-model_test.ts
+++ b/packages/benchmarks/src/test/lib/limits/limit-model_test.ts
@@ -11,11 +11,11 @@
 
 describe('playLimit', () => {
   const cases: [name: string, part: Partial<LimitPlay>, keeps: boolean][] = [
-    ['parts that lapse keep to it', {}, true],
-    ['parts that lapse keep to it after silences', { silence: 15_000 }, true],
-    ['parts that lapse keep to it while entries restart', { restartEvery: 0.25 }, true],
-    ['the whole for each breaks it', { way: 'whole-for-each' }, false],
-    ['one request saved by each breaks it after a silence', { way: 'parts-saved', silence: 15_000 }, false]
+    ['expiring shares keep the limit', {}, true],
+    ['expiring shares keep the limit after idle periods', { silence: 15_000 }, true],
+    ['expiring shares keep the limit while entries restart', { restartEvery: 0.25 }, true],
+    ['the full limit for each entry exceeds the limit', { way: 'whole-for-each' }, false],
+    ['a saved request at each entry exceeds the limit after an idle period', { way: 'parts-saved', silence: 15_000 }, false]
   ]
   for (const [name, part, keeps] of cases) {
     it(name, () => {
@@ -24,5 +24,5 @@
     })
   }
 
-  it('is the same each time', () => assert.deepEqual(playLimit(play), playLimit(play)))
+  it('gives the same figures for the same seed', () => assert.deepEqual(playLimit(play), playLimit(play)))
 })
--- a/packages/benchmarks/src/test/lib/policy/policy-model_test.ts
+++ b/packages/benchmarks/src/test/lib/policy/policy-model_test.ts
@@ -11,7 +11,7 @@
 import { VirtualTime } from '../../../lib/policy/virtual-time.js'
 
 describe('VirtualTime', () => {
-  it('plays events in the order of their time, and of their planning within one moment', () => {
+  it('runs events in the order of their time, and events of the same time in the order of scheduling', () => {
     const time = new VirtualTime()
     const seen: string[] = []
     for (const [milliseconds, name] of [[20, 'c'], [10, 'a'], [10, 'b'], [40, 'late']] as const) time.after(milliseconds, () => seen.push(`${name} at ${time.now}`))
@@ -22,10 +22,10 @@
 })
 
 describe('VirtualEngine', () => {
-  /** When the first token of each request comes, in milliseconds; 2,070 prompt tokens are read in 100. */
+  /** The time of each request's first token, in milliseconds; reading 2,070 prompt tokens takes 100. */
   const cases: [name: string, prompts: number[], firsts: number[]][] = [
-    ['reads a prompt, then plays one step', [2_070], [109.27]],
-    ['lets the next one wait for the pass that is under way, and for the steps of those that write', [1_000, 1_000], [57.58, 152.24]],
+    ['reads a prompt, then runs one step', [2_070], [109.27]],
+    ['delays the next request until the current pass ends, and by the steps of generating requests', [1_000, 1_000], [57.58, 152.24]],
     ['reads a long prompt in several passes', [4_096], [216.41]]
   ]
   for (const [name, prompts, expected] of cases) {
@@ -39,13 +39,13 @@
     })
   }
 
-  it('takes nothing while it is closed', () => {
+  it('rejects requests while it is not accepting', () => {
     const engine = new VirtualEngine(modelPool, new VirtualTime())
     engine.accepting = false
     assert.equal(engine.send({ promptTokens: 1, answerTokens: 1, onFirst: () => {}, onEnd: () => {} }), false)
   })
 
-  it('counts admitted requests as running with their whole prompt', () => {
+  it('counts admitted requests as running with their full prompt', () => {
     const time = new VirtualTime()
     const engine = new VirtualEngine(modelPool, time)
     engine.send({ promptTokens: 900, answerTokens: 10, onFirst: () => {}, onEnd: () => {} })
@@ -70,10 +70,10 @@
   }
 
   /*
-   * 40 entries that follow 20 of 32 engines each hear four times as many reports as they choose, and an engine's report goes to all. Told
-   * only as often as they choose, they hear a quarter, and two in three of the answers that come late are late for that reason.
+   * 40 entries that each follow 20 of 32 engines receive four load reports per choice when every reading is sent to all followers. With one
+   * report per choice they receive a quarter of that, and two thirds of the late answers are late because of the older reports.
    */
-  it('earns more when each look is told than when followers are told as often as they choose', () => {
+  it('earns more with a load report for each reading than with one per choice of the follower', () => {
     const play = { site: 'many-entries', policy: 'by-room', seed: 7, perSecond: 220 } as const
     const [eachLook, byChoices] = [playPolicy({ ...play, telling: 'each-look' }), playPolicy({ ...play, telling: 'by-choices' })]
     assert.ok(eachLook.worth > byChoices.worth + 0.01 && eachLook.late < byChoices.late, `${eachLook.worth} ${byChoices.worth}`)
@@ -89,21 +89,21 @@
     ['crowded', 'sees-all', 'by-room', 40]
   ]
   for (const [site, better, worse, perSecond] of orders) {
-    it(`ranks ${better} before ${worse} where ${site} are asked ${perSecond} times a second`, () => {
+    it(`ranks ${better} before ${worse} at site ${site} with ${perSecond} requests per second`, () => {
       const [high, low] = [meanWorth(site, better, perSecond), meanWorth(site, worse, perSecond)]
       assert.ok(high > low, `${high} against ${low}`)
     })
   }
 
-  // Engines that are full nine tenths of the time: entries that saw them half as often, expected others to send less, and told callers
-  // to come back after a fifth to a third of their patience earned 0.83 and 0.68.
+  // The floors for the crowded site, whose engines are full 90% of the time, guard against entries that receive half as many reports,
+  // underestimate the traffic of other entries and ask callers to retry after a fifth to a third of their patience: that earned 0.83 and 0.68.
   const floors: [site: SiteName, perSecond: number, least: number][] = [
     ['few', 100, 0.97],
     ['crowded', 40, 0.87],
     ['crowded', 48, 0.73]
   ]
   for (const [site, perSecond, least] of floors) {
-    it(`earns ${least} at least where ${site} are asked ${perSecond} times a second`, () => {
+    it(`earns at least ${least} at site ${site} with ${perSecond} requests per second`, () => {
       const worth = meanWorth(site, 'by-room', perSecond)
       assert.ok(worth >= least, `${worth}`)
     })
--- a/packages/benchmarks/src/test/lib/retries/retry-model_test.ts
+++ b/packages/benchmarks/src/test/lib/retries/retry-model_test.ts
@@ -7,9 +7,9 @@
 import { describe, it } from 'node:test'
 import { playRetries, retryFleets, type RetryPolicyName } from '../../../lib/retries/retry-model.js'
 
-// Endpoints refuse part of what they are sent, and nine in ten entries are killed again and again. Entries that began with ten
-// retries each, and saved ten, made 433 further attempts in 10 s where 413 were allowed.
-describe('what retries add to a service whose entries restart', () => {
+// Endpoints refuse a share of the attempts, and nine in ten entries are killed repeatedly. When each entry started with a reserve of ten
+// retries, and could save ten, a fleet made 433 retries in 10 s where 413 were allowed.
+describe('playRetries', () => {
   const seeds = [1, 7, 21]
   const restarts = [undefined, 1, 3, 10] as const
 
@@ -22,7 +22,7 @@
   for (const { entries } of retryFleets) {
     for (const restartEvery of restarts) {
       for (const refused of [0.1, 0.45, 0.9]) {
-        it(`keeps to the bound with ${entries} entries, ${refused} refused, restarts every ${restartEvery ?? 'never'}`, () => {
+        it(`keeps to the bound with ${entries} entries and a refused share of ${refused} (seconds between restarts: ${restartEvery ?? 'none'})`, () => {
           assert.ok(worst('part-of-the-fleet', entries, restartEvery, refused) <= 1)
         })
       }
@@ -30,7 +30,7 @@
   }
 
   for (const entries of [6, 24, 98]) {
-    it(`finds that a reserve of each entry breaks the bound with ${entries} entries that restart`, () => {
+    it(`exceeds the bound when each of ${entries} restarting entries has its own reserve`, () => {
       assert.ok(worst('reserve-of-each-entry', entries, 1, 0.9) > 1)
     })
   }
--- a/packages/benchmarks/src/test/lib/suspects/suspect-model_test.ts
+++ b/packages/benchmarks/src/test/lib/suspects/suspect-model_test.ts
@@ -7,11 +7,12 @@
 import { describe, it } from 'node:test'
 import { playSuspects, suspectFleets, type SuspectFigures, type SuspectPolicyName } from '../../../lib/suspects/suspect-model.js'
 
-// One request comes again and again, through any entry, and ends whatever begins it: 26 to 29 endpoints where 16 stood, within 10 s, as
-// long as entries tried it like any other. Operators allow three endpoints, 3 s to take notice, and three sends after that.
-describe('what requests that end endpoints cost a fleet', () => {
+// A request that arrives repeatedly, through any entry, crashes every endpoint that starts it. While entries retried it like any other
+// request, it crashed endpoints 26 to 29 times within 10 s in a fleet of 16. Operators allow three crashes, 3 s for detection, and three
+// sends after that.
+describe('playSuspects', () => {
   const SECONDS = 12
-  /** Three ends at this rate take 2 s, and 3 s are allowed after that. */
+  /** Three crashes at this rate take 2 s, and 3 s are allowed after that. */
   const PER_SECOND = 2
   const LATEST_SEND = 5
 
@@ -23,17 +24,17 @@
 
   for (const { entries } of suspectFleets) {
     for (const restartEvery of [undefined, 1]) {
-      it(`all ${entries} entries hold it back in time, restarts every ${restartEvery ?? 'never'}`, () => {
+      it(`holds the request back in time at all ${entries} entries (seconds between restarts: ${restartEvery ?? 'none'})`, () => {
         const { lastSend, heldBack, endpointsEnded } = play('whole-fleet', entries, restartEvery)
         assert.deepEqual([lastSend <= LATEST_SEND, heldBack], [true, 0])
-        assert.ok(endpointsEnded <= 9, `${endpointsEnded} ended`)
+        assert.ok(endpointsEnded <= 9, `${endpointsEnded} crashes`)
       })
     }
 
-    it(`finds that ${entries} entries that tell each other nothing do not`, () => {
+    it(`does not hold the request back in time when ${entries} entries share no reports`, () => {
       assert.ok(play('each-entry-alone', entries, 1).lastSend > LATEST_SEND)
     })
   }
 
-  it('is the same for the same seed', () => assert.deepEqual(play('whole-fleet', 24, 1), play('whole-fleet', 24, 1)))
+  it('gives the same figures for the same seed', () => assert.deepEqual(play('whole-fleet', 24, 1), play('whole-fleet', 24, 1)))
 })
