--- a/packages/benchmarks/src/bare-forwarder.ts
+++ b/packages/benchmarks/src/bare-forwarder.ts
@@ -3,7 +3,7 @@
  * Copyright 2026 the drumdrift contributors
  * SPDX-License-Identifier: BSD-3-Clause
  */
-/** The baseline of the requests benchmark: forwards each request to the next engine, and nothing else. */
+/** The baseline of the requests benchmark: forwards requests to the engines round-robin, without any other processing. */
 import { Agent, createServer, request } from 'node:http'
 
 const [listen = '0', ...engines] = process.argv.slice(2)
--- a/packages/benchmarks/src/bench.ts
+++ b/packages/benchmarks/src/bench.ts
@@ -23,7 +23,7 @@
   rollout: async () => (await import('./lib/rollout-bench.js')).rolloutBench
 }
 
-/** Says with the figures how much of the machine others took meanwhile: timings of a run with much of that mean little. */
+/** Runs a benchmark and prints the share of processor time that was stolen meanwhile; timings are unreliable when it is large. */
 async function runBench (name: string, bench: Bench, options: BenchOptions): Promise<boolean> {
   const before = machineTicks()
   const good = await bench(options)
@@ -33,21 +33,21 @@
 }
 
 const program = new Command('bench').argument('<name>', Object.keys(benches).join(', '))
-  .option('--seed <number>', 'seed of everything that is drawn', Number, 7)
-  .option('--endpoints <number>', 'endpoints of the fleet', Number, 24)
-  .option('--origin-copies <number>', 'copies that may be read from the origin', Number, 1)
-  .option('--strategy <name>', 'how chunks are spread', 'rotation')
-  .option('--kill <number>', 'agents killed', Number, 0)
-  .option('--stall <number>', 'agents whose link stalls', Number, 0)
-  .option('--corrupt <number>', 'agents whose chunks are corrupted', Number, 0)
-  .option('--seconds <number>', 'length of the measured time', Number, 8)
-  .option('--window <number>', 'chunks in flight at one agent', Number, 32)
-  .option('--seeds <number>', 'seeds that a model is played with', Number, 40)
+  .option('--seed <number>', 'seed of the random generator', Number, 7)
+  .option('--endpoints <number>', 'number of endpoints in the fleet', Number, 24)
+  .option('--origin-copies <number>', 'number of copies that may be read from the origin', Number, 1)
+  .option('--strategy <name>', 'strategy for distributing chunks', 'rotation')
+  .option('--kill <number>', 'number of agents to kill', Number, 0)
+  .option('--stall <number>', 'number of agents whose link stalls', Number, 0)
+  .option('--corrupt <number>', 'number of agents whose chunks are corrupted', Number, 0)
+  .option('--seconds <number>', 'duration of the measurement in seconds', Number, 8)
+  .option('--window <number>', 'number of chunks in flight at one agent', Number, 32)
+  .option('--seeds <number>', 'number of seeds to run a simulation with', Number, 40)
   .option('--plot <file>', 'writes an SVG plot, where the benchmark has one')
-  .option('--no-baselines', 'leaves the baselines out')
+  .option('--no-baselines', 'skips the baselines')
   .action(async (name: string, options: BenchOptions) => {
     const load = Object.hasOwn(benches, name) ? benches[name] : undefined
-    if (load === undefined) program.error(`no benchmark is named ${name}`, { exitCode: 2 })
+    if (load === undefined) program.error(`unknown benchmark: ${name}`, { exitCode: 2 })
     else process.exitCode = await runBench(name, await load(), options) ? 0 : 1
   })
 
--- a/packages/benchmarks/src/demo.ts
+++ b/packages/benchmarks/src/demo.ts
@@ -4,8 +4,8 @@
  * SPDX-License-Identifier: BSD-3-Clause
  */
 /**
- * The main job in one run: a model reaches every instance while a burst of requests is served, with faults on the way.
- * What the last line says is counted by the stand-ins and the callers.
+ * Runs the demo: a model is rolled out to every instance while a burst of requests is served and faults are injected.
+ * The figures in the last line are counted by the stand-ins and the callers.
  */
 import { formatPairs } from 'drumdrift'
 import { DemoRun } from './lib/demo-run.js'
--- a/packages/benchmarks/src/lib/bench-options.ts
+++ b/packages/benchmarks/src/lib/bench-options.ts
@@ -3,10 +3,10 @@
  * Copyright 2026 the drumdrift contributors
  * SPDX-License-Identifier: BSD-3-Clause
  */
-/** Options and output that the benchmarks share. */
+/** Shared options and output of the benchmarks. */
 import { formatPairs, type LogFields } from 'drumdrift'
 
-/** Options of any benchmark, as given on the command line. */
+/** Command line options of the benchmarks. */
 export interface BenchOptions {
   readonly seed: number
   readonly endpoints: number
@@ -17,15 +17,15 @@
   readonly corrupt: number
   readonly seconds: number
   readonly baselines: boolean
-  /** Seeds that a model is played with, from `seed` on. */
+  /** The number of seeds to run a simulation with, starting at `seed`. */
   readonly seeds: number
-  /** Where a plot goes; nothing for none. */
+  /** The file for a plot; `undefined` for no plot. */
   readonly plot: string | undefined
-  /** Chunks in flight at one agent. */
+  /** The number of chunks in flight at one agent. */
   readonly window: number
 }
 
-/** A benchmark prints its lines and returns whether it could measure what it is for. */
+/** Runs a benchmark and prints its figures. Resolves to true if the measurement is valid and meets the benchmark's criteria. */
 export type Bench = (options: BenchOptions) => Promise<boolean>
 
 /** Prints one line of figures. */
@@ -34,7 +34,7 @@
 }
 
 /**
- * The value at a share of sorted values.
+ * Returns the quantile of unsorted values.
  *
  * @example
  * quantile([1, 2, 3, 4], 0.5) // 3
@@ -44,8 +44,8 @@
   return sorted[Math.min(sorted.length - 1, Math.floor(sorted.length * share))] ?? Number.NaN
 }
 
-/** A number with two decimals. */
+/** Formats a number with two decimals. */
 export function twoDecimals (value: number): string { return value.toFixed(2) }
 
-/** A seeded generator of numbers in [0, 1), the same for one seed everywhere. */
+/** Creates a generator of numbers in [0, 1) that gives the same sequence for the same seed on every machine. */
 export { seededRandom } from '@drumdrift/stand-ins'
--- a/packages/benchmarks/src/lib/burst-bench.ts
+++ b/packages/benchmarks/src/lib/burst-bench.ts
@@ -4,8 +4,8 @@
  * SPDX-License-Identifier: BSD-3-Clause
  */
 /**
- * Ten organisations, two of them large; the rate jumps 20-fold within a second to more than there is room for. Fair
- * sharing with early refusal, against one first-in-first-out queue.
+ * Compares fair queueing with early refusal to a single first-in-first-out queue. Ten organisations, two of them large, send requests
+ * at a rate that jumps 20-fold and exceeds the capacity.
  */
 import { printFigures, seededRandom, twoDecimals, type BenchOptions } from './bench-options.js'
 import { chatCalls, figuresOf, playLoad, startServing } from './load.js'
@@ -15,21 +15,21 @@
 const SLOTS = 8
 const TOKENS = 16
 const TIMES = { load: 100, firstToken: 20, cachedFirstToken: 20, betweenTokens: 5, reportLag: 500 }
-/** Slots over the time that one request takes, timers' lateness included, as calibrated by the calm phase's whole answers. */
+/** The time that one request occupies a slot, including timer delays, in seconds; it matches the complete answers of the calm phase. */
 const REQUEST_SECONDS = 0.125
 const CAPACITY = WORKERS * SLOTS / REQUEST_SECONDS
-/** Capacity is 60% of the burst. */
+/** The rate of the burst, of which the capacity is 60%. */
 const BURST_RATE = CAPACITY / 0.6
 const JUMP = 20
 
-/** Organisations with their weight and their share of what is asked. */
+/** The weight of each organisation and its share of the requests. */
 const demand: Readonly<Record<string, { weight: number, share: number }>> = {
   'house-large-1': { weight: 2, share: 0.4 },
   'house-large-2': { weight: 2, share: 0.24 },
   ...Object.fromEntries(Array.from({ length: 8 }, (_, index) => [`hall-${index + 1}`, { weight: 1, share: 0.045 }]))
 }
 
-/** Measures both ways of queueing. */
+/** Measures both queueing policies. */
 export async function burstBench (options: BenchOptions): Promise<boolean> {
   let good = true
   for (const queueing of ['fair', 'first-in-first-out']) good = await measure(options, queueing) && good
@@ -73,7 +73,7 @@
   return 'hall-8'
 }
 
-/** Jain's index of what was served against what each was entitled to. */
+/** Returns Jain's fairness index of the ratios of served to entitled requests. */
 function jainOf (records: readonly CallRecord[]): number {
   const served = (name: string): number => records.filter(record => record.organisation === name && record.result === 'whole').length
   const asked = (name: string): number => records.filter(record => record.organisation === name).length
@@ -84,7 +84,7 @@
   return sum ** 2 / (ratios.length * ratios.reduce((left, right) => left + right ** 2, 0))
 }
 
-/** Weighted max-min shares: nobody is entitled to more than it asked for, and what it leaves goes to the others. */
+/** Returns weighted max-min shares: no organisation is entitled to more than it requested, and the remainder goes to the others. */
 function entitlements (total: number, asked: (name: string) => number): Map<string, number> {
   const entitled = new Map<string, number>()
   let open = Object.keys(demand)
--- a/packages/benchmarks/src/lib/callers.ts
+++ b/packages/benchmarks/src/lib/callers.ts
@@ -3,14 +3,12 @@
  * Copyright 2026 the drumdrift contributors
  * SPDX-License-Identifier: BSD-3-Clause
  */
-/**
- * Callers of a fleet, who check for themselves what they get: that an answer is whole, their own, and of one version.
- */
+/** Callers of a fleet, which check that each answer is complete, belongs to their request and comes from a single model version. */
 import { Agent, request } from 'node:http'
 import { expectedText, tokenOf } from '@drumdrift/stand-ins'
 import { callerKey } from './fleet.js'
 
-/** What a caller got. */
+/** The caller's verdict on an answer. */
 export type CallerResult = 'whole' | 'refused' | 'unknown' | 'cut' | 'wrong' | 'mixed'
 
 /** One call and its result. */
@@ -30,19 +28,19 @@
   readonly at: number
 }
 
-/** What to ask. */
+/** A request to an entry. */
 export interface Call {
   readonly id: string
   readonly organisation: string
   readonly address: string
-  /** When the call was due: latency counts from there, however late the sender is. */
+  /** When the call was due. Latency is measured from this time, even if the call is sent late. */
   readonly due?: number
   readonly requestClass?: 'interactive' | 'batch'
   readonly chat?: { readonly pool: string, readonly prompt: string, readonly tokens: number, readonly streamed: boolean }
   readonly plain?: { readonly service: string, readonly method: string, readonly path: string, readonly body: string }
   readonly neverRepeat?: boolean
   readonly timeout?: number
-  /** Versions that were ever published, to tell a mixed answer from a wrong one. */
+  /** All versions published so far, to distinguish a mixed answer from a wrong one. */
   readonly versions?: readonly string[]
 }
 
@@ -58,7 +56,7 @@
 const DEFAULT_TIMEOUT = 30_000
 
 /**
- * Makes a call and judges the answer.
+ * Makes a call and checks the answer.
  *
  * @example
  * const record = await makeCall({ id: 'r1', organisation: 'hall-1', address, chat: { pool: 'drafting', prompt: 'Plan', tokens: 8, streamed: true } })
@@ -82,7 +80,7 @@
   }
 }
 
-/** Asks an entry for a request id, as callers of requests that may not repeat do. */
+/** Obtains a request id from an entry, as callers do for requests that must not repeat. Returns `undefined` on failure. */
 export async function issueId (address: string): Promise<string | undefined> {
   const answer = await send({ id: '', organisation: '', address, path: '/v1/request-ids' }, performance.now())
   return answer.status === 200 ? (JSON.parse(answer.text) as { id: string }).id : undefined
@@ -153,7 +151,7 @@
   return known && tokens.length === chat.tokens ? 'mixed' : 'wrong'
 }
 
-/** The text of a stream, or nothing when it lacks its end. */
+/** Returns the text of a stream, or `undefined` if the stream lacks its end marker. */
 function streamedText (text: string): string | undefined {
   const events = text.split('\n\n').filter(event => event.startsWith('data: ')).map(event => event.slice('data: '.length))
   if (events.at(-1) !== '[DONE]') return undefined
--- a/packages/benchmarks/src/lib/capacity-bench.ts
+++ b/packages/benchmarks/src/lib/capacity-bench.ts
@@ -4,8 +4,8 @@
  * SPDX-License-Identifier: BSD-3-Clause
  */
 /**
- * The slopes that docs/CAPACITY.md is worked out from: what control costs each process as the fleet grows, measured on
- * real processes, and what the core costs at the target size, measured with a list of that length.
+ * Measures the slopes that docs/CAPACITY.md is calculated from: the cost of control traffic for each process by fleet size, with
+ * real processes, and the cost of the core at the target size, with an instance list of that length.
  */
 import { fileURLToPath } from 'node:url'
 import { setTimeout as pause } from 'node:timers/promises'
@@ -20,7 +20,7 @@
 const TARGET_ZONES = 5
 const TARGET_PROCESSES = 2_780
 const SETTLE = 4_000
-/** Starting 192 runtimes on one busy machine takes a while, in milliseconds. */
+/** The timeout for starting 192 processes on one busy machine, in milliseconds. */
 const START_PATIENCE = 180_000
 const CHANGES = 5
 const MEBIBYTE = 1024 * 1024
@@ -39,7 +39,7 @@
   readonly bytesPerChange: number
 }
 
-/** Measures everything and prints a line for each slope. */
+/** Runs all measurements and prints a line for each slope. */
 export async function capacityBench (options: BenchOptions): Promise<boolean> {
   measureRuntime()
   const samples: Sample[] = []
@@ -51,7 +51,7 @@
   return samples.length > 0
 }
 
-/** What the runtime and each library take of memory before any state is held. */
+/** Measures the memory of the runtime and of each library before any state is held. */
 function measureRuntime (): void {
   const from = fileURLToPath(new URL('../../../node', import.meta.url))
   const bare = Math.min(...[1, 2, 3].map(() => residentAfterImports([], from)))
@@ -62,11 +62,11 @@
   }
 }
 
-/** Steady state first, then a few changes of configuration; each per process, as a mean over its role. */
+/** Measures the steady state, then a few changes of configuration and instances; returns means per process for each role. */
 async function measureFleet (size: number, seconds: number): Promise<Sample[]> {
   const fleet = await preparePlainFleet(size, ZONES)
   await fleet.startAll()
-  if (!await fleet.untilUp(START_PATIENCE)) throw new Error('the fleet did not come up')
+  if (!await fleet.untilUp(START_PATIENCE)) throw new Error('the fleet did not start in time')
   await pause(SETTLE)
   const first = await statusesOf(fleet)
   await pause(seconds * 1000)
@@ -112,7 +112,7 @@
   return sample
 }
 
-/** A straight line by least squares, with its value at the target and the largest residual. */
+/** Fits each figure by linear least squares over the fleet size, and prints the value at the target size and the largest residual. */
 function printSlopes (role: 'entry' | 'agent', samples: readonly Sample[]): void {
   const read: Readonly<Record<string, (sample: Sample) => number>> = {
     control_kilobytes_per_second: sample => sample.bytesPerSecond / KIBIBYTE,
@@ -146,7 +146,7 @@
   }))
 }
 
-/** What a list of a length takes of memory, and its adoption and upkeep of processor time. */
+/** Measures the memory of an instance list, and the processor time of its adoption and upkeep. */
 function measureList (size: number): void {
   const records = listOf(size)
   const text = JSON.stringify({ instances: records })
@@ -166,7 +166,7 @@
   printFigures('capacity', { what: 'list', instances: size, document_kilobytes: twoDecimals(text.length / KIBIBYTE), heap_kilobytes: twoDecimals(held / KIBIBYTE), adoption_milliseconds: twoDecimals(adopted - startedAt), upkeep_core_percent: (perTick * 10 / 10).toFixed(4) })
 }
 
-/** What a record of a request id that may not repeat takes. */
+/** Measures the memory of one record of a request id that must not repeat. */
 function measureKeeper (): void {
   const records = 20_000
   const keeper = new ClaimKeeper('agent-1.a', { repeatWindow: 600_000, recordsPerOrganisation: records })
@@ -178,7 +178,7 @@
   printFigures('capacity', { what: 'keeper', records: keeper.size, bytes_per_record: Math.round(held / records) })
 }
 
-/** What one choice costs; an entry uses 24 endpoints of a zone at the most. */
+/** Measures the time of one choice; an entry uses at most 24 endpoints of an availability zone. */
 function measureChoice (): void {
   for (const endpoints of [3, 12, 24]) {
     const candidates = Array.from({ length: endpoints }, (_, index) => ({ instance: `agent-${index}`, availabilityZone: 'koshi' }))
--- a/packages/benchmarks/src/lib/chaos-bench.ts
+++ b/packages/benchmarks/src/lib/chaos-bench.ts
@@ -4,8 +4,8 @@
  * SPDX-License-Identifier: BSD-3-Clause
  */
 /**
- * Real processes under load, with kills and freezes of entries and agents drawn from the seed. The oracles are fed by
- * the endpoints' journals and by what callers were told; callers repeat what they did not get, through another entry.
+ * Runs real processes under load while entries and agents are killed and frozen at random, drawn from the seed. The oracles compare
+ * the endpoints' journals with the answers that callers received. Callers retry unanswered requests through another entry.
  */
 import { setTimeout as pause } from 'node:timers/promises'
 import { formatPairs } from 'drumdrift'
@@ -45,7 +45,7 @@
   }
 }
 
-/** Runs for the asked time and judges. */
+/** Runs for the given time and checks the results. */
 export async function chaosBench (options: BenchOptions): Promise<boolean> {
   const version = generateVersion({ model: 'chat', version: 'v1', chunks: 8, chunkBytes: 16_384, seed: options.seed })
   const fleet = await startFleet(version)
@@ -84,7 +84,7 @@
   fleet.publishInstances()
   await fleet.startAll()
   const up = await fleet.untilUp() && await fleet.until(async () => (await fleet.journals()).engines.every(engine => engine.version === version.digest), 30_000)
-  if (!up) throw new Error('the fleet did not come up')
+  if (!up) throw new Error('the fleet did not start in time')
   return fleet
 }
 
@@ -106,7 +106,7 @@
   return under.length
 }
 
-/** A caller asks, and asks again with the same id through another entry, until it has its answer or gives up. */
+/** Sends a request and retries it with the same id through another entry until it is answered or the retries are used up. */
 async function askUntilAnswered (fleet: Fleet, number: number, versions: readonly string[], records: CallRecord[]): Promise<void> {
   const once = number % 2 === 0
   const id = once ? await issueId(entryOf(fleet, number)) : `chat-${number}`
--- a/packages/benchmarks/src/lib/choice-bench.ts
+++ b/packages/benchmarks/src/lib/choice-bench.ts
@@ -3,7 +3,7 @@
  * Copyright 2026 the drumdrift contributors
  * SPDX-License-Identifier: BSD-3-Clause
  */
-/** Ways of choosing an endpoint, with loads reported late: tail latency and hits in the engines' prefix caches. */
+/** Compares endpoint selection policies with delayed load reports, by tail latency and hits in the engines' prefix caches. */
 import { printFigures, seededRandom, twoDecimals, type BenchOptions } from './bench-options.js'
 import { chatCalls, figuresOf, playLoad, startServing } from './load.js'
 
@@ -13,7 +13,7 @@
 const TIMES = { load: 100, firstToken: 80, cachedFirstToken: 20, betweenTokens: 5, reportLag: 500 }
 const CALLS_PER_SECOND = 130
 
-/** Measures each policy on a fleet of its own. */
+/** Measures each policy on a separate fleet. */
 export async function choiceBench (options: BenchOptions): Promise<boolean> {
   let good = true
   for (const choice of ['affinity', 'two-choices', 'least-reported', 'round-robin', 'random']) {
--- a/packages/benchmarks/src/lib/configuration-bench.ts
+++ b/packages/benchmarks/src/lib/configuration-bench.ts
@@ -3,7 +3,7 @@
  * Copyright 2026 the drumdrift contributors
  * SPDX-License-Identifier: BSD-3-Clause
  */
-/** How fast a configuration is in force everywhere, and what the service is asked, as the fleet grows. */
+/** Measures the time until a configuration is in force in every process, and the reads from the platform's services, by fleet size. */
 import { setTimeout as pause } from 'node:timers/promises'
 import { printFigures, quantile, type BenchOptions } from './bench-options.js'
 import type { Fleet } from './fleet.js'
@@ -15,10 +15,10 @@
 const BETWEEN = 2_000
 const LOOK = 10
 const PATIENCE = 20_000
-/** A tenth of the fleet starts while settings change. */
+/** The share of the fleet that starts while the configuration changes. */
 const STARTING_SHARE = 0.1
 
-/** Measures every size up to the asked number of endpoints, if that is given. */
+/** Measures every fleet size. */
 export async function configurationBench (options: BenchOptions): Promise<boolean> {
   let good = true
   for (const size of SIZES) good = await measure(size, options.seed) && good
@@ -60,7 +60,7 @@
   return up && times.length === expected && times.every(time => time < 9_000)
 }
 
-/** Milliseconds from the publishing of a revision until each process that runs has it in force. */
+/** Returns, for each running process, the milliseconds from the publication of a revision until it is in force there. */
 async function timesInForce (fleet: Fleet, revision: number): Promise<number[]> {
   const publishedAt = fleet.configuration.publishedAt.get(revision) ?? performance.now()
   const waiting = new Set(fleet.members.filter(member => member.process !== undefined))
--- a/packages/benchmarks/src/lib/demo-run.ts
+++ b/packages/benchmarks/src/lib/demo-run.ts
@@ -4,8 +4,8 @@
  * SPDX-License-Identifier: BSD-3-Clause
  */
 /**
- * The demo's script: 3 availability zones, 2 entries and 4 endpoints in each; version 1, a burst, version 2 in its
- * middle, and faults.
+ * The demo scenario: 3 availability zones with 2 entries and 4 endpoints each. The fleet serves version 1, then a burst of requests
+ * during which version 2 is rolled out and faults are injected.
  */
 import { setTimeout as pause } from 'node:timers/promises'
 import { formatPairs, type LogFields } from 'drumdrift'
@@ -29,7 +29,7 @@
   koshi: [[POOL, 'model'], [POOL, 'model'], ['booking', 'plain'], ['membership', 'plain']]
 }
 
-/** What the demo ends with. */
+/** The result of the demo. */
 export type DemoSummary = LogFields & { readonly result: 'pass' | 'fail' }
 
 /** One run of the demo. */
@@ -37,10 +37,10 @@
   private readonly _records: CallRecord[] = []
   private readonly _repeats: CallRecord[] = []
   private readonly _startedAt = performance.now()
-  /** Calls that never got an id, so that nothing was asked of a service. */
+  /** The number of calls that received no request id and were therefore not sent. */
   private _withoutId = 0
   private readonly _versions: readonly GeneratedVersion[]
-  /** Ids that entries issued, with the number of the call. */
+  /** The call number of each id that an entry issued. */
   private readonly _issued = new Map<string, number>()
   private _timeToReplicas = -1
 
@@ -64,7 +64,7 @@
     return new DemoRun(fleet)
   }
 
-  /** Plays the script. */
+  /** Runs the scenario. */
   async play (): Promise<DemoSummary> {
     const fleet = this._fleet
     for (const version of this._versions) fleet.addVersion(version)
@@ -123,7 +123,7 @@
     return this._fleet.agents.filter(member => member.kind === 'model')
   }
 
-  /** How many engines serve a version, waiting until all do. */
+  /** Waits until all engines serve a version. Returns the number of engines that do. */
   private async _serving (version: number, members: readonly Member[], patience: number): Promise<number> {
     let serving = 0
     await this._fleet.until(async () => {
@@ -139,7 +139,7 @@
     return engines.filter(engine => ports.has(engine.port) && engine.version === this._versions[version]?.digest).length
   }
 
-  /** Open-loop arrivals: each call is due at its time, whatever became of the ones before. */
+  /** Sends calls at fixed times that do not depend on earlier calls (open loop). */
   private async _burst (): Promise<void> {
     const calls: Promise<unknown>[] = []
     const startedAt = performance.now()
@@ -177,7 +177,7 @@
     return { ...common, chat: { pool: POOL, prompt: `Plan rehearsal ${index % 40} for hall ${index % 7}`, tokens: 24, streamed: index % 2 === 0 } }
   }
 
-  /** Callers ask again with the same id, through another entry. */
+  /** Repeats calls with the same id through another entry. */
   private async _repeatSome (): Promise<void> {
     const asked = this._records.filter(record => record.neverRepeat).slice(0, 60)
     for (const [index, record] of asked.entries()) {
@@ -223,7 +223,7 @@
     }
   }
 
-  /** Says why calls did not get an answer, by code. */
+  /** Prints the number of unanswered calls by code. */
   private _explain (): void {
     const codes = new Map<string, number>()
     for (const record of [...this._records, ...this._repeats]) {
--- a/packages/benchmarks/src/lib/fleet.ts
+++ b/packages/benchmarks/src/lib/fleet.ts
@@ -4,7 +4,7 @@
  * SPDX-License-Identifier: BSD-3-Clause
  */
 /**
- * A fleet on one machine: stand-ins for the platform and the endpoints, and real processes of the system.
+ * Runs a fleet on one machine: stand-ins for the platform and the endpoints, and real processes of the system.
  */
 import { spawn, type ChildProcess } from 'node:child_process'
 import { mkdtempSync, openSync, rmSync, writeFileSync, closeSync } from 'node:fs'
@@ -15,38 +15,38 @@
 import type { Configuration, InstanceRecord, PeerReply, PeerRequest, ProcessStatus } from '@drumdrift/core'
 import { defaultEngineTimes, EndpointHost, freePorts, Link, PublishedService, WeightSource, type EngineTimes, type GeneratedVersion, type HostReply } from '@drumdrift/stand-ins'
 
-/** One endpoint with its agent. */
+/** An endpoint and its agent. */
 export interface EndpointPlan {
   readonly name: string
   readonly kind: 'model' | 'plain'
   readonly availabilityZone: string
 }
 
-/** What a fleet consists of. */
+/** The composition and settings of a fleet. */
 export interface FleetPlan {
   readonly availabilityZones: readonly string[]
   readonly entriesPerZone: number
   readonly endpoints: readonly EndpointPlan[]
   readonly linkMegabytesPerSecond: number
   readonly originMegabytesPerSecond: number
-  /** Settings beyond those that every process needs, as section, key, value. */
+  /** Additional settings as section, key and value. */
   readonly settings?: readonly (readonly [string, string, string])[]
   readonly engineTimes?: EngineTimes
-  /** Puts a relay before each agent, to corrupt, stall and cut. */
+  /** Whether each agent is reached through a relay that can corrupt, stall and cut its connections. */
   readonly relays?: boolean
   readonly hosts?: number
   readonly instanceLag?: number
   readonly plainDuration?: number
 }
 
-/** One process of the system. */
+/** A process of the system. */
 export interface Member {
   readonly instance: string
   readonly role: 'entry' | 'agent'
   readonly availabilityZone: string
   readonly endpoint: string
   readonly kind: 'model' | 'plain' | 'none'
-  /** Where peers reach it: the relay, when there is one. */
+  /** The address for peers, which is the relay's if there is one. */
   readonly address: string
   readonly httpAddress: string
   readonly endpointPort: number
@@ -62,7 +62,7 @@
 const MEBIBYTE = 1024 * 1024
 const STOP_PATIENCE = 8_000
 
-/** The key of an organisation's callers. */
+/** Returns the API key of an organisation's callers. */
 export function callerKey (organisation: string): string { return `key-of-${organisation}` }
 
 /** A running fleet. */
@@ -87,7 +87,7 @@
   }
 
   /**
-   * Starts the stand-ins and prepares every process; `startAll` starts those.
+   * Starts the stand-ins and prepares every process. `startAll` starts the processes.
    *
    * @example
    * const fleet = await Fleet.prepare(plan)
@@ -100,19 +100,17 @@
     return fleet
   }
 
-  /** Entries of the fleet. */
   get entries (): Member[] { return this.members.filter(member => member.role === 'entry') }
-  /** Agents of the fleet. */
   get agents (): Member[] { return this.members.filter(member => member.role === 'agent') }
 
-  /** The member of a name. */
+  /** Returns the member with the given instance name. */
   member (instance: string): Member {
     const member = this.members.find(candidate => candidate.instance === instance)
-    if (member === undefined) throw new RangeError(`no member ${instance}`)
+    if (member === undefined) throw new RangeError(`the fleet has no member ${instance}`)
     return member
   }
 
-  /** Makes versions available at store and origin. */
+  /** Makes a version available at the store and the origin. */
   addVersion (version: GeneratedVersion): void {
     this.store.add(version)
     this.origin.add(version)
@@ -123,7 +121,7 @@
     return this.configuration.publish({ models: {}, pools: {}, services: {}, organisations: {}, ...configuration })
   }
 
-  /** Publishes the instance list as it is. */
+  /** Publishes the current instance list and returns its revision. */
   publishInstances (): number {
     const instances: InstanceRecord[] = this.members.filter(member => member.state !== 'gone').map(member => ({
       instance: member.instance,
@@ -141,7 +139,7 @@
     for (const member of this.members) await this.start(member)
   }
 
-  /** Starts one process and waits until it listens. */
+  /** Starts one process, without waiting until it listens. */
   async start (member: Member): Promise<void> {
     const output = openSync(`${member.settingsFile}.log`, 'a')
     const child = spawn(process.execPath, [PROGRAM, member.role, member.settingsFile], { stdio: ['ignore', output, output] })
@@ -151,7 +149,7 @@
     if (child.pid !== undefined) this._pids.push(child.pid)
   }
 
-  /** Waits until a condition holds, looking every 50 ms. */
+  /** Polls a condition every 50 ms. Returns false if it does not hold within `patience` milliseconds. */
   async until (condition: () => boolean | Promise<boolean>, patience: number): Promise<boolean> {
     const startedAt = performance.now()
     while (performance.now() - startedAt < patience) {
@@ -161,7 +159,7 @@
     return false
   }
 
-  /** Waits until every process answers. */
+  /** Waits until every started process answers. */
   async untilUp (patience = 20_000): Promise<boolean> {
     const waiting = new Set(this.members.filter(member => member.process !== undefined))
     return await this.until(async () => {
@@ -172,13 +170,13 @@
     }, patience)
   }
 
-  /** A member's account of itself, or nothing. */
+  /** Requests a member's status. Returns `undefined` if it does not answer. */
   async status (member: Member, timeout = 800): Promise<ProcessStatus | undefined> {
     const reply = await this.ask(member, { type: 'status' }, timeout)
     return reply?.type === 'status' ? reply.status : undefined
   }
 
-  /** Asks a member as a peer would. */
+  /** Sends a peer request to a member. Returns `undefined` if the call fails. */
   async ask (member: Member, request: PeerRequest, timeout = 800): Promise<PeerReply | undefined> {
     try {
       return (await this.pool.call(member.address, request, { timeout })).reply
@@ -187,30 +185,29 @@
     }
   }
 
-  /** Sends a signal to a member's process. */
   signal (member: Member, signal: NodeJS.Signals): void {
     member.process?.kill(signal)
   }
 
-  /** Waits until a member's process has ended; returns its exit code. */
+  /** Waits until a member's process has exited and returns its exit code. */
   exited (member: Member): Promise<number | null> {
     const child = member.process
     if (child === undefined || child.exitCode !== null || child.signalCode !== null) return Promise.resolve(child?.exitCode ?? null)
     return new Promise(resolve => child.once('exit', code => resolve(code)))
   }
 
-  /** Gives an order to the host of an endpoint. */
+  /** Sends an order for a member's endpoint to the endpoint's host. */
   async endpoint (member: Member, order: { type: 'freeze', frozen: boolean } | { type: 'fail-loads', count: number } | { type: 'behave', behaviour: 'normal' | 'down' | 'slow' }): Promise<void> {
     await this._hostOf(member).order({ ...order, port: member.endpointPort })
   }
 
-  /** The journals of all endpoint stand-ins. */
+  /** Returns the journals of all endpoint stand-ins. */
   async journals (): Promise<Pick<HostReply, 'engines' | 'plains'>> {
     const replies = await Promise.all(this._hosts.map(host => host.order({ type: 'journal' })))
     return { engines: replies.flatMap(reply => reply.engines), plains: replies.flatMap(reply => reply.plains) }
   }
 
-  /** Stops everything. Returns how many processes were left behind and had to be killed. */
+  /** Stops all processes and stand-ins. Returns the number of processes that did not exit in time and had to be killed. */
   async stop (): Promise<number> {
     for (const member of this.members) {
       member.process?.kill('SIGCONT')
@@ -228,7 +225,7 @@
     return orphans.length
   }
 
-  /** The log of a member so far is in this file. */
+  /** Returns the path of a member's log file. */
   logFile (member: Member): string { return `${member.settingsFile}.log` }
 
   private async _prepareMembers (): Promise<void> {
@@ -327,7 +324,7 @@
   }
 }
 
-/** Organisations for a configuration, by name and weight, each with its caller key. */
+/** Creates the organisations of a configuration from names and weights, each with its caller key. */
 export function organisations (weights: Readonly<Record<string, number>>): Configuration['organisations'] {
   return Object.fromEntries(Object.entries(weights).map(([name, weight]) => [name, { weight, keyDigests: [digestOfText(callerKey(name))] }]))
 }
--- a/packages/benchmarks/src/lib/load.ts
+++ b/packages/benchmarks/src/lib/load.ts
@@ -3,7 +3,7 @@
  * Copyright 2026 the drumdrift contributors
  * SPDX-License-Identifier: BSD-3-Clause
  */
-/** Open-loop load: each call is due at its time, whatever became of those before, and latency counts from then. */
+/** Open-loop load: each call is due at a time that does not depend on earlier calls, and latency is measured from that time. */
 import { setTimeout as pause } from 'node:timers/promises'
 import { makeCall, type Call, type CallRecord } from './callers.js'
 import { quantile } from './bench-options.js'
@@ -11,22 +11,22 @@
 import { generateVersion, type GeneratedVersion } from '@drumdrift/stand-ins'
 import type { Configuration } from '@drumdrift/core'
 
-/** A stretch of load. */
+/** A period of load at a constant rate. */
 export interface Phase {
   readonly seconds: number
   readonly callsPerSecond: number
 }
 
-/** Starts of prompts that callers share, a few of them much more often than others. */
+/** The number of prompt prefixes that callers share; a few of them are much more frequent than the others. */
 const PROMPTS = 60
 
-/** Calls are drawn one at a time: the number is unique over all phases. */
+/** Creates a call. The number is unique over all phases. */
 export type CallMaker = (number: number, random: () => number) => Call
 
 /**
- * Plays phases one after the other with Poisson arrivals.
+ * Runs phases one after the other with Poisson arrivals.
  *
- * @returns The records, phase by phase.
+ * @returns The records of each phase.
  * @example
  * const [calm, burst] = await playLoad([{ seconds: 2, callsPerSecond: 20 }, { seconds: 5, callsPerSecond: 400 }], make, random)
  */
@@ -50,7 +50,7 @@
   return await Promise.all(all.map(async calls => await Promise.all(calls)))
 }
 
-/** Figures of a stretch of load. */
+/** Counts and latencies of a set of calls. */
 export interface LoadFigures {
   readonly asked: number
   readonly whole: number
@@ -63,7 +63,7 @@
   readonly refusal99: string
 }
 
-/** Sums records up; times in milliseconds. */
+/** Summarises records; times are in milliseconds. */
 export function figuresOf (records: readonly CallRecord[]): LoadFigures {
   const whole = records.filter(record => record.result === 'whole')
   const refused = records.filter(record => record.result === 'refused')
@@ -82,14 +82,14 @@
   }
 }
 
-/** A fleet that serves a small version, ready for load. */
+/** A running fleet that serves a small model version. */
 export interface ServingFleet {
   readonly fleet: Fleet
   readonly version: GeneratedVersion
   readonly configuration: Partial<Configuration>
 }
 
-/** What a serving fleet consists of. */
+/** The size and settings of a serving fleet. */
 export interface ServingPlan {
   readonly entries: number
   readonly workers: number
@@ -102,7 +102,7 @@
   readonly linkMegabytesPerSecond?: number
 }
 
-/** Starts a fleet of one zone and waits until all its engines serve. */
+/** Starts a fleet in one availability zone and waits until all its engines serve the version. */
 export async function startServing (plan: ServingPlan, seed: number): Promise<ServingFleet> {
   const fleet = await Fleet.prepare({
     availabilityZones: ['koshi'],
@@ -125,12 +125,12 @@
   fleet.publishInstances()
   await fleet.startAll()
   const up = await fleet.untilUp() && await fleet.until(async () => (await fleet.journals()).engines.every(engine => engine.version === version.digest), 30_000)
-  if (!up) throw new Error('the fleet did not come up')
+  if (!up) throw new Error('the fleet did not start in time')
   await pause(1_000)
   return { fleet, version, configuration }
 }
 
-/** Calls for chat, spread over the entries, with prompts of which a few are common. */
+/** Creates chat calls that are spread over the entries; a few prompt prefixes are much more frequent than the others. */
 export function chatCalls (fleet: Fleet, name: string, organisationOf: (random: () => number) => string, tokens: number): CallMaker {
   return (number, random) => ({
     id: `${name}-${number}`,
--- a/packages/benchmarks/src/lib/oracles.ts
+++ b/packages/benchmarks/src/lib/oracles.ts
@@ -3,18 +3,18 @@
  * Copyright 2026 the drumdrift contributors
  * SPDX-License-Identifier: BSD-3-Clause
  */
-/** What endpoints' journals say of what callers were told. */
+/** Checks the answers that callers received against the journals of the endpoints. */
 import type { HostReply } from '@drumdrift/stand-ins'
 import type { CallRecord } from './callers.js'
 
-/** How often each request id ran, over all plain services. */
+/** Counts the runs of each request id over all plain services. */
 export function runsById (plains: HostReply['plains']): ReadonlyMap<string, number> {
   const runs = new Map<string, number>()
   for (const plain of plains) for (const [id, count] of Object.entries(plain.runs)) runs.set(id, (runs.get(id) ?? 0) + count)
   return runs
 }
 
-/** Ids that ran although every attempt at them was told "not run". */
+/** Counts the request ids that ran although every attempt was answered with "not run". */
 export function untrueNotRun (records: readonly CallRecord[], runs: ReadonlyMap<string, number>): number {
   const mayHaveRun = new Map<string, number>()
   for (const record of records) {
--- a/packages/benchmarks/src/lib/plain-fleet.ts
+++ b/packages/benchmarks/src/lib/plain-fleet.ts
@@ -3,16 +3,16 @@
  * Copyright 2026 the drumdrift contributors
  * SPDX-License-Identifier: BSD-3-Clause
  */
-/** Fleets without weights, for what control alone costs. */
+/** Fleets without model weights, for measuring the cost of control traffic. */
 import { Fleet } from './fleet.js'
 
 /** A configuration with one plain service. */
 export const plainConfiguration = { services: { booking: { slots: 8, neverRepeat: [] } } }
 
 /**
- * Prepares a fleet of one entry in each zone and agents of a plain service, with its documents published.
+ * Prepares a fleet of one entry in each availability zone and agents of a plain service, and publishes its configuration and instances.
  *
- * @param size Processes in all.
+ * @param size The total number of processes.
  * @example
  * const fleet = await preparePlainFleet(96, ['bagmati', 'gandaki', 'koshi'])
  */
--- a/packages/benchmarks/src/lib/process-reading.ts
+++ b/packages/benchmarks/src/lib/process-reading.ts
@@ -3,27 +3,27 @@
  * Copyright 2026 the drumdrift contributors
  * SPDX-License-Identifier: BSD-3-Clause
  */
-/** Reads what a process of this machine has used, from outside it. */
+/** Reads the resource usage of processes and of the machine. */
 import { execFileSync } from 'node:child_process'
 import { readFileSync } from 'node:fs'
 
 const MILLISECONDS_PER_TICK = 10
-/** Where the stolen time stands among the machine's kinds of time. */
+/** The index of stolen time among the processor times in `/proc/stat`. */
 const STOLEN_FIELD = 7
 
-/** Processor time of a process so far, in milliseconds. */
+/** Returns the processor time that a process has used so far, in milliseconds. */
 export function processorMilliseconds (pid: number): number {
   const fields = readFileSync(`/proc/${pid}/stat`, 'utf8').replace(/^.*\) /, '').split(' ')
   return (Number(fields[11]) + Number(fields[12])) * MILLISECONDS_PER_TICK
 }
 
-/** Processor time of the whole machine so far, in its own ticks: in all, and what others took from it. */
+/** Returns the machine's total processor time and the time stolen by the hypervisor so far, in ticks. */
 export function machineTicks (): { readonly all: number, readonly stolen: number } {
   const ticks = (readFileSync('/proc/stat', 'utf8').split('\n')[0] ?? '').split(/\s+/).slice(1, 9).map(Number)
   return { all: ticks.reduce((sum, tick) => sum + tick, 0), stolen: ticks[STOLEN_FIELD] ?? 0 }
 }
 
-/** Resident memory of a fresh runtime after some imports, in bytes, by its own reading. */
+/** Returns the resident memory of a new Node.js process after it has imported modules, in bytes, as the process reports it. */
 export function residentAfterImports (modules: readonly string[], from: string): number {
   const imports = modules.map(name => `await import(${JSON.stringify(name)});`).join('')
   const script = `${imports}await new Promise(resolve => setTimeout(resolve, 200)); console.log(process.memoryUsage().rss)`
--- a/packages/benchmarks/src/lib/requests-bench.ts
+++ b/packages/benchmarks/src/lib/requests-bench.ts
@@ -3,7 +3,7 @@
  * Copyright 2026 the drumdrift contributors
  * SPDX-License-Identifier: BSD-3-Clause
  */
-/** The entry and its agents against a bare forwarder, in the same run and over the same engines. */
+/** Compares an entry and its agents with a bare forwarder, in the same run and with the same engines. */
 import { fork, spawn, type ChildProcess } from 'node:child_process'
 import { fileURLToPath } from 'node:url'
 import { setTimeout as pause } from 'node:timers/promises'
@@ -27,7 +27,7 @@
 
 type LoadOrder = { readonly address: string, readonly concurrency: number, readonly callsPerSecond: number, readonly seconds: number, readonly tokens: number }
 
-/** Measures throughput at full load and the first token at half of the forwarder's. */
+/** Measures throughput at full load, and the time to the first token at half the throughput of the slower target. */
 export async function requestsBench (options: BenchOptions): Promise<boolean> {
   const { fleet } = await startServing({ entries: 1, workers: WORKERS, slots: SLOTS, organisations: { 'hall-1': 1 }, engineTimes: TIMES }, options.seed)
   const [port = 0] = await freePorts(1)
--- a/packages/benchmarks/src/lib/rollout-bench.ts
+++ b/packages/benchmarks/src/lib/rollout-bench.ts
@@ -4,8 +4,8 @@
  * SPDX-License-Identifier: BSD-3-Clause
  */
 /**
- * Measures a rollout with real agents on limited links: the time until all serve, against the lower bound that the
- * links set, and the bytes read from the origin.
+ * Measures a rollout with real agents on links of limited bandwidth: the time until all engines serve the version, against the lower
+ * bound set by the links, and the bytes read from the origin.
  */
 import { setTimeout as pause } from 'node:timers/promises'
 import { defaultEngineTimes, generateVersion, type GeneratedVersion } from '@drumdrift/stand-ins'
@@ -17,14 +17,14 @@
 const MEBIBYTE = 1024 * 1024
 const ZONES = ['bagmati', 'gandaki', 'koshi'] as const
 const LOAD_TIME = 20
-/** When the faults come, as a share of the lower bound. */
+/** When the faults are injected, as a share of the lower bound. */
 const FAULTS_AT = 0.3
-/** Patience, as a multiple of the lower bound. */
+/** The timeout, as a multiple of the lower bound. */
 const PATIENCE = 40
-/** Links are slower in larger fleets, so that one machine can carry the sum of them. */
+/** The bandwidth of a link by fleet size. Links are slower in larger fleets, so that one machine can carry their total traffic. */
 const linkRates: readonly (readonly [endpoints: number, megabytesPerSecond: number])[] = [[32, 2], [128, 1], [256, 0.5]]
 
-/** Runs the asked strategy, and the baselines with it if wanted. */
+/** Measures the selected strategy, and the baselines unless they are disabled. */
 export async function rolloutBench (options: BenchOptions): Promise<boolean> {
   const strategies = options.baselines ? [options.strategy, 'rendezvous', 'tree', 'origin'] : [options.strategy]
   let good = true
@@ -40,7 +40,7 @@
   fleet.publish({})
   fleet.publishInstances()
   await fleet.startAll()
-  if (!await fleet.untilUp(60_000)) throw new Error('the fleet did not come up')
+  if (!await fleet.untilUp(60_000)) throw new Error('the fleet did not start in time')
   await pause(1_500)
   const bound = CHUNKS * CHUNK_BYTES / (link * MEBIBYTE) * 1000
   const startedAt = Date.now()
@@ -82,7 +82,7 @@
     entriesPerZone: 0,
     endpoints: Array.from({ length: options.endpoints }, (_, index) => ({ name: 'drafting', kind: 'model', availabilityZone: ZONES[index % ZONES.length] ?? '' })),
     linkMegabytesPerSecond: link,
-    // The origin's link carries about four copies in the time in which an instance's carries two.
+    // The origin's link has twice the bandwidth of an instance's: it carries four copies while that carries two.
     originMegabytesPerSecond: 2 * link,
     hosts: Math.max(1, Math.ceil(options.endpoints / 24)),
     engineTimes: { ...defaultEngineTimes, load: LOAD_TIME },
@@ -91,7 +91,7 @@
   })
 }
 
-/** Kills, stalls and corrupts different agents, drawn by the seed. Returns the killed ones. */
+/** Kills, stalls and corrupts disjoint sets of agents, drawn from the seed. Returns the killed agents. */
 async function faults (fleet: Fleet, options: BenchOptions, bound: number): Promise<ReadonlySet<Member>> {
   const random = seededRandom(options.seed)
   const drawn = [...fleet.agents].map(member => ({ member, order: random() })).sort((left, right) => left.order - right.order).map(({ member }) => member)
@@ -106,7 +106,7 @@
   return killed
 }
 
-/** Milliseconds until each member's engine served the version; 0 for one that did not in time. */
+/** Returns the milliseconds until each member's engine served the version, or 0 for an engine that did not within the timeout. */
 async function timesToServe (fleet: Fleet, members: readonly Member[], version: GeneratedVersion, startedAt: number, patience: number): Promise<number[]> {
   const ports = new Set(members.map(member => member.endpointPort))
   let times: number[] = []
--- a/packages/benchmarks/src/lib/rollout-under-load-bench.ts
+++ b/packages/benchmarks/src/lib/rollout-under-load-bench.ts
@@ -3,7 +3,7 @@
  * Copyright 2026 the drumdrift contributors
  * SPDX-License-Identifier: BSD-3-Clause
  */
-/** What a rollout does to live requests, and how much of its capacity the pool keeps while its engines switch. */
+/** Measures the effect of a rollout on live requests, and the capacity that the pool keeps while its engines switch versions. */
 import { setTimeout as pause } from 'node:timers/promises'
 import { generateVersion } from '@drumdrift/stand-ins'
 import { printFigures, seededRandom, twoDecimals, type BenchOptions } from './bench-options.js'
--- a/packages/benchmarks/src/load-worker.ts
+++ b/packages/benchmarks/src/load-worker.ts
@@ -3,14 +3,14 @@
  * Copyright 2026 the drumdrift contributors
  * SPDX-License-Identifier: BSD-3-Clause
  */
-/** A process that loads an address with chat calls and reports what it saw; started by the requests benchmark. */
+/** A load generator process of the requests benchmark: sends chat calls to an address and reports times and failures. */
 import { Agent, request } from 'node:http'
 import { callerKey } from './lib/fleet.js'
 
-/** What the worker is to do. */
+/** The load to generate. */
 interface Order {
   readonly address: string
-  /** Calls kept in progress; 0 for open-loop arrivals instead. */
+  /** The number of concurrent calls of a closed loop; 0 for open-loop arrivals. */
   readonly concurrency: number
   readonly callsPerSecond: number
   readonly seconds: number
--- a/packages/benchmarks/src/test/whole-path_test.ts
+++ b/packages/benchmarks/src/test/whole-path_test.ts
@@ -43,7 +43,7 @@
   return answer.body.toString()
 }
 
-describe('the whole path, as separate processes', { timeout: 120_000 }, () => {
+describe('entries, agents and endpoints as separate processes', { timeout: 120_000 }, () => {
   before(async () => {
     fleet = await Fleet.prepare({
       availabilityZones: ['koshi'],
@@ -82,17 +82,17 @@
     ['an unknown model', '/v1/chat/completions', '{"model":"x","messages":[{}]}', {}, 404, 'unknown-model'],
     ['an unknown organisation', '/v1/chat/completions', '{}', { authorization: 'Bearer no' }, 401, 'unknown-organisation'],
     ['an oversized body', '/v1/chat/completions', 'x'.repeat(70_000), {}, 413, 'body-too-large'],
-    ['a deadline already past', '/services/booking/halls', '', { 'x-deadline-milliseconds': '0' }, 408, 'deadline-passed'],
-    ['a body that is no JSON', '/v1/chat/completions', '{{{', {}, 400, 'bad-request']
+    ['an expired deadline', '/services/booking/halls', '', { 'x-deadline-milliseconds': '0' }, 408, 'deadline-passed'],
+    ['a body that is not JSON', '/v1/chat/completions', '{{{', {}, 400, 'bad-request']
   ]
   for (const [name, path, body, headers, status, code] of bad) {
-    it(`answers ${name} with ${status} ${code}, and serves on`, async () => {
+    it(`answers ${name} with ${status} ${code} and continues to serve`, async () => {
       assert.deepEqual(await post(path, body, headers), { status, code })
       assert.equal((await post('/services/booking/halls', '')).status, 200)
     })
   }
 
-  it('survives garbage on the port between processes', async () => {
+  it('continues to serve after invalid data on the peer port', async () => {
     for (const garbage of ['GET / HTTP/1.1\r\n\r\n', '\0\0\0\x01\0\0\0\0\xff', 'x'.repeat(100_000)]) {
       const [host, port] = (fleet.agents[0]?.address ?? '').split(':')
       const socket = createConnection({ host, port: Number(port) })
@@ -105,7 +105,7 @@
     assert.notEqual(await fleet.status(fleet.agents[0] as never), undefined)
   })
 
-  it('runs a request that may not repeat once, also when its id comes again through the other entry', async () => {
+  it('runs a request that must not repeat once, even if its id is sent again through the other entry', async () => {
     const id = await issueId(entryAddress()) ?? ''
     const call: Call = { id, organisation: 'hall-1', address: entryAddress(), plain: { service: 'booking', method: 'POST', path: '/notices', body: '{}' }, neverRepeat: true }
     const first = await makeCall(call)
@@ -117,7 +117,7 @@
     assert.equal(await runsOf(id), 1)
   })
 
-  it('says of a caller\'s own id that its history is unknown while keepers are young', async () => {
+  it('answers history-unknown to a caller\'s own id while its keepers have just started', async () => {
     const call: Call = { id: 'my-own-id', organisation: 'hall-1', address: entryAddress(), plain: { service: 'booking', method: 'POST', path: '/notices', body: '{}' }, neverRepeat: true }
     const record = await makeCall(call)
     assert.deepEqual([record.result, record.code], ['unknown', 'history-unknown'])
@@ -125,7 +125,7 @@
     assert.equal(await runsOf('my-own-id'), 0)
   })
 
-  it('answers operators, and only those', async () => {
+  it('answers operators and rejects other callers', async () => {
     const shown = await operator('show agents where pool = drafting')
     assert.equal(shown.split('\n').filter(line => line.includes('state=serving')).length, 2)
     assert.match(shown, /event=view shown=2 unseen=0 revision=1/)
@@ -136,7 +136,7 @@
     assert.equal(refused.status, 403)
   })
 
-  it('drains an agent by order: no new work, and the order hits only its incarnation', async () => {
+  it('drains an agent by order, sends it no new requests and rejects an order for another incarnation', async () => {
     assert.match(await operator('drain agent-1 incarnation agent-1.000000'), /reason=wrong-incarnation/)
     assert.match(await operator('drain agent-1'), /event=left .*lifecycle=draining/)
     assert.match(await operator('drain agent-1'), /event=left .*lifecycle=draining/, 'a repeat changes nothing')
@@ -149,7 +149,7 @@
     assert.ok(records.every(record => drained?.journal.runs[record.id] === undefined))
   })
 
-  it('refuses an invalid configuration whole and keeps the old one', async () => {
+  it('rejects an invalid configuration completely and keeps the old one', async () => {
     fleet.publish({ pools: { drafting: { model: 'none', version: 'v1', switchFraction: 1, slots: 1, originCopies: 1 } } })
     await new Promise(resolve => setTimeout(resolve, 500))
     assert.equal((await fleet.status(fleet.entries[0] as never))?.revisions.configuration, 1)
@@ -157,7 +157,7 @@
     assert.ok(await fleet.until(async () => (await Promise.all(fleet.members.map(async member => await fleet.status(member)))).every(status => status?.revisions.configuration === 3), 9_000))
   })
 
-  it('ends requests in progress before it stops', async () => {
+  it('completes requests in progress before it stops', async () => {
     const call = makeCall({ id: 'long', organisation: 'hall-1', address: entryAddress(), chat: { pool: 'drafting', prompt: 'long', tokens: 100, streamed: true } })
     await new Promise(resolve => setTimeout(resolve, 200))
     fleet.signal(fleet.entries[0] as never, 'SIGTERM')
