--- a/packages/benchmarks/src/lib/callers.ts
+++ b/packages/benchmarks/src/lib/callers.ts
@@ -53,7 +53,7 @@
 }
 
 const connections = new Agent({ keepAlive: true, maxSockets: Infinity, maxFreeSockets: 256 })
-const DEFAULT_TIMEOUT = 30_000
+const DEFAULT_TIMEOUT_MILLISECONDS = 30_000
 
 /**
  * Makes a call and checks the answer.
@@ -65,7 +65,7 @@
   const due = call.due ?? performance.now()
   const at = Date.now()
   const answer = await send(call, due)
-  const judged = judge(call, answer)
+  const judged = checkAnswer(call, answer)
   return {
     id: call.id,
     organisation: call.organisation,
@@ -81,7 +81,7 @@
 }
 
 /** Obtains a request id from an entry, as callers do for requests that must not repeat. Returns `undefined` on failure. */
-export async function issueId (address: string): Promise<string | undefined> {
+export async function obtainRequestId (address: string): Promise<string | undefined> {
   const answer = await send({ id: '', organisation: '', address, path: '/v1/request-ids' }, performance.now())
   return answer.status === 200 ? (JSON.parse(answer.text) as { id: string }).id : undefined
 }
@@ -95,7 +95,7 @@
   if (call.neverRepeat === true) headers['x-repeat'] = 'never'
   return new Promise(resolve => {
     const lost: RawAnswer = { status: 0, headers: {}, text: '', complete: false, firstByte: 0 }
-    const outgoing = request({ host, port, path, method, headers, agent: connections, timeout: call.timeout ?? DEFAULT_TIMEOUT }, response => {
+    const outgoing = request({ host, port, path, method, headers, agent: connections, timeout: call.timeout ?? DEFAULT_TIMEOUT_MILLISECONDS }, response => {
       const pieces: Buffer[] = []
       let firstByte = 0
       const finish = (): void => resolve({ status: response.statusCode ?? 0, headers: response.headers, text: Buffer.concat(pieces).toString('utf8'), complete: response.complete, firstByte })
@@ -120,30 +120,30 @@
   return { path: '/v1/chat/completions', method: 'POST', body }
 }
 
-type Judged = Pick<CallRecord, 'result' | 'code' | 'outcome'>
+type Verdict = Pick<CallRecord, 'result' | 'code' | 'outcome'>
 
-function judge (call: Call, answer: RawAnswer): Judged {
+function checkAnswer (call: Call, answer: RawAnswer): Verdict {
   if (answer.status === 0) return { result: 'unknown', code: 'no-connection', outcome: 'unknown' }
   if (answer.status === 200 && !answer.complete) return { result: 'cut', code: 'cut', outcome: 'cut' }
-  if (answer.status !== 200) return judgeFailure(answer)
-  const content = call.chat === undefined ? judgePlain(call, answer) : judgeChat(call.chat, answer, call.versions ?? [])
+  if (answer.status !== 200) return checkFailure(answer)
+  const content = call.chat === undefined ? checkPlain(call, answer) : checkChat(call.chat, answer, call.versions ?? [])
   return { result: content, code: '', outcome: 'whole' }
 }
 
-function judgeFailure (answer: RawAnswer): Judged {
+function checkFailure (answer: RawAnswer): Verdict {
   const code = /"code":"([a-z-]+)"/.exec(answer.text)?.[1] ?? `status-${answer.status}`
   const outcome = String(answer.headers['x-outcome'] ?? 'unknown')
   return { result: outcome === 'not-run' ? 'refused' : 'unknown', code, outcome }
 }
 
-function judgePlain (call: Call, answer: RawAnswer): CallerResult {
+function checkPlain (call: Call, answer: RawAnswer): CallerResult {
   const body = JSON.parse(answer.text) as { id?: string }
   return body.id === call.id ? 'whole' : 'wrong'
 }
 
-function judgeChat (chat: NonNullable<Call['chat']>, answer: RawAnswer, versions: readonly string[]): CallerResult {
+function checkChat (chat: NonNullable<Call['chat']>, answer: RawAnswer, versions: readonly string[]): CallerResult {
   const version = String(answer.headers['x-model-version'] ?? '')
-  const text = chat.streamed ? streamedText(answer.text) : wholeText(answer.text)
+  const text = chat.streamed ? streamedText(answer.text) : completeText(answer.text)
   if (text === undefined) return 'cut'
   if (text === expectedText(version, chat.prompt, chat.tokens)) return 'whole'
   const tokens = text.split(/(?<= )/)
@@ -158,6 +158,6 @@
   return events.slice(0, -1).map(event => (JSON.parse(event) as { choices: { delta: { content?: string } }[] }).choices[0]?.delta.content ?? '').join('')
 }
 
-function wholeText (text: string): string | undefined {
+function completeText (text: string): string | undefined {
   return (JSON.parse(text) as { choices: { message: { content: string } }[] }).choices[0]?.message.content
 }
--- a/packages/benchmarks/src/lib/capacity-bench.ts
+++ b/packages/benchmarks/src/lib/capacity-bench.ts
@@ -19,9 +19,9 @@
 const ZONES = ['koshi', 'bagmati', 'gandaki', 'lumbini', 'karnali'] as const
 const TARGET_ZONES = 5
 const TARGET_PROCESSES = 2_780
-const SETTLE = 4_000
+const SETTLE_MILLISECONDS = 4_000
 /** The timeout for starting 192 processes on one busy machine, in milliseconds. */
-const START_PATIENCE = 180_000
+const START_TIMEOUT_MILLISECONDS = 180_000
 const CHANGES = 5
 const MEBIBYTE = 1024 * 1024
 const KIBIBYTE = 1024
@@ -66,8 +66,8 @@
 async function measureFleet (size: number, seconds: number): Promise<Sample[]> {
   const fleet = await preparePlainFleet(size, ZONES)
   await fleet.startAll()
-  if (!await fleet.untilUp(START_PATIENCE)) throw new Error('the fleet did not start in time')
-  await pause(SETTLE)
+  if (!await fleet.untilUp(START_TIMEOUT_MILLISECONDS)) throw new Error('the fleet did not start in time')
+  await pause(SETTLE_MILLISECONDS)
   const first = await statusesOf(fleet)
   await pause(seconds * 1000)
   const second = await statusesOf(fleet)
@@ -140,7 +140,7 @@
   return { slope, intercept, residual: Math.max(...points.map(({ x, y }) => Math.abs(y - intercept - slope * x))) }
 }
 
-function listOf (size: number): InstanceRecord[] {
+function createInstances (size: number): InstanceRecord[] {
   return Array.from({ length: size }, (_, index) => ({
     instance: `instance-${index}`, availabilityZone: ZONES[index % TARGET_ZONES] ?? '', role: index % 8 === 0 ? 'entry' : 'agent', address: `10.${index >> 12}.${(index >> 6) & 63}.${index & 63}:7400`, endpoint: 'drafting', state: 'live'
   }))
@@ -148,34 +148,34 @@
 
 /** Measures the memory of an instance list, and the processor time of its adoption and upkeep. */
 function measureList (size: number): void {
-  const records = listOf(size)
+  const records = createInstances(size)
   const text = JSON.stringify({ instances: records })
-  collect()
+  collectGarbage()
   const before = process.memoryUsage().heapUsed
   const startedAt = performance.now()
   const spread = new Spread({ ...records[0] as InstanceRecord, seeds: [], source: 's' }, Math.random, 0)
   spread.tick(0)
   spread.serviceAnswered('instances', { source: 's', revision: 1, document: JSON.parse(text) }, 1)
   const adopted = performance.now()
-  collect()
-  const held = process.memoryUsage().heapUsed - before
+  collectGarbage()
+  const heapBytes = process.memoryUsage().heapUsed - before
   const ticks = 2_000
   const tickingAt = performance.now()
   for (let tick = 0; tick < ticks; tick += 1) spread.tick(tick * 100)
   const perTick = (performance.now() - tickingAt) / ticks
-  printFigures('capacity', { what: 'list', instances: size, document_kilobytes: twoDecimals(text.length / KIBIBYTE), heap_kilobytes: twoDecimals(held / KIBIBYTE), adoption_milliseconds: twoDecimals(adopted - startedAt), upkeep_core_percent: (perTick * 10 / 10).toFixed(4) })
+  printFigures('capacity', { what: 'list', instances: size, document_kilobytes: twoDecimals(text.length / KIBIBYTE), heap_kilobytes: twoDecimals(heapBytes / KIBIBYTE), adoption_milliseconds: twoDecimals(adopted - startedAt), upkeep_core_percent: (perTick * 10 / 10).toFixed(4) })
 }
 
 /** Measures the memory of one record of a request id that must not repeat. */
 function measureKeeper (): void {
   const records = 20_000
   const keeper = new ClaimKeeper('agent-1.a', { repeatWindow: 600_000, recordsPerOrganisation: records })
-  collect()
+  collectGarbage()
   const before = process.memoryUsage().heapUsed
   for (let index = 0; index < records; index += 1) keeper.claim('hall-1', `notice-${index}-${'x'.repeat(20)}`, `entry-1.abc:${index}`, 'd'.repeat(64), 1)
-  collect()
-  const held = process.memoryUsage().heapUsed - before
-  printFigures('capacity', { what: 'keeper', records: keeper.size, bytes_per_record: Math.round(held / records) })
+  collectGarbage()
+  const heapBytes = process.memoryUsage().heapUsed - before
+  printFigures('capacity', { what: 'keeper', records: keeper.size, bytes_per_record: Math.round(heapBytes / records) })
 }
 
 /** Measures the time of one choice; an entry uses at most 24 endpoints of an availability zone. */
@@ -190,7 +190,7 @@
   }
 }
 
-function collect (): void {
+function collectGarbage (): void {
   const { gc } = globalThis as { gc?: () => void }
   gc?.()
 }
--- a/packages/benchmarks/src/lib/chaos-bench.ts
+++ b/packages/benchmarks/src/lib/chaos-bench.ts
@@ -11,17 +11,17 @@
 import { formatPairs } from 'drumdrift'
 import { defaultEngineTimes, generateVersion } from '@drumdrift/stand-ins'
 import { printFigures, seededRandom, type BenchOptions } from './bench-options.js'
-import { issueId, makeCall, type Call, type CallRecord } from './callers.js'
+import { obtainRequestId, makeCall, type Call, type CallRecord } from './callers.js'
 import { Fleet, organisations, type EndpointPlan, type Member } from './fleet.js'
-import { runsById, untrueNotRun } from './oracles.js'
+import { runsById, countFalseNotRun } from './oracles.js'
 
 const ZONES = ['koshi', 'bagmati'] as const
 const CALLS_PER_SECOND = 60
-const FAULT_EVERY = 900
-const FREEZE = 2_500
-const DOWN = 800
-const MOST_REPEATS = 3
-const REPEAT_PAUSE = 400
+const FAULT_INTERVAL_MILLISECONDS = 900
+const FREEZE_MILLISECONDS = 2_500
+const DOWN_MILLISECONDS = 800
+const MAX_RETRIES = 3
+const RETRY_DELAY_MILLISECONDS = 400
 const LARGEST_SEED = 1_000
 
 const endpoints: readonly EndpointPlan[] = ZONES.flatMap(availabilityZone => [
@@ -35,12 +35,12 @@
   kill: async (fleet, member) => {
     fleet.signal(member, 'SIGKILL')
     await fleet.exited(member)
-    await pause(DOWN)
+    await pause(DOWN_MILLISECONDS)
     await fleet.start(member)
   },
   freeze: async (fleet, member) => {
     fleet.signal(member, 'SIGSTOP')
-    await pause(FREEZE)
+    await pause(FREEZE_MILLISECONDS)
     fleet.signal(member, 'SIGCONT')
   }
 }
@@ -51,17 +51,17 @@
   const fleet = await startFleet(version)
   const random = seededRandom(options.seed % LARGEST_SEED + 1)
   const records: CallRecord[] = []
-  const under: Promise<void>[] = []
+  const pending: Promise<void>[] = []
   const end = performance.now() + options.seconds * 1000
-  const breaking = breakThings(fleet, random, end)
+  const injection = injectFaults(fleet, random, end)
   for (let number = 0; performance.now() < end; number += 1) {
-    under.push(askUntilAnswered(fleet, number, [version.digest], records))
+    pending.push(requestUntilAnswered(fleet, number, [version.digest], records))
     await pause(1000 / CALLS_PER_SECOND)
   }
-  await Promise.all(under)
-  const faultCount = await breaking
-  await pause(FREEZE)
-  return await judge(fleet, records, options, faultCount)
+  await Promise.all(pending)
+  const faultCount = await injection
+  await pause(FREEZE_MILLISECONDS)
+  return await checkResults(fleet, records, options, faultCount)
 }
 
 async function startFleet (version: ReturnType<typeof generateVersion>): Promise<Fleet> {
@@ -88,35 +88,35 @@
   return fleet
 }
 
-async function breakThings (fleet: Fleet, random: () => number, end: number): Promise<number> {
-  const under: Promise<void>[] = []
+async function injectFaults (fleet: Fleet, random: () => number, end: number): Promise<number> {
+  const pending: Promise<void>[] = []
   const busy = new Set<Member>()
   const names = Object.keys(faults)
-  while (performance.now() < end - FREEZE) {
-    await pause(FAULT_EVERY)
+  while (performance.now() < end - FREEZE_MILLISECONDS) {
+    await pause(FAULT_INTERVAL_MILLISECONDS)
     const member = fleet.members[Math.floor(random() * fleet.members.length)]
     const name = names[Math.floor(random() * names.length)] ?? ''
     const fault = faults[name]
     if (member === undefined || fault === undefined || busy.has(member)) continue
     busy.add(member)
     process.stdout.write(`${formatPairs({ event: 'fault', fault: name, instance: member.instance })}\n`)
-    under.push(fault(fleet, member).then(() => { busy.delete(member) }))
+    pending.push(fault(fleet, member).then(() => { busy.delete(member) }))
   }
-  await Promise.all(under)
-  return under.length
+  await Promise.all(pending)
+  return pending.length
 }
 
 /** Sends a request and retries it with the same id through another entry until it is answered or the retries are used up. */
-async function askUntilAnswered (fleet: Fleet, number: number, versions: readonly string[], records: CallRecord[]): Promise<void> {
+async function requestUntilAnswered (fleet: Fleet, number: number, versions: readonly string[], records: CallRecord[]): Promise<void> {
   const once = number % 2 === 0
-  const id = once ? await issueId(entryOf(fleet, number)) : `chat-${number}`
+  const id = once ? await obtainRequestId(entryOf(fleet, number)) : `chat-${number}`
   if (id === undefined) return
-  for (let attempt = 0; attempt <= MOST_REPEATS; attempt += 1) {
+  for (let attempt = 0; attempt <= MAX_RETRIES; attempt += 1) {
     const call: Call = { id, organisation: `hall-${number % 2 + 1}`, address: entryOf(fleet, number + attempt), versions, timeout: 8_000, ...(once ? notice(number) : chat(number)) }
     const record = await makeCall(call)
     records.push(record)
     if (record.result === 'whole' || record.code === 'already-claimed') return
-    await pause(REPEAT_PAUSE)
+    await pause(RETRY_DELAY_MILLISECONDS)
   }
 }
 
@@ -132,12 +132,12 @@
   return { chat: { pool: 'drafting', prompt: `prompt ${number % 30}`, tokens: 16, streamed: number % 4 === 1 } }
 }
 
-async function judge (fleet: Fleet, records: readonly CallRecord[], options: BenchOptions, faultCount: number): Promise<boolean> {
+async function checkResults (fleet: Fleet, records: readonly CallRecord[], options: BenchOptions, faultCount: number): Promise<boolean> {
   const journals = await fleet.journals()
   const runs = runsById(journals.plains)
   const count = (result: CallRecord['result']): number => records.filter(record => record.result === result).length
   const repeated = [...new Set(records.filter(record => record.neverRepeat).map(record => record.id))].filter(id => (runs.get(id) ?? 0) > 1).length
-  const untrue = untrueNotRun(records, runs)
+  const untrue = countFalseNotRun(records, runs)
   const partial = journals.engines.reduce((sum, engine) => sum + engine.journal.partialLoads, 0)
   const orphans = await fleet.stop()
   const answered = new Set(records.filter(record => record.result === 'whole').map(record => record.id)).size
--- a/packages/benchmarks/src/lib/configuration-bench.ts
+++ b/packages/benchmarks/src/lib/configuration-bench.ts
@@ -12,9 +12,9 @@
 const SIZES = [12, 24, 48, 96, 192] as const
 const ZONES = ['bagmati', 'gandaki', 'koshi'] as const
 const CHANGES = 5
-const BETWEEN = 2_000
-const LOOK = 10
-const PATIENCE = 20_000
+const CHANGE_INTERVAL_MILLISECONDS = 2_000
+const POLL_INTERVAL_MILLISECONDS = 10
+const TIMEOUT_MILLISECONDS = 20_000
 /** The share of the fleet that starts while the configuration changes. */
 const STARTING_SHARE = 0.1
 
@@ -40,8 +40,8 @@
     const starting = late.splice(0, Math.ceil(size * STARTING_SHARE / CHANGES))
     for (const member of starting) await fleet.start(member)
     expected += fleet.members.filter(member => member.process !== undefined).length
-    times.push(...await timesInForce(fleet, fleet.publish(plainConfiguration)))
-    await pause(BETWEEN)
+    times.push(...await measureTimesInForce(fleet, fleet.publish(plainConfiguration)))
+    await pause(CHANGE_INTERVAL_MILLISECONDS)
   }
   const seconds = (performance.now() - startedAt) / 1000
   const calls = fleet.configuration.calls + fleet.instances.calls - callsBefore
@@ -61,7 +61,7 @@
 }
 
 /** Returns, for each running process, the milliseconds from the publication of a revision until it is in force there. */
-async function timesInForce (fleet: Fleet, revision: number): Promise<number[]> {
+async function measureTimesInForce (fleet: Fleet, revision: number): Promise<number[]> {
   const publishedAt = fleet.configuration.publishedAt.get(revision) ?? performance.now()
   const waiting = new Set(fleet.members.filter(member => member.process !== undefined))
   const times: number[] = []
@@ -72,8 +72,8 @@
       waiting.delete(member)
       times.push(performance.now() - publishedAt)
     }))
-    await pause(LOOK)
+    await pause(POLL_INTERVAL_MILLISECONDS)
     return waiting.size === 0
-  }, PATIENCE)
+  }, TIMEOUT_MILLISECONDS)
   return times
 }
--- a/packages/benchmarks/src/lib/demo-run.ts
+++ b/packages/benchmarks/src/lib/demo-run.ts
@@ -11,8 +11,8 @@
 import { formatPairs, type LogFields } from 'drumdrift'
 import type { Configuration } from '@drumdrift/core'
 import { generateVersion, type GeneratedVersion } from '@drumdrift/stand-ins'
-import { issueId, makeCall, type Call, type CallRecord } from './callers.js'
-import { runsById, untrueNotRun } from './oracles.js'
+import { obtainRequestId, makeCall, type Call, type CallRecord } from './callers.js'
+import { runsById, countFalseNotRun } from './oracles.js'
 import { Fleet, organisations, type EndpointPlan, type Member } from './fleet.js'
 
 const POOL = 'drafting'
@@ -20,7 +20,7 @@
 const CHUNKS = 128
 const BURST_SECONDS = 14
 const CALLS_PER_SECOND = 60
-const PATIENCE = 20_000
+const TIMEOUT_MILLISECONDS = 20_000
 const WEIGHTS = { 'hall-1': 4, 'hall-2': 4, 'hall-3': 1, 'hall-4': 1, 'house-1': 2, 'house-2': 2 }
 
 const zonePlans: Readonly<Record<string, readonly (readonly [string, 'model' | 'plain'])[]>> = {
@@ -71,52 +71,52 @@
     fleet.publish(this._configuration('v1'))
     fleet.publishInstances()
     await fleet.startAll()
-    this._say('started', { processes: fleet.members.length, up: await fleet.untilUp(PATIENCE) })
-    const first = await this._serving(0, this._models(), PATIENCE)
-    this._say('version-1', { serving: first, origin_copies: this._originCopies() })
+    this._print('started', { processes: fleet.members.length, up: await fleet.untilUp(TIMEOUT_MILLISECONDS) })
+    const first = await this._waitUntilServing(0, this._models(), TIMEOUT_MILLISECONDS)
+    this._print('version-1', { serving: first, origin_copies: this._originCopies() })
     const burst = this._burst()
     await pause(2_000)
-    await this._faults()
+    await this._injectFaults()
     await burst
-    await this._repeatSome()
-    const summary = await this._judge()
+    await this._repeatCalls()
+    const summary = await this._summarise()
     return summary
   }
 
-  private async _faults (): Promise<void> {
+  private async _injectFaults (): Promise<void> {
     const fleet = this._fleet
     const models = this._models()
     const [killed, frozen, drained, corrupt] = [models[1], models[4], models[6], models[2]] as [Member, Member, Member, Member]
     corrupt.relay?.set('corrupt', 3)
     const rolloutAt = performance.now()
     fleet.publish(this._configuration('v2'))
-    this._say('rollout', { to: 'v2' })
+    this._print('rollout', { to: 'v2' })
     await pause(700)
     fleet.signal(killed, 'SIGKILL')
     killed.state = 'gone'
-    this._say('killed', { instance: killed.instance })
+    this._print('killed', { instance: killed.instance })
     await pause(300)
     fleet.signal(frozen, 'SIGSTOP')
-    this._say('frozen', { instance: frozen.instance })
+    this._print('frozen', { instance: frozen.instance })
     fleet.publishInstances()
     await pause(1_000)
     const status = await fleet.status(drained)
     await fleet.ask(drained, { type: 'leave', incarnation: status?.incarnation ?? '', lifecycle: 'draining', operator: 'demo' })
-    this._say('drained', { instance: drained.instance })
+    this._print('drained', { instance: drained.instance })
     fleet.configuration.behaviour = 'down'
-    this._say('configuration-service', { behaviour: 'down' })
+    this._print('configuration-service', { behaviour: 'down' })
     await pause(3_000)
     await fleet.start(killed)
-    this._say('restarted', { instance: killed.instance, while_service_is: 'down' })
+    this._print('restarted', { instance: killed.instance, while_service_is: 'down' })
     await pause(700)
     fleet.signal(frozen, 'SIGCONT')
-    this._say('thawed', { instance: frozen.instance })
+    this._print('thawed', { instance: frozen.instance })
     fleet.configuration.behaviour = 'normal'
     fleet.publishInstances()
-    this._say('configuration-service', { behaviour: 'normal' })
-    const serving = await this._serving(1, models, PATIENCE)
+    this._print('configuration-service', { behaviour: 'normal' })
+    const serving = await this._waitUntilServing(1, models, TIMEOUT_MILLISECONDS)
     this._timeToReplicas = Math.round(performance.now() - rolloutAt)
-    this._say('version-2', { serving, origin_copies: this._originCopies(), corrupted: corrupt.relay?.corrupted })
+    this._print('version-2', { serving, origin_copies: this._originCopies(), corrupted: corrupt.relay?.corrupted })
   }
 
   private _models (): Member[] {
@@ -124,16 +124,16 @@
   }
 
   /** Waits until all engines serve a version. Returns the number of engines that do. */
-  private async _serving (version: number, members: readonly Member[], patience: number): Promise<number> {
+  private async _waitUntilServing (version: number, members: readonly Member[], patience: number): Promise<number> {
     let serving = 0
     await this._fleet.until(async () => {
-      serving = await this._count(version, members)
+      serving = await this._countServing(version, members)
       return serving === members.length
     }, patience)
     return serving
   }
 
-  private async _count (version: number, members: readonly Member[]): Promise<number> {
+  private async _countServing (version: number, members: readonly Member[]): Promise<number> {
     const ports = new Set(members.map(member => member.endpointPort))
     const { engines } = await this._fleet.journals()
     return engines.filter(engine => ports.has(engine.port) && engine.version === this._versions[version]?.digest).length
@@ -147,14 +147,14 @@
       const due = startedAt + index * 1000 / CALLS_PER_SECOND
       const wait = due - performance.now()
       if (wait > 0) await pause(wait)
-      calls.push(this._make(index, due))
+      calls.push(this._send(index, due))
     }
     await Promise.all(calls)
   }
 
-  private async _make (index: number, due: number): Promise<void> {
+  private async _send (index: number, due: number): Promise<void> {
     const call = this._call(index)
-    const id = call.neverRepeat === true ? await issueId(call.address) : call.id
+    const id = call.neverRepeat === true ? await obtainRequestId(call.address) : call.id
     if (id === undefined) {
       this._withoutId += 1
       return
@@ -178,29 +178,29 @@
   }
 
   /** Repeats calls with the same id through another entry. */
-  private async _repeatSome (): Promise<void> {
+  private async _repeatCalls (): Promise<void> {
     const asked = this._records.filter(record => record.neverRepeat).slice(0, 60)
     for (const [index, record] of asked.entries()) {
       const number = this._issued.get(record.id) ?? 0
       const other = this._fleet.entries[(number + 1 + index) % this._fleet.entries.length]
       this._repeats.push(await makeCall({ ...this._call(number), id: record.id, address: other?.httpAddress ?? '' }))
     }
-    this._say('repeated-by-callers', { asked: asked.length, answered_again: this._repeats.filter(repeat => repeat.result === 'whole').length })
+    this._print('repeated-by-callers', { asked: asked.length, answered_again: this._repeats.filter(repeat => repeat.result === 'whole').length })
   }
 
-  private async _judge (): Promise<DemoSummary> {
+  private async _summarise (): Promise<DemoSummary> {
     const models = this._models()
-    const serving = await this._count(1, models)
+    const serving = await this._countServing(1, models)
     const { engines, plains } = await this._fleet.journals()
     const originCopies = this._originCopies()
     const runs = runsById(plains)
     const count = (result: CallRecord['result']): number => this._records.filter(record => record.result === result).length
     const neverRepeat = new Set(this._records.filter(record => record.neverRepeat).map(record => record.id))
     const repeated = [...neverRepeat].filter(id => (runs.get(id) ?? 0) > 1).length
-    const untrue = untrueNotRun([...this._records, ...this._repeats], runs)
+    const untrue = countFalseNotRun([...this._records, ...this._repeats], runs)
     const partial = engines.reduce((sum, engine) => sum + engine.journal.partialLoads, 0)
     const orphans = await this._fleet.stop()
-    this._explain()
+    this._printCodes()
     const good = serving === models.length && repeated === 0 && untrue === 0 && count('mixed') === 0 && count('wrong') === 0 && partial === 0 && orphans === 0 && count('cut') === 0 && count('whole') > 0
     return {
       result: good ? 'pass' : 'fail',
@@ -224,12 +224,12 @@
   }
 
   /** Prints the number of unanswered calls by code. */
-  private _explain (): void {
+  private _printCodes (): void {
     const codes = new Map<string, number>()
     for (const record of [...this._records, ...this._repeats]) {
       if (record.code !== '') codes.set(record.code, (codes.get(record.code) ?? 0) + 1)
     }
-    for (const [code, calls] of codes) this._say('code', { code, calls })
+    for (const [code, calls] of codes) this._print('code', { code, calls })
   }
 
   private _originCopies (): number {
@@ -246,7 +246,7 @@
     }
   }
 
-  private _say (event: string, fields: LogFields): void {
+  private _print (event: string, fields: LogFields): void {
     process.stdout.write(`${formatPairs({ event, at_milliseconds: Math.round(performance.now() - this._startedAt), ...fields })}\n`)
   }
 }
--- a/packages/benchmarks/src/lib/fleet.ts
+++ b/packages/benchmarks/src/lib/fleet.ts
@@ -60,7 +60,7 @@
 export const OPERATOR_KEY = 'bench-operator-key'
 const PROGRAM = createRequire(import.meta.url).resolve('drumdrift/main')
 const MEBIBYTE = 1024 * 1024
-const STOP_PATIENCE = 8_000
+const STOP_TIMEOUT_MILLISECONDS = 8_000
 
 /** Returns the API key of an organisation's callers. */
 export function callerKey (organisation: string): string { return `key-of-${organisation}` }
@@ -214,7 +214,7 @@
       member.process?.kill('SIGTERM')
     }
     const ended = Promise.all(this.members.map(member => this.exited(member)))
-    await Promise.race([ended, new Promise(resolve => setTimeout(resolve, STOP_PATIENCE).unref())])
+    await Promise.race([ended, new Promise(resolve => setTimeout(resolve, STOP_TIMEOUT_MILLISECONDS).unref())])
     const orphans = this._pids.filter(isAlive)
     for (const pid of orphans) process.kill(pid, 'SIGKILL')
     this.pool.close()
--- a/packages/benchmarks/src/lib/load.ts
+++ b/packages/benchmarks/src/lib/load.ts
@@ -18,7 +18,7 @@
 }
 
 /** The number of prompt prefixes that callers share; a few of them are much more frequent than the others. */
-const PROMPTS = 60
+const PROMPT_PREFIXES = 60
 
 /** Creates a call. The number is unique over all phases. */
 export type CallMaker = (number: number, random: () => number) => Call
@@ -136,6 +136,6 @@
     id: `${name}-${number}`,
     organisation: organisationOf(random),
     address: fleet.entries[number % fleet.entries.length]?.httpAddress ?? '',
-    chat: { pool: 'drafting', prompt: `${String(Math.floor(random() ** 2 * PROMPTS)).padStart(3, '0')} ${'a long start that many callers share '.repeat(6)}`, tokens, streamed: true }
+    chat: { pool: 'drafting', prompt: `${String(Math.floor(random() ** 2 * PROMPT_PREFIXES)).padStart(3, '0')} ${'a long start that many callers share '.repeat(6)}`, tokens, streamed: true }
   })
 }
--- a/packages/benchmarks/src/lib/oracles.ts
+++ b/packages/benchmarks/src/lib/oracles.ts
@@ -15,7 +15,7 @@
 }
 
 /** Counts the request ids that ran although every attempt was answered with "not run". */
-export function untrueNotRun (records: readonly CallRecord[], runs: ReadonlyMap<string, number>): number {
+export function countFalseNotRun (records: readonly CallRecord[], runs: ReadonlyMap<string, number>): number {
   const mayHaveRun = new Map<string, number>()
   for (const record of records) {
     const attempts = record.result === 'refused' ? 0 : 1
--- a/packages/benchmarks/src/lib/policy/policies.ts
+++ b/packages/benchmarks/src/lib/policy/policies.ts
@@ -12,7 +12,7 @@
 export type PolicyName = typeof policyNames[number]
 
 /** A request that an entry has to place. */
-export interface PlacedRequest {
+export interface RoutedRequest {
   readonly id: string
   readonly promptTokens: number
   /** Milliseconds. */
@@ -22,18 +22,18 @@
 /** The engine selection of one entry. */
 export interface EntryPolicy {
   /** Returns the index of an engine, or `undefined` to refuse the request. */
-  choose (request: PlacedRequest, tried: ReadonlySet<number>, now: number): number | undefined
-  begun (engine: number, request: PlacedRequest, now: number): void
-  ended (engine: number, request: PlacedRequest, outcome: 'served' | 'refused', now: number): void
-  heard (engine: number, report: LoadReport, now: number): void
+  choose (request: RoutedRequest, tried: ReadonlySet<number>, now: number): number | undefined
+  begun (engine: number, request: RoutedRequest, now: number): void
+  ended (engine: number, request: RoutedRequest, outcome: 'served' | 'refused', now: number): void
+  reportReceived (engine: number, report: LoadReport, now: number): void
 }
 
 /** The inputs of a policy. */
-export interface PolicyParts {
+export interface PolicyInputs {
   readonly pool: PoolDescription
   /** The engines that the entry may send to. */
   readonly engines: readonly number[]
-  readonly draw: () => number
+  readonly random: () => number
   /** The current work of an engine, including requests in transit to it; a real entry cannot see this. */
   readonly work: (engine: number) => EngineWork
 }
@@ -41,38 +41,38 @@
 const MODEL = 'model'
 const ZONE = 'zone'
 
-/** The product's chooser with early refusal; `_see` reduces a load report to what the chooser receives. */
+/** The product's chooser with early refusal; `_filterReport` reduces a load report to what the chooser receives. */
 class ChooserPolicy implements EntryPolicy {
   private readonly _chooser: EndpointChooser
   private readonly _service: ServiceDescription
-  private readonly _sent = new Map<string, Choice>()
+  private readonly _choices = new Map<string, Choice>()
 
-  constructor (parts: PolicyParts, private readonly _see: (report: LoadReport) => LoadReport) {
-    this._chooser = new EndpointChooser({ availabilityZone: ZONE, regionOf: zone => zone }, parts.draw)
-    this._chooser.setRecords(parts.engines.map(recordOf))
-    this._service = { name: 'pool', maxConnections: Infinity, pool: parts.pool }
+  constructor (inputs: PolicyInputs, private readonly _filterReport: (report: LoadReport) => LoadReport) {
+    this._chooser = new EndpointChooser({ availabilityZone: ZONE, regionOf: zone => zone }, inputs.random)
+    this._chooser.setRecords(inputs.engines.map(recordOf))
+    this._service = { name: 'pool', maxConnections: Infinity, pool: inputs.pool }
   }
 
-  choose (request: PlacedRequest, tried: ReadonlySet<number>, now: number): number | undefined {
-    const need = { promptTokens: request.promptTokens, answerTokens: 0, model: MODEL, leastVersion: 0, mustBeginBy: () => undefined, usualObjective: request.objective, tried: new Set([...tried].map(String)) }
-    const choice = this._chooser.choose(this._service, need, now)
+  choose (request: RoutedRequest, tried: ReadonlySet<number>, now: number): number | undefined {
+    const requirements = { promptTokens: request.promptTokens, answerTokens: 0, model: MODEL, leastVersion: 0, mustBeginBy: () => undefined, usualObjective: request.objective, tried: new Set([...tried].map(String)) }
+    const choice = this._chooser.choose(this._service, requirements, now)
     if (choice === undefined || decideStart({ expected: choice.expectedOfUsual, objective: request.objective, usualObjective: request.objective }).type === 'refuse') return undefined
     this._chooser.sent(choice, request.id, request.promptTokens, now)
-    this._sent.set(request.id, choice)
+    this._choices.set(request.id, choice)
     return Number(choice.record.id)
   }
 
-  begun (engine: number, { id }: PlacedRequest, now: number): void {
-    this._chooser.load(String(engine)).begun(id, this._sent.get(id)?.expected, now)
+  begun (engine: number, { id }: RoutedRequest, now: number): void {
+    this._chooser.load(String(engine)).begun(id, this._choices.get(id)?.expected, now)
   }
 
-  ended (engine: number, { id }: PlacedRequest, outcome: 'served' | 'refused', now: number): void {
-    this._sent.delete(id)
+  ended (engine: number, { id }: RoutedRequest, outcome: 'served' | 'refused', now: number): void {
+    this._choices.delete(id)
     if (outcome === 'refused') this._chooser.avoid(String(engine), 'refused', now)
     this._chooser.ended(String(engine), id, outcome === 'served' ? 'good' : 'unclear', now)
   }
 
-  heard (engine: number, report: LoadReport, now: number): void { this._chooser.heard(String(engine), this._see(report), now) }
+  reportReceived (engine: number, report: LoadReport, now: number): void { this._chooser.heard(String(engine), this._filterReport(report), now) }
 }
 
 /** Uses only which engines accept requests and how many requests of this entry they have outstanding. */
@@ -80,10 +80,10 @@
   private readonly _outstanding: number[] = []
   private readonly _closed = new Set<number>()
 
-  constructor (private readonly _parts: PolicyParts, private readonly _pick: (open: readonly number[], outstanding: readonly number[]) => number | undefined) {}
+  constructor (private readonly _inputs: PolicyInputs, private readonly _pick: (open: readonly number[], outstanding: readonly number[]) => number | undefined) {}
 
-  choose (_request: PlacedRequest, tried: ReadonlySet<number>): number | undefined {
-    const open = this._parts.engines.filter(index => !this._closed.has(index) && !tried.has(index))
+  choose (_request: RoutedRequest, tried: ReadonlySet<number>): number | undefined {
+    const open = this._inputs.engines.filter(index => !this._closed.has(index) && !tried.has(index))
     const engine = this._pick(open, this._outstanding)
     if (engine !== undefined) this._add(engine, 1)
     return engine
@@ -91,7 +91,7 @@
 
   begun (): void {}
   ended (engine: number): void { this._add(engine, -1) }
-  heard (engine: number, { accepting }: LoadReport): void {
+  reportReceived (engine: number, { accepting }: LoadReport): void {
     if (accepting) this._closed.delete(engine)
     else this._closed.add(engine)
   }
@@ -102,11 +102,11 @@
 }
 
 /** Uses the exact current work of every engine: chooses the one with the earliest first token, and refuses a request that would be late. */
-class SeeingPolicy implements EntryPolicy {
-  constructor (private readonly _parts: PolicyParts) {}
+class OmniscientPolicy implements EntryPolicy {
+  constructor (private readonly _inputs: PolicyInputs) {}
 
-  choose ({ promptTokens, objective }: PlacedRequest, tried: ReadonlySet<number>): number | undefined {
-    const { engines, pool, work } = this._parts
+  choose ({ promptTokens, objective }: RoutedRequest, tried: ReadonlySet<number>): number | undefined {
+    const { engines, pool, work } = this._inputs
     const times = engines.filter(index => !tried.has(index)).map(index => ({ index, time: firstTokenTime(pool, work(index), promptTokens) }))
     const soonest = times.reduce((best, each) => each.time < best.time ? each : best)
     return soonest.time <= objective ? soonest.index : undefined
@@ -114,23 +114,23 @@
 
   begun (): void {}
   ended (): void {}
-  heard (): void {}
+  reportReceived (): void {}
 }
 
 /** Creates the engine selection of one entry, by policy. */
-export const entryPolicies: Record<PolicyName, (parts: PolicyParts) => EntryPolicy> = {
-  'by-room': parts => new ChooserPolicy(parts, report => report),
-  soonest: parts => new ChooserPolicy(parts, report => ({ ...report, sentRate: undefined })),
-  'soonest-unread-unknown': parts => new ChooserPolicy(parts, report => ({ ...report, sentRate: undefined, unreadTokens: undefined })),
-  'least-connections': parts => new CountingPolicy(parts, (open, outstanding) => {
-    const least = Math.min(...open.map(index => outstanding[index] ?? 0))
-    return drawn(open.filter(index => (outstanding[index] ?? 0) === least), parts.draw())
+export const entryPolicies: Record<PolicyName, (inputs: PolicyInputs) => EntryPolicy> = {
+  'by-room': inputs => new ChooserPolicy(inputs, report => report),
+  soonest: inputs => new ChooserPolicy(inputs, report => ({ ...report, sentRate: undefined })),
+  'soonest-unread-unknown': inputs => new ChooserPolicy(inputs, report => ({ ...report, sentRate: undefined, unreadTokens: undefined })),
+  'least-connections': inputs => new CountingPolicy(inputs, (open, outstanding) => {
+    const minimum = Math.min(...open.map(index => outstanding[index] ?? 0))
+    return pickRandom(open.filter(index => (outstanding[index] ?? 0) === minimum), inputs.random())
   }),
-  random: parts => new CountingPolicy(parts, open => drawn(open, parts.draw())),
-  'sees-all': parts => new SeeingPolicy(parts)
+  random: inputs => new CountingPolicy(inputs, open => pickRandom(open, inputs.random())),
+  'sees-all': inputs => new OmniscientPolicy(inputs)
 }
 
-function drawn (engines: readonly number[], draw: number): number | undefined { return engines[Math.floor(draw * engines.length)] }
+function pickRandom (engines: readonly number[], random: number): number | undefined { return engines[Math.floor(random * engines.length)] }
 
 function recordOf (index: number): EndpointRecord {
   return { id: String(index), service: 'pool', address: `10.0.0.${index}:80`, availabilityZone: ZONE, slots: 0, draining: false, models: [{ model: MODEL, version: 1 }] }
--- a/packages/benchmarks/src/lib/policy/policy-bench.ts
+++ b/packages/benchmarks/src/lib/policy/policy-bench.ts
@@ -8,13 +8,13 @@
 import { compile, type TopLevelSpec } from 'vega-lite'
 import { parse, View } from 'vega'
 import { printFigures, twoDecimals, type BenchOptions } from '../bench-options.js'
-import { playPolicy, tellings, type PolicyFigures, type PolicyPlay, type SiteName, type Telling } from './policy-model.js'
+import { simulatePolicy, reportSchedules, type PolicyFigures, type PolicyRun, type SiteName, type ReportSchedule } from './policy-model.js'
 import { policyNames, type PolicyName } from './policies.js'
 
 /** Requests per second: a lightly loaded pool, the users' typical peak, and about the capacity of the simulated pool. */
 const LOADS: Record<SiteName, readonly number[]> = { few: [60, 100, 130], crowded: [32, 40, 48], hundreds: [300, 375, 450], 'many-entries': [180, 220, 250] }
 /** One run of a large site takes as long as this many runs of a small one and has as many requests, so large sites use fewer seeds. */
-const SEEDS_OF_ONE_LARGE = 10
+const LARGE_SITE_SEED_DIVISOR = 10
 /** The policy that `of_baseline` ratios refer to. */
 const BASELINE: PolicyName = 'least-connections'
 /** The product's own policy. */
@@ -30,38 +30,38 @@
 export async function policyBench ({ seed, seeds, plot }: BenchOptions): Promise<boolean> {
   const points: PolicyPoint[] = []
   for (const [site, load] of Object.entries(LOADS).flatMap(([name, loads]) => loads.map(load => [name as SiteName, load] as const))) {
-    const played = new Map(policyNames.map(policy => [policy, meanOf({ site, policy, perSecond: load, seed }, seedsOf(site, seeds))]))
-    const baseline = played.get(BASELINE)?.worth ?? Number.NaN
-    for (const [policy, { worth, refused, late, firstMedian, firstLatest }] of played) {
+    const results = new Map(policyNames.map(policy => [policy, meanFigures({ site, policy, perSecond: load, seed }, seedCount(site, seeds))]))
+    const baseline = results.get(BASELINE)?.worth ?? Number.NaN
+    for (const [policy, { worth, refused, late, firstTokenMedian, firstTokenP99 }] of results) {
       if (site === 'few') points.push({ policy, load, worth })
       printFigures('policy', {
-        site, policy, load, seeds, worth: worth.toFixed(3), of_baseline: twoDecimals(worth / baseline), refused: refused.toFixed(3), late: late.toFixed(3), first_50_milliseconds: Math.round(firstMedian), first_99_milliseconds: Math.round(firstLatest)
+        site, policy, load, seeds, worth: worth.toFixed(3), of_baseline: twoDecimals(worth / baseline), refused: refused.toFixed(3), late: late.toFixed(3), first_50_milliseconds: Math.round(firstTokenMedian), first_99_milliseconds: Math.round(firstTokenP99)
       })
     }
-    compareTellings({ site, policy: PRODUCT, perSecond: load, seed }, seedsOf(site, seeds))
+    compareReportSchedules({ site, policy: PRODUCT, perSecond: load, seed }, seedCount(site, seeds))
   }
   if (plot !== undefined) writeFileSync(plot, await plotWorth(points))
   return points.every(({ worth }) => worth > 0)
 }
 
-function seedsOf (site: SiteName, seeds: number): number {
-  return site === 'hundreds' || site === 'many-entries' ? Math.ceil(seeds / SEEDS_OF_ONE_LARGE) : seeds
+function seedCount (site: SiteName, seeds: number): number {
+  return site === 'hundreds' || site === 'many-entries' ? Math.ceil(seeds / LARGE_SITE_SEED_DIVISOR) : seeds
 }
 
 /** Compares the load report schedules by credit earned and by the number of reports. */
-function compareTellings (play: PolicyPlay, seeds: number): void {
-  for (const telling of Object.keys(tellings) as Telling[]) {
-    const { worth, refused, late, heardPerSecond } = meanOf({ ...play, telling }, seeds)
+function compareReportSchedules (run: PolicyRun, seeds: number): void {
+  for (const reportSchedule of Object.keys(reportSchedules) as ReportSchedule[]) {
+    const { worth, refused, late, reportsPerSecond } = meanFigures({ ...run, reportSchedule }, seeds)
     printFigures('telling', {
-      site: play.site, telling, load: play.perSecond, seeds, worth: worth.toFixed(3), refused: refused.toFixed(3), late: late.toFixed(3), heard_per_second: Math.round(heardPerSecond)
+      site: run.site, telling: reportSchedule, load: run.perSecond, seeds, worth: worth.toFixed(3), refused: refused.toFixed(3), late: late.toFixed(3), heard_per_second: Math.round(reportsPerSecond)
     })
   }
 }
 
-function meanOf (play: PolicyPlay, seeds: number): PolicyFigures {
-  const figures = Array.from({ length: seeds }, (_, index) => playPolicy({ ...play, seed: play.seed + index }))
+function meanFigures (run: PolicyRun, seeds: number): PolicyFigures {
+  const figures = Array.from({ length: seeds }, (_, index) => simulatePolicy({ ...run, seed: run.seed + index }))
   const mean = (value: (each: PolicyFigures) => number): number => figures.reduce((sum, each) => sum + value(each), 0) / figures.length
-  return { worth: mean(each => each.worth), refused: mean(each => each.refused), late: mean(each => each.late), firstMedian: mean(each => each.firstMedian), firstLatest: mean(each => each.firstLatest), heardPerSecond: mean(each => each.heardPerSecond) }
+  return { worth: mean(each => each.worth), refused: mean(each => each.refused), late: mean(each => each.late), firstTokenMedian: mean(each => each.firstTokenMedian), firstTokenP99: mean(each => each.firstTokenP99), reportsPerSecond: mean(each => each.reportsPerSecond) }
 }
 
 async function plotWorth (points: readonly PolicyPoint[]): Promise<string> {
--- a/packages/benchmarks/src/lib/policy/virtual-engine.ts
+++ b/packages/benchmarks/src/lib/policy/virtual-engine.ts
@@ -14,11 +14,11 @@
 export interface EngineJob {
   readonly promptTokens: number
   readonly answerTokens: number
-  readonly onFirst: () => void
+  readonly onFirstToken: () => void
   readonly onEnd: () => void
 }
 
-interface Running {
+interface RunningJob {
   readonly job: EngineJob
   unread: number
   left: number
@@ -27,7 +27,7 @@
 /** A simulated engine with continuous batching. */
 export class VirtualEngine {
   private readonly _waiting: EngineJob[] = []
-  private _running: Running[] = []
+  private _running: RunningJob[] = []
   private _busy = false
   /** Whether the engine accepts new requests. */
   accepting = true
@@ -38,18 +38,18 @@
   send (job: EngineJob): boolean {
     if (!this.accepting) return false
     this._waiting.push(job)
-    if (!this._busy) this._pass()
+    if (!this._busy) this._startPass()
     return true
   }
 
   /** The load that the engine reports. Requests count as running from their admission on, as in the users' engines. */
-  reading (): { running: number, waiting: number, contextTokens: number } {
+  reportedLoad (): { running: number, waiting: number, contextTokens: number } {
     const contextTokens = this._running.reduce((sum, { job, left }) => sum + job.promptTokens + job.answerTokens - left, 0)
     return { running: this._running.length, waiting: this._waiting.length, contextTokens }
   }
 
   /** The exact remaining work, which is not visible outside the engine. */
-  work (): EngineWork {
+  remainingWork (): EngineWork {
     const unread = this._running.filter(each => each.unread > 0)
     return {
       running: this._running.length - unread.length,
@@ -58,16 +58,16 @@
     }
   }
 
-  private _pass (): void {
+  private _startPass (): void {
     this._admit()
     this._busy = this._running.length > 0
     if (!this._busy) return
-    const writers = this._running.filter(({ unread }) => unread === 0)
-    const readers = this._running.filter(({ unread }) => unread > 0)
-    const steps = writers.length > 0 ? this._pool.stride : 1
-    const read = readPrompts(readers, this._pool.promptTokensPerStep * steps)
-    const duration = read / readRate(this._pool) + steps * stepTime(this._pool, writers.length)
-    this._time.after(duration, () => this._passEnds(writers, readers))
+    const generating = this._running.filter(({ unread }) => unread === 0)
+    const prefilling = this._running.filter(({ unread }) => unread > 0)
+    const steps = generating.length > 0 ? this._pool.stride : 1
+    const read = readPrompts(prefilling, this._pool.promptTokensPerStep * steps)
+    const duration = read / readRate(this._pool) + steps * stepTime(this._pool, generating.length)
+    this._time.after(duration, () => this._endPass(generating, prefilling))
   }
 
   private _admit (): void {
@@ -78,23 +78,23 @@
     }
   }
 
-  private _passEnds (writers: readonly Running[], readers: readonly Running[]): void {
-    for (const writer of writers) writer.left = Math.max(0, writer.left - this._pool.stride)
+  private _endPass (generating: readonly RunningJob[], prefilling: readonly RunningJob[]): void {
+    for (const request of generating) request.left = Math.max(0, request.left - this._pool.stride)
     const ended = this._running.filter(({ unread, left }) => unread === 0 && left === 0)
     this._running = this._running.filter(running => !ended.includes(running))
-    for (const { job } of readers.filter(({ unread }) => unread === 0)) job.onFirst()
+    for (const { job } of prefilling.filter(({ unread }) => unread === 0)) job.onFirstToken()
     for (const { job } of ended) job.onEnd()
-    this._pass()
+    this._startPass()
   }
 }
 
 /** Prefills prompts in the order of their admission. Returns the number of tokens read. */
-function readPrompts (readers: readonly Running[], most: number): number {
-  let left = most
-  for (const reader of readers) {
-    const read = Math.min(left, reader.unread)
-    reader.unread -= read
-    left -= read
+function readPrompts (prefilling: readonly RunningJob[], maxTokens: number): number {
+  let remaining = maxTokens
+  for (const request of prefilling) {
+    const read = Math.min(remaining, request.unread)
+    request.unread -= read
+    remaining -= read
   }
-  return most - left
+  return maxTokens - remaining
 }
--- a/packages/benchmarks/src/lib/retries-bench.ts
+++ b/packages/benchmarks/src/lib/retries-bench.ts
@@ -11,14 +11,14 @@
 import { printRetryTable } from './retries/retry-table.js'
 
 const WORKERS = 6
-const FAILING = 2
+const HANGING = 2
 const SLOTS = 8
 const TOKENS = 12
 const TIMES = { load: 100, firstToken: 20, cachedFirstToken: 20, betweenTokens: 5, reportLag: 500 }
 const CALLS_PER_SECOND = 200
-const BEFORE = 3
-const AFTER = 6
-const WINDOW = 500
+const SECONDS_BEFORE = 3
+const SECONDS_AFTER = 6
+const RECOVERY_WINDOW_MILLISECONDS = 500
 
 /** The number of seeds of the simulation for each line of its table. */
 const MODEL_SEEDS = 3
@@ -34,9 +34,9 @@
   const settings = [['requests', 'retry-percent', percent], ['requests', 'first-answer-seconds', '0.5'], ['requests', 'silence-seconds', '0.5']] as const
   const { fleet } = await startServing({ entries: 2, workers: WORKERS, slots: SLOTS, organisations: { 'hall-1': 1 }, engineTimes: TIMES, settings }, options.seed)
   const calls = chatCalls(fleet, `retry${percent}`, () => 'hall-1', TOKENS)
-  const load = playLoad([{ seconds: BEFORE, callsPerSecond: CALLS_PER_SECOND }, { seconds: options.seconds, callsPerSecond: CALLS_PER_SECOND }, { seconds: AFTER, callsPerSecond: CALLS_PER_SECOND }], calls, seededRandom(options.seed))
-  const failing = fleet.agents.slice(0, FAILING)
-  await pause(BEFORE * 1000)
+  const load = playLoad([{ seconds: SECONDS_BEFORE, callsPerSecond: CALLS_PER_SECOND }, { seconds: options.seconds, callsPerSecond: CALLS_PER_SECOND }, { seconds: SECONDS_AFTER, callsPerSecond: CALLS_PER_SECOND }], calls, seededRandom(options.seed))
+  const failing = fleet.agents.slice(0, HANGING)
+  await pause(SECONDS_BEFORE * 1000)
   for (const member of failing) await fleet.endpoint(member, { type: 'freeze', frozen: true })
   await pause(options.seconds * 1000)
   const healedAt = Date.now()
@@ -50,7 +50,7 @@
   printFigures('retries', {
     retry_percent: percent,
     seed: options.seed,
-    failing: `${FAILING}/${WORKERS}`,
+    failing: `${HANGING}/${WORKERS}`,
     asked,
     load_factor: twoDecimals(runs / started),
     goodput_before: ratio(calm),
@@ -58,7 +58,7 @@
     goodput_after: ratio(healed),
     cut_during: faulty?.cut,
     unknown_during: faulty?.unknown,
-    recovery_milliseconds: recovery(after, healedAt),
+    recovery_milliseconds: recoveryMilliseconds(after, healedAt),
     first_99_before: calm?.first99,
     first_99_during: faulty?.first99,
     first_99_after: healed?.first99
@@ -72,9 +72,9 @@
 }
 
 /** Returns the milliseconds from the end of the fault to the first half second in which 99% of the requests are answered, or -1 if there is none. */
-function recovery (records: readonly CallRecord[], healedAt: number): number {
-  for (let start = 0; start < AFTER * 1000; start += WINDOW) {
-    const within = records.filter(record => record.at - healedAt >= start && record.at - healedAt < start + WINDOW)
+function recoveryMilliseconds (records: readonly CallRecord[], healedAt: number): number {
+  for (let start = 0; start < SECONDS_AFTER * 1000; start += RECOVERY_WINDOW_MILLISECONDS) {
+    const within = records.filter(record => record.at - healedAt >= start && record.at - healedAt < start + RECOVERY_WINDOW_MILLISECONDS)
     if (within.length > 0 && within.filter(record => record.result === 'whole').length >= within.length * 0.99) return start
   }
   return -1
--- a/packages/benchmarks/src/lib/retries/retry-table.ts
+++ b/packages/benchmarks/src/lib/retries/retry-table.ts
@@ -5,7 +5,7 @@
  */
 /** Prints the load that retries add to fleets of three sizes, by policy, restart interval and share of refused attempts. */
 import { printFigures, twoDecimals } from '../bench-options.js'
-import { playRetries, retryFleets, retryPolicyNames } from './retry-model.js'
+import { simulateRetries, retryFleets, retryPolicyNames } from './retry-model.js'
 
 const RESTARTS = [undefined, 1, 3, 10] as const
 const REFUSED = [0.1, 0.3, 0.45, 0.6, 0.9] as const
@@ -18,19 +18,19 @@
  * @returns Whether the product's policy kept to the bound in every run.
  */
 export function printRetryTable (seed: number, seeds: number): boolean {
-  let kept = true
+  let good = true
   for (const fleet of retryFleets) {
     for (const restartEvery of RESTARTS) {
       for (const refused of REFUSED) {
         for (const policy of retryPolicyNames) {
-          const plays = Array.from({ length: seeds }, (_, index) => playRetries({ ...fleet, policy, seed: seed + index, refused, restartEvery, seconds: SECONDS }))
-          const worst = Math.max(...plays.map(play => play.worst))
-          const served = plays.reduce((sum, play) => sum + play.served, 0) / plays.length
-          if (policy === 'part-of-the-fleet' && worst > 1) kept = false
-          printFigures('retry-bound', { entries: fleet.entries, restart_every: restartEvery ?? 'never', refused, policy, of_bound: twoDecimals(worst), served: twoDecimals(served) })
+          const runs = Array.from({ length: seeds }, (_, index) => simulateRetries({ ...fleet, policy, seed: seed + index, refused, restartEvery, seconds: SECONDS }))
+          const worstRatio = Math.max(...runs.map(run => run.worstRatio))
+          const served = runs.reduce((sum, run) => sum + run.served, 0) / runs.length
+          if (policy === 'part-of-the-fleet' && worstRatio > 1) good = false
+          printFigures('retry-bound', { entries: fleet.entries, restart_every: restartEvery ?? 'never', refused, policy, of_bound: twoDecimals(worstRatio), served: twoDecimals(served) })
         }
       }
     }
   }
-  return kept
+  return good
 }
--- a/packages/benchmarks/src/lib/rollout-bench.ts
+++ b/packages/benchmarks/src/lib/rollout-bench.ts
@@ -16,11 +16,11 @@
 const CHUNK_BYTES = 128 * 1024
 const MEBIBYTE = 1024 * 1024
 const ZONES = ['bagmati', 'gandaki', 'koshi'] as const
-const LOAD_TIME = 20
+const LOAD_MILLISECONDS = 20
 /** When the faults are injected, as a share of the lower bound. */
-const FAULTS_AT = 0.3
+const FAULT_TIME_SHARE = 0.3
 /** The timeout, as a multiple of the lower bound. */
-const PATIENCE = 40
+const TIMEOUT_FACTOR = 40
 /** The bandwidth of a link by fleet size. Links are slower in larger fleets, so that one machine can carry their total traffic. */
 const linkRates: readonly (readonly [endpoints: number, megabytesPerSecond: number])[] = [[32, 2], [128, 1], [256, 0.5]]
 
@@ -50,7 +50,7 @@
   })
   const killed = await faults(fleet, options, bound)
   const live = fleet.agents.filter(member => !killed.has(member))
-  const served = await timesToServe(fleet, live, version, startedAt, bound * PATIENCE)
+  const served = await timesToServe(fleet, live, version, startedAt, bound * TIMEOUT_FACTOR)
   const { engines } = await fleet.journals()
   const times = served.filter(time => time > 0)
   printFigures('rollout', {
@@ -85,7 +85,7 @@
     // The origin's link has twice the bandwidth of an instance's: it carries four copies while that carries two.
     originMegabytesPerSecond: 2 * link,
     hosts: Math.max(1, Math.ceil(options.endpoints / 24)),
-    engineTimes: { ...defaultEngineTimes, load: LOAD_TIME },
+    engineTimes: { ...defaultEngineTimes, load: LOAD_MILLISECONDS },
     relays: options.stall + options.corrupt > 0,
     settings: [['weights', 'strategy', strategy], ['weights', 'window', String(options.window)], ['process', 'log-level', 'warn']]
   })
@@ -100,7 +100,7 @@
   const corrupt = drawn.splice(0, options.corrupt)
   for (const member of corrupt) member.relay?.set('corrupt', 8)
   if (options.kill + options.stall === 0) return killed
-  await pause(bound * FAULTS_AT)
+  await pause(bound * FAULT_TIME_SHARE)
   for (const member of killed) fleet.signal(member, 'SIGKILL')
   for (const member of stalled) member.relay?.set('stall')
   return killed
--- a/packages/benchmarks/src/lib/rollout-under-load-bench.ts
+++ b/packages/benchmarks/src/lib/rollout-under-load-bench.ts
@@ -16,21 +16,21 @@
 const CALLS_PER_SECOND = 120
 const CHUNKS = 64
 const CHUNK_BYTES = 256 * 1024
-const LINK = 8
-const CALM = 6
-const LOOK = 100
+const LINK_MEGABYTES_PER_SECOND = 8
+const CALM_SECONDS = 6
+const POLL_INTERVAL_MILLISECONDS = 100
 
 /** Measures request latency without and during a rollout. */
 export async function rolloutUnderLoadBench (options: BenchOptions): Promise<boolean> {
   const { fleet, version, configuration } = await startServing({
-    entries: 2, workers: WORKERS, slots: SLOTS, organisations: { 'hall-1': 1 }, engineTimes: TIMES, chunks: CHUNKS, chunkBytes: CHUNK_BYTES, linkMegabytesPerSecond: LINK
+    entries: 2, workers: WORKERS, slots: SLOTS, organisations: { 'hall-1': 1 }, engineTimes: TIMES, chunks: CHUNKS, chunkBytes: CHUNK_BYTES, linkMegabytesPerSecond: LINK_MEGABYTES_PER_SECOND
   }, options.seed)
   const next = generateVersion({ model: 'chat', version: 'v2', chunks: CHUNKS, chunkBytes: CHUNK_BYTES, seed: options.seed + 1 })
   fleet.addVersion(next)
   const calls = chatCalls(fleet, 'load', () => 'hall-1', TOKENS)
   const seconds = Math.max(options.seconds, 14)
-  const load = playLoad([{ seconds: CALM, callsPerSecond: CALLS_PER_SECOND }, { seconds, callsPerSecond: CALLS_PER_SECOND }], calls, seededRandom(options.seed))
-  await pause(CALM * 1000)
+  const load = playLoad([{ seconds: CALM_SECONDS, callsPerSecond: CALLS_PER_SECOND }, { seconds, callsPerSecond: CALLS_PER_SECOND }], calls, seededRandom(options.seed))
+  await pause(CALM_SECONDS * 1000)
   const startedAt = Date.now()
   fleet.publish({
     ...configuration,
@@ -41,7 +41,7 @@
   const done = await fleet.until(async () => {
     const statuses = await Promise.all(fleet.agents.map(async member => await fleet.status(member)))
     least = Math.min(least, statuses.filter(status => status?.state !== 'switching' && status?.version !== '').length)
-    await pause(LOOK)
+    await pause(POLL_INTERVAL_MILLISECONDS)
     return (await fleet.journals()).engines.every(engine => engine.version === next.digest)
   }, seconds * 1000)
   const took = Date.now() - startedAt
--- a/packages/benchmarks/src/test/lib/policy/policy-model_test.ts
+++ b/packages/benchmarks/src/test/lib/policy/policy-model_test.ts
@@ -5,7 +5,7 @@
  */
 import assert from 'node:assert/strict'
 import { describe, it } from 'node:test'
-import { modelPool, playPolicy, type SiteName } from '../../../lib/policy/policy-model.js'
+import { modelPool, simulatePolicy, type SiteName } from '../../../lib/policy/policy-model.js'
 import { policyNames, type PolicyName } from '../../../lib/policy/policies.js'
 import { VirtualEngine } from '../../../lib/policy/virtual-engine.js'
 import { VirtualTime } from '../../../lib/policy/virtual-time.js'
@@ -13,10 +13,10 @@
 describe('VirtualTime', () => {
   it('runs events in the order of their time, and events of the same time in the order of scheduling', () => {
     const time = new VirtualTime()
-    const seen: string[] = []
-    for (const [milliseconds, name] of [[20, 'c'], [10, 'a'], [10, 'b'], [40, 'late']] as const) time.after(milliseconds, () => seen.push(`${name} at ${time.now}`))
-    time.playUntil(30)
-    assert.deepEqual(seen, ['a at 10', 'b at 10', 'c at 20'])
+    const events: string[] = []
+    for (const [milliseconds, name] of [[20, 'c'], [10, 'a'], [10, 'b'], [40, 'late']] as const) time.after(milliseconds, () => events.push(`${name} at ${time.now}`))
+    time.runUntil(30)
+    assert.deepEqual(events, ['a at 10', 'b at 10', 'c at 20'])
     assert.equal(time.now, 30)
   })
 })
@@ -33,8 +33,8 @@
       const time = new VirtualTime()
       const engine = new VirtualEngine({ ...modelPool, promptTokensPerStep: 2_070, stepTimePerRequest: 0, stepTimePerThousandTokens: 0 }, time)
       const firsts: string[] = []
-      for (const promptTokens of prompts) engine.send({ promptTokens, answerTokens: 10, onFirst: () => firsts.push(time.now.toFixed(2)), onEnd: () => {} })
-      time.playUntil(1_000)
+      for (const promptTokens of prompts) engine.send({ promptTokens, answerTokens: 10, onFirstToken: () => firsts.push(time.now.toFixed(2)), onEnd: () => {} })
+      time.runUntil(1_000)
       assert.deepEqual(firsts, expected.map(milliseconds => milliseconds.toFixed(2)))
     })
   }
@@ -42,31 +42,31 @@
   it('rejects requests while it is not accepting', () => {
     const engine = new VirtualEngine(modelPool, new VirtualTime())
     engine.accepting = false
-    assert.equal(engine.send({ promptTokens: 1, answerTokens: 1, onFirst: () => {}, onEnd: () => {} }), false)
+    assert.equal(engine.send({ promptTokens: 1, answerTokens: 1, onFirstToken: () => {}, onEnd: () => {} }), false)
   })
 
   it('counts admitted requests as running with their full prompt', () => {
     const time = new VirtualTime()
     const engine = new VirtualEngine(modelPool, time)
-    engine.send({ promptTokens: 900, answerTokens: 10, onFirst: () => {}, onEnd: () => {} })
-    engine.send({ promptTokens: 700, answerTokens: 10, onFirst: () => {}, onEnd: () => {} })
-    assert.deepEqual(engine.reading(), { running: 1, waiting: 1, contextTokens: 900 })
-    time.playUntil(5_000)
-    assert.deepEqual(engine.reading(), { running: 0, waiting: 0, contextTokens: 0 })
+    engine.send({ promptTokens: 900, answerTokens: 10, onFirstToken: () => {}, onEnd: () => {} })
+    engine.send({ promptTokens: 700, answerTokens: 10, onFirstToken: () => {}, onEnd: () => {} })
+    assert.deepEqual(engine.reportedLoad(), { running: 1, waiting: 1, contextTokens: 900 })
+    time.runUntil(5_000)
+    assert.deepEqual(engine.reportedLoad(), { running: 0, waiting: 0, contextTokens: 0 })
   })
 })
 
-describe('playPolicy', () => {
+describe('simulatePolicy', () => {
   for (const policy of policyNames) {
     it(`gives the same figures for the same seed with ${policy}`, () => {
-      assert.deepEqual(playPolicy({ site: 'few', policy, seed: 3, perSecond: 60 }), playPolicy({ site: 'few', policy, seed: 3, perSecond: 60 }))
+      assert.deepEqual(simulatePolicy({ site: 'few', policy, seed: 3, perSecond: 60 }), simulatePolicy({ site: 'few', policy, seed: 3, perSecond: 60 }))
     })
   }
 
   const seeds = [1, 2, 3, 4, 5, 6]
 
   function meanWorth (site: SiteName, policy: PolicyName, perSecond: number): number {
-    return seeds.reduce((sum, seed) => sum + playPolicy({ site, policy, seed, perSecond }).worth, 0) / seeds.length
+    return seeds.reduce((sum, seed) => sum + simulatePolicy({ site, policy, seed, perSecond }).worth, 0) / seeds.length
   }
 
   /*
@@ -74,13 +74,13 @@
    * report per choice they receive a quarter of that, and two thirds of the late answers are late because of the older reports.
    */
   it('earns more with a load report for each reading than with one per choice of the follower', () => {
-    const play = { site: 'many-entries', policy: 'by-room', seed: 7, perSecond: 220 } as const
-    const [eachLook, byChoices] = [playPolicy({ ...play, telling: 'each-look' }), playPolicy({ ...play, telling: 'by-choices' })]
-    assert.ok(eachLook.worth > byChoices.worth + 0.01 && eachLook.late < byChoices.late, `${eachLook.worth} ${byChoices.worth}`)
-    assert.ok(byChoices.heardPerSecond < eachLook.heardPerSecond / 2)
+    const run = { site: 'many-entries', policy: 'by-room', seed: 7, perSecond: 220 } as const
+    const [everyReading, perChoice] = [simulatePolicy({ ...run, reportSchedule: 'each-look' }), simulatePolicy({ ...run, reportSchedule: 'by-choices' })]
+    assert.ok(everyReading.worth > perChoice.worth + 0.01 && everyReading.late < perChoice.late, `${everyReading.worth} ${perChoice.worth}`)
+    assert.ok(perChoice.reportsPerSecond < everyReading.reportsPerSecond / 2)
   })
 
-  const orders: [site: SiteName, better: PolicyName, worse: PolicyName, perSecond: number][] = [
+  const rankings: [site: SiteName, better: PolicyName, worse: PolicyName, perSecond: number][] = [
     ['few', 'by-room', 'soonest-unread-unknown', 130],
     ['few', 'by-room', 'least-connections', 130],
     ['few', 'least-connections', 'random', 100],
@@ -88,7 +88,7 @@
     ['crowded', 'by-room', 'least-connections', 40],
     ['crowded', 'sees-all', 'by-room', 40]
   ]
-  for (const [site, better, worse, perSecond] of orders) {
+  for (const [site, better, worse, perSecond] of rankings) {
     it(`ranks ${better} before ${worse} at site ${site} with ${perSecond} requests per second`, () => {
       const [high, low] = [meanWorth(site, better, perSecond), meanWorth(site, worse, perSecond)]
       assert.ok(high > low, `${high} against ${low}`)
@@ -97,20 +97,20 @@
 
   // The floors for the crowded site, whose engines are full 90% of the time, guard against entries that receive half as many reports,
   // underestimate the traffic of other entries and ask callers to retry after a fifth to a third of their patience: that earned 0.83 and 0.68.
-  const floors: [site: SiteName, perSecond: number, least: number][] = [
+  const floors: [site: SiteName, perSecond: number, minimum: number][] = [
     ['few', 100, 0.97],
     ['crowded', 40, 0.87],
     ['crowded', 48, 0.73]
   ]
-  for (const [site, perSecond, least] of floors) {
-    it(`earns at least ${least} at site ${site} with ${perSecond} requests per second`, () => {
+  for (const [site, perSecond, minimum] of floors) {
+    it(`earns at least ${minimum} at site ${site} with ${perSecond} requests per second`, () => {
       const worth = meanWorth(site, 'by-room', perSecond)
-      assert.ok(worth >= least, `${worth}`)
+      assert.ok(worth >= minimum, `${worth}`)
     })
   }
 
   it('earns no less with 20 of 84 engines followed than with 9 of 9, at the same load for each engine', () => {
-    const worth = playPolicy({ site: 'hundreds', policy: 'by-room', seed: 1, perSecond: 375 }).worth
+    const worth = simulatePolicy({ site: 'hundreds', policy: 'by-room', seed: 1, perSecond: 375 }).worth
     assert.ok(worth >= meanWorth('crowded', 'by-room', 40), `${worth}`)
   })
 })
--- a/packages/benchmarks/src/test/whole-path_test.ts
+++ b/packages/benchmarks/src/test/whole-path_test.ts
@@ -9,7 +9,7 @@
 import OpenAI from 'openai'
 import { askHttp } from 'drumdrift'
 import { expectedText, generateVersion } from '@drumdrift/stand-ins'
-import { issueId, makeCall, type Call } from '../lib/callers.js'
+import { obtainRequestId, makeCall, type Call } from '../lib/callers.js'
 import { callerKey, Fleet, OPERATOR_KEY, organisations } from '../lib/fleet.js'
 
 const version = generateVersion({ model: 'chat', version: 'v1', chunks: 8, chunkBytes: 16_384, seed: 1 })
@@ -106,7 +106,7 @@
   })
 
   it('runs a request that must not repeat once, even if its id is sent again through the other entry', async () => {
-    const id = await issueId(entryAddress()) ?? ''
+    const id = await obtainRequestId(entryAddress()) ?? ''
     const call: Call = { id, organisation: 'hall-1', address: entryAddress(), plain: { service: 'booking', method: 'POST', path: '/notices', body: '{}' }, neverRepeat: true }
     const first = await makeCall(call)
     assert.equal(first.result, 'whole', first.code)
