--- a/packages/benchmarks/src/demo.ts
+++ b/packages/benchmarks/src/demo.ts
@@ -10,7 +10,7 @@
 import { formatPairs } from 'drumdrift'
 import { DemoRun } from './lib/demo-run.js'
 
-const run = await DemoRun.prepare()
-const summary = await run.play()
+const demo = await DemoRun.prepare()
+const summary = await demo.run()
 process.stdout.write(`${formatPairs({ event: 'demo', ...summary })}\n`)
 process.exit(summary.result === 'pass' ? 0 : 1)
--- a/packages/benchmarks/src/lib/burst-bench.ts
+++ b/packages/benchmarks/src/lib/burst-bench.ts
@@ -8,7 +8,7 @@
  * at a rate that jumps 20-fold and exceeds the capacity.
  */
 import { printFigures, seededRandom, twoDecimals, type BenchOptions } from './bench-options.js'
-import { chatCalls, figuresOf, playLoad, startServing } from './load.js'
+import { chatCalls, summariseCalls, generateLoad, startServing } from './load.js'
 import type { CallRecord } from './callers.js'
 
 const WORKERS = 4
@@ -20,10 +20,10 @@
 const CAPACITY = WORKERS * SLOTS / REQUEST_SECONDS
 /** The rate of the burst, of which the capacity is 60%. */
 const BURST_RATE = CAPACITY / 0.6
-const JUMP = 20
+const RATE_JUMP = 20
 
 /** The weight of each organisation and its share of the requests. */
-const demand: Readonly<Record<string, { weight: number, share: number }>> = {
+const traffic: Readonly<Record<string, { weight: number, share: number }>> = {
   'house-large-1': { weight: 2, share: 0.4 },
   'house-large-2': { weight: 2, share: 0.24 },
   ...Object.fromEntries(Array.from({ length: 8 }, (_, index) => [`hall-${index + 1}`, { weight: 1, share: 0.045 }]))
@@ -37,70 +37,70 @@
 }
 
 async function measure (options: BenchOptions, queueing: string): Promise<boolean> {
-  const weights = Object.fromEntries(Object.entries(demand).map(([name, { weight }]) => [name, weight]))
+  const weights = Object.fromEntries(Object.entries(traffic).map(([name, { weight }]) => [name, weight]))
   const { fleet } = await startServing({ entries: 2, workers: WORKERS, slots: SLOTS, organisations: weights, engineTimes: TIMES, settings: [['requests', 'queueing', queueing], ['requests', 'queue-seconds', '1']] }, options.seed)
   const random = seededRandom(options.seed)
   const calls = chatCalls(fleet, queueing, drawOrganisation, TOKENS)
-  const [calm = [], burst = []] = await playLoad([{ seconds: 3, callsPerSecond: BURST_RATE / JUMP }, { seconds: options.seconds, callsPerSecond: BURST_RATE }], calls, random)
-  const figures = figuresOf(burst)
+  const [calm = [], burst = []] = await generateLoad([{ seconds: 3, callsPerSecond: BURST_RATE / RATE_JUMP }, { seconds: options.seconds, callsPerSecond: BURST_RATE }], calls, random)
+  const figures = summariseCalls(burst)
   printFigures('burst', {
     queueing,
     seed: options.seed,
     asked_per_second: Math.round(BURST_RATE),
-    jain: jainOf(burst).toFixed(3),
+    jain: jainIndex(burst).toFixed(3),
     goodput_per_second: twoDecimals(figures.whole / options.seconds),
     goodput_of_capacity: twoDecimals(figures.whole / options.seconds / CAPACITY),
-    asked: figures.asked,
+    asked: figures.requests,
     whole: figures.whole,
     refused: figures.refused,
     unknown: figures.unknown,
     cut: figures.cut,
-    refusal_99_milliseconds: figures.refusal99,
-    first_50_milliseconds: figures.first50,
-    first_99_milliseconds: figures.first99,
-    calm_first_99_milliseconds: figuresOf(calm).first99
+    refusal_99_milliseconds: figures.refusalPercentile99,
+    first_50_milliseconds: figures.firstBytePercentile50,
+    first_99_milliseconds: figures.firstBytePercentile99,
+    calm_first_99_milliseconds: summariseCalls(calm).firstBytePercentile99
   })
   await fleet.stop()
   return figures.whole > 0
 }
 
 function drawOrganisation (random: () => number): string {
-  let drawn = random()
-  for (const [name, { share }] of Object.entries(demand)) {
-    drawn -= share
-    if (drawn < 0) return name
+  let remaining = random()
+  for (const [name, { share }] of Object.entries(traffic)) {
+    remaining -= share
+    if (remaining < 0) return name
   }
   return 'hall-8'
 }
 
 /** Returns Jain's fairness index of the ratios of served to entitled requests. */
-function jainOf (records: readonly CallRecord[]): number {
+function jainIndex (records: readonly CallRecord[]): number {
   const served = (name: string): number => records.filter(record => record.organisation === name && record.result === 'whole').length
-  const asked = (name: string): number => records.filter(record => record.organisation === name).length
+  const requested = (name: string): number => records.filter(record => record.organisation === name).length
   const total = records.filter(record => record.result === 'whole').length
-  const entitled = entitlements(total, asked)
-  const ratios = Object.keys(demand).map(name => served(name) / Math.max(1, entitled.get(name) ?? 1))
+  const entitled = maxMinShares(total, requested)
+  const ratios = Object.keys(traffic).map(name => served(name) / Math.max(1, entitled.get(name) ?? 1))
   const sum = ratios.reduce((left, right) => left + right, 0)
   return sum ** 2 / (ratios.length * ratios.reduce((left, right) => left + right ** 2, 0))
 }
 
 /** Returns weighted max-min shares: no organisation is entitled to more than it requested, and the remainder goes to the others. */
-function entitlements (total: number, asked: (name: string) => number): Map<string, number> {
+function maxMinShares (total: number, requested: (name: string) => number): Map<string, number> {
   const entitled = new Map<string, number>()
-  let open = Object.keys(demand)
-  let left = total
+  let unsatisfied = Object.keys(traffic)
+  let remaining = total
   for (;;) {
-    const weight = open.reduce((sum, name) => sum + (demand[name]?.weight ?? 0), 0)
-    const content = open.filter(name => asked(name) <= left * (demand[name]?.weight ?? 0) / weight)
-    if (content.length === 0) {
-      for (const name of open) entitled.set(name, left * (demand[name]?.weight ?? 0) / weight)
+    const weight = unsatisfied.reduce((sum, name) => sum + (traffic[name]?.weight ?? 0), 0)
+    const satisfied = unsatisfied.filter(name => requested(name) <= remaining * (traffic[name]?.weight ?? 0) / weight)
+    if (satisfied.length === 0) {
+      for (const name of unsatisfied) entitled.set(name, remaining * (traffic[name]?.weight ?? 0) / weight)
       return entitled
     }
-    for (const name of content) {
-      entitled.set(name, asked(name))
-      left -= asked(name)
+    for (const name of satisfied) {
+      entitled.set(name, requested(name))
+      remaining -= requested(name)
     }
-    open = open.filter(name => !content.includes(name))
-    if (open.length === 0) return entitled
+    unsatisfied = unsatisfied.filter(name => !satisfied.includes(name))
+    if (unsatisfied.length === 0) return entitled
   }
 }
--- a/packages/benchmarks/src/lib/callers.ts
+++ b/packages/benchmarks/src/lib/callers.ts
@@ -65,7 +65,7 @@
   const due = call.due ?? performance.now()
   const at = Date.now()
   const answer = await send(call, due)
-  const judged = checkAnswer(call, answer)
+  const verdict = checkAnswer(call, answer)
   return {
     id: call.id,
     organisation: call.organisation,
@@ -76,7 +76,7 @@
     took: performance.now() - due,
     retryAfter: Number(answer.headers['retry-after'] ?? 0) * 1000,
     at,
-    ...judged
+    ...verdict
   }
 }
 
@@ -94,7 +94,7 @@
   }
   if (call.neverRepeat === true) headers['x-repeat'] = 'never'
   return new Promise(resolve => {
-    const lost: RawAnswer = { status: 0, headers: {}, text: '', complete: false, firstByte: 0 }
+    const noAnswer: RawAnswer = { status: 0, headers: {}, text: '', complete: false, firstByte: 0 }
     const outgoing = request({ host, port, path, method, headers, agent: connections, timeout: call.timeout ?? DEFAULT_TIMEOUT_MILLISECONDS }, response => {
       const pieces: Buffer[] = []
       let firstByte = 0
@@ -107,7 +107,7 @@
       response.on('error', () => {})
     })
     outgoing.on('timeout', () => outgoing.destroy())
-    outgoing.on('error', () => resolve(lost))
+    outgoing.on('error', () => resolve(noAnswer))
     outgoing.end(body)
   })
 }
--- a/packages/benchmarks/src/lib/capacity-bench.ts
+++ b/packages/benchmarks/src/lib/capacity-bench.ts
@@ -66,7 +66,7 @@
 async function measureFleet (size: number, seconds: number): Promise<Sample[]> {
   const fleet = await preparePlainFleet(size, ZONES)
   await fleet.startAll()
-  if (!await fleet.untilUp(START_TIMEOUT_MILLISECONDS)) throw new Error('the fleet did not start in time')
+  if (!await fleet.waitUntilUp(START_TIMEOUT_MILLISECONDS)) throw new Error('the fleet did not start in time')
   await pause(SETTLE_MILLISECONDS)
   const first = await statusesOf(fleet)
   await pause(seconds * 1000)
--- a/packages/benchmarks/src/lib/chaos-bench.ts
+++ b/packages/benchmarks/src/lib/chaos-bench.ts
@@ -34,7 +34,7 @@
 const faults: Readonly<Record<string, Fault>> = {
   kill: async (fleet, member) => {
     fleet.signal(member, 'SIGKILL')
-    await fleet.exited(member)
+    await fleet.waitForExit(member)
     await pause(DOWN_MILLISECONDS)
     await fleet.start(member)
   },
@@ -83,7 +83,7 @@
   })
   fleet.publishInstances()
   await fleet.startAll()
-  const up = await fleet.untilUp() && await fleet.until(async () => (await fleet.journals()).engines.every(engine => engine.version === version.digest), 30_000)
+  const up = await fleet.waitUntilUp() && await fleet.waitUntil(async () => (await fleet.journals()).engines.every(engine => engine.version === version.digest), 30_000)
   if (!up) throw new Error('the fleet did not start in time')
   return fleet
 }
@@ -108,11 +108,11 @@
 
 /** Sends a request and retries it with the same id through another entry until it is answered or the retries are used up. */
 async function requestUntilAnswered (fleet: Fleet, number: number, versions: readonly string[], records: CallRecord[]): Promise<void> {
-  const once = number % 2 === 0
-  const id = once ? await obtainRequestId(entryOf(fleet, number)) : `chat-${number}`
+  const neverRepeat = number % 2 === 0
+  const id = neverRepeat ? await obtainRequestId(entryAddress(fleet, number)) : `chat-${number}`
   if (id === undefined) return
   for (let attempt = 0; attempt <= MAX_RETRIES; attempt += 1) {
-    const call: Call = { id, organisation: `hall-${number % 2 + 1}`, address: entryOf(fleet, number + attempt), versions, timeout: 8_000, ...(once ? notice(number) : chat(number)) }
+    const call: Call = { id, organisation: `hall-${number % 2 + 1}`, address: entryAddress(fleet, number + attempt), versions, timeout: 8_000, ...(neverRepeat ? noticeCall(number) : chatCall(number)) }
     const record = await makeCall(call)
     records.push(record)
     if (record.result === 'whole' || record.code === 'already-claimed') return
@@ -120,15 +120,15 @@
   }
 }
 
-function entryOf (fleet: Fleet, index: number): string {
+function entryAddress (fleet: Fleet, index: number): string {
   return fleet.entries[index % fleet.entries.length]?.httpAddress ?? ''
 }
 
-function notice (number: number): Pick<Call, 'plain' | 'neverRepeat'> {
+function noticeCall (number: number): Pick<Call, 'plain' | 'neverRepeat'> {
   return { plain: { service: 'booking', method: 'POST', path: '/notices', body: `{"notice":${number}}` }, neverRepeat: true }
 }
 
-function chat (number: number): Pick<Call, 'chat'> {
+function chatCall (number: number): Pick<Call, 'chat'> {
   return { chat: { pool: 'drafting', prompt: `prompt ${number % 30}`, tokens: 16, streamed: number % 4 === 1 } }
 }
 
@@ -137,13 +137,13 @@
   const runs = runsById(journals.plains)
   const count = (result: CallRecord['result']): number => records.filter(record => record.result === result).length
   const repeated = [...new Set(records.filter(record => record.neverRepeat).map(record => record.id))].filter(id => (runs.get(id) ?? 0) > 1).length
-  const untrue = countFalseNotRun(records, runs)
+  const falseNotRun = countFalseNotRun(records, runs)
   const partial = journals.engines.reduce((sum, engine) => sum + engine.journal.partialLoads, 0)
   const orphans = await fleet.stop()
   const answered = new Set(records.filter(record => record.result === 'whole').map(record => record.id)).size
-  const held = repeated === 0 && untrue === 0 && count('wrong') === 0 && count('mixed') === 0 && partial === 0
+  const held = repeated === 0 && falseNotRun === 0 && count('wrong') === 0 && count('mixed') === 0 && partial === 0
   printFigures('chaos', {
-    seed: options.seed, seconds: options.seconds, faults: faultCount, ids: new Set(records.map(record => record.id)).size, answered, calls: records.length, whole: count('whole'), refused: count('refused'), unknown: count('unknown'), cut: count('cut'), wrong: count('wrong'), mixed: count('mixed'), repeated, not_run_untrue: untrue, partial_loads: partial, orphans, held
+    seed: options.seed, seconds: options.seconds, faults: faultCount, ids: new Set(records.map(record => record.id)).size, answered, calls: records.length, whole: count('whole'), refused: count('refused'), unknown: count('unknown'), cut: count('cut'), wrong: count('wrong'), mixed: count('mixed'), repeated, not_run_untrue: falseNotRun, partial_loads: partial, orphans, held
   })
   return held
 }
--- a/packages/benchmarks/src/lib/configuration-bench.ts
+++ b/packages/benchmarks/src/lib/configuration-bench.ts
@@ -30,7 +30,7 @@
   const late = fleet.agents.slice(0, Math.floor(size * STARTING_SHARE))
   const early = fleet.members.filter(member => !late.includes(member))
   for (const member of early) await fleet.start(member)
-  const up = await fleet.untilUp(60_000)
+  const up = await fleet.waitUntilUp(60_000)
   await pause(3_000)
   const callsBefore = fleet.configuration.calls + fleet.instances.calls
   const startedAt = performance.now()
@@ -65,7 +65,7 @@
   const publishedAt = fleet.configuration.publishedAt.get(revision) ?? performance.now()
   const waiting = new Set(fleet.members.filter(member => member.process !== undefined))
   const times: number[] = []
-  await fleet.until(async () => {
+  await fleet.waitUntil(async () => {
     await Promise.all([...waiting].map(async member => {
       const status = await fleet.status(member, 2_000)
       if (status === undefined || status.revisions.configuration < revision) return
--- a/packages/benchmarks/src/lib/demo-run.ts
+++ b/packages/benchmarks/src/lib/demo-run.ts
@@ -34,14 +34,14 @@
 
 /** One run of the demo. */
 export class DemoRun {
-  private readonly _records: CallRecord[] = []
+  private readonly _results: CallRecord[] = []
   private readonly _repeats: CallRecord[] = []
   private readonly _startedAt = performance.now()
   /** The number of calls that received no request id and were therefore not sent. */
   private _withoutId = 0
   private readonly _versions: readonly GeneratedVersion[]
   /** The call number of each id that an entry issued. */
-  private readonly _issued = new Map<string, number>()
+  private readonly _issuedIds = new Map<string, number>()
   private _timeToReplicas = -1
 
   private constructor (private readonly _fleet: Fleet) {
@@ -65,13 +65,13 @@
   }
 
   /** Runs the scenario. */
-  async play (): Promise<DemoSummary> {
+  async run (): Promise<DemoSummary> {
     const fleet = this._fleet
     for (const version of this._versions) fleet.addVersion(version)
     fleet.publish(this._configuration('v1'))
     fleet.publishInstances()
     await fleet.startAll()
-    this._print('started', { processes: fleet.members.length, up: await fleet.untilUp(TIMEOUT_MILLISECONDS) })
+    this._print('started', { processes: fleet.members.length, up: await fleet.waitUntilUp(TIMEOUT_MILLISECONDS) })
     const first = await this._waitUntilServing(0, this._models(), TIMEOUT_MILLISECONDS)
     this._print('version-1', { serving: first, origin_copies: this._originCopies() })
     const burst = this._burst()
@@ -124,12 +124,12 @@
   }
 
   /** Waits until all engines serve a version. Returns the number of engines that do. */
-  private async _waitUntilServing (version: number, members: readonly Member[], patience: number): Promise<number> {
+  private async _waitUntilServing (version: number, members: readonly Member[], timeout: number): Promise<number> {
     let serving = 0
-    await this._fleet.until(async () => {
+    await this._fleet.waitUntil(async () => {
       serving = await this._countServing(version, members)
       return serving === members.length
-    }, patience)
+    }, timeout)
     return serving
   }
 
@@ -159,8 +159,8 @@
       this._withoutId += 1
       return
     }
-    if (call.neverRepeat === true) this._issued.set(id, index)
-    this._records.push(await makeCall({ ...call, id, due }))
+    if (call.neverRepeat === true) this._issuedIds.set(id, index)
+    this._results.push(await makeCall({ ...call, id, due }))
   }
 
   private _call (index: number): Call {
@@ -179,13 +179,13 @@
 
   /** Repeats calls with the same id through another entry. */
   private async _repeatCalls (): Promise<void> {
-    const asked = this._records.filter(record => record.neverRepeat).slice(0, 60)
-    for (const [index, record] of asked.entries()) {
-      const number = this._issued.get(record.id) ?? 0
+    const neverRepeated = this._results.filter(record => record.neverRepeat).slice(0, 60)
+    for (const [index, record] of neverRepeated.entries()) {
+      const number = this._issuedIds.get(record.id) ?? 0
       const other = this._fleet.entries[(number + 1 + index) % this._fleet.entries.length]
       this._repeats.push(await makeCall({ ...this._call(number), id: record.id, address: other?.httpAddress ?? '' }))
     }
-    this._print('repeated-by-callers', { asked: asked.length, answered_again: this._repeats.filter(repeat => repeat.result === 'whole').length })
+    this._print('repeated-by-callers', { asked: neverRepeated.length, answered_again: this._repeats.filter(repeat => repeat.result === 'whole').length })
   }
 
   private async _summarise (): Promise<DemoSummary> {
@@ -194,27 +194,27 @@
     const { engines, plains } = await this._fleet.journals()
     const originCopies = this._originCopies()
     const runs = runsById(plains)
-    const count = (result: CallRecord['result']): number => this._records.filter(record => record.result === result).length
-    const neverRepeat = new Set(this._records.filter(record => record.neverRepeat).map(record => record.id))
+    const count = (result: CallRecord['result']): number => this._results.filter(record => record.result === result).length
+    const neverRepeat = new Set(this._results.filter(record => record.neverRepeat).map(record => record.id))
     const repeated = [...neverRepeat].filter(id => (runs.get(id) ?? 0) > 1).length
-    const untrue = countFalseNotRun([...this._records, ...this._repeats], runs)
+    const falseNotRun = countFalseNotRun([...this._results, ...this._repeats], runs)
     const partial = engines.reduce((sum, engine) => sum + engine.journal.partialLoads, 0)
     const orphans = await this._fleet.stop()
     this._printCodes()
-    const good = serving === models.length && repeated === 0 && untrue === 0 && count('mixed') === 0 && count('wrong') === 0 && partial === 0 && orphans === 0 && count('cut') === 0 && count('whole') > 0
+    const good = serving === models.length && repeated === 0 && falseNotRun === 0 && count('mixed') === 0 && count('wrong') === 0 && partial === 0 && orphans === 0 && count('cut') === 0 && count('whole') > 0
     return {
       result: good ? 'pass' : 'fail',
       replicas: serving,
       of: models.length,
       time_to_replicas_milliseconds: this._timeToReplicas,
       origin_copies: originCopies.toFixed(2),
-      answers_asked: this._records.length + this._withoutId,
+      answers_asked: this._results.length + this._withoutId,
       answers_whole: count('whole'),
       answers_refused: count('refused') + this._withoutId,
       answers_unknown: count('unknown'),
       answers_cut: count('cut'),
       answers_wrong: count('wrong'),
-      not_run_untrue: untrue,
+      not_run_untrue: falseNotRun,
       repeated,
       mixed_versions: count('mixed'),
       partial_loads: partial,
@@ -226,7 +226,7 @@
   /** Prints the number of unanswered calls by code. */
   private _printCodes (): void {
     const codes = new Map<string, number>()
-    for (const record of [...this._records, ...this._repeats]) {
+    for (const record of [...this._results, ...this._repeats]) {
       if (record.code !== '') codes.set(record.code, (codes.get(record.code) ?? 0) + 1)
     }
     for (const [code, calls] of codes) this._print('code', { code, calls })
--- a/packages/benchmarks/src/lib/fleet.ts
+++ b/packages/benchmarks/src/lib/fleet.ts
@@ -149,10 +149,10 @@
     if (child.pid !== undefined) this._pids.push(child.pid)
   }
 
-  /** Polls a condition every 50 ms. Returns false if it does not hold within `patience` milliseconds. */
-  async until (condition: () => boolean | Promise<boolean>, patience: number): Promise<boolean> {
+  /** Polls a condition every 50 ms. Returns false if it does not hold within `timeout` milliseconds. */
+  async waitUntil (condition: () => boolean | Promise<boolean>, timeout: number): Promise<boolean> {
     const startedAt = performance.now()
-    while (performance.now() - startedAt < patience) {
+    while (performance.now() - startedAt < timeout) {
       if (await condition()) return true
       await new Promise(resolve => setTimeout(resolve, 50))
     }
@@ -160,14 +160,14 @@
   }
 
   /** Waits until every started process answers. */
-  async untilUp (patience = 20_000): Promise<boolean> {
+  async waitUntilUp (timeout = 20_000): Promise<boolean> {
     const waiting = new Set(this.members.filter(member => member.process !== undefined))
-    return await this.until(async () => {
+    return await this.waitUntil(async () => {
       await Promise.all([...waiting].map(async member => {
         if (await this.status(member) !== undefined) waiting.delete(member)
       }))
       return waiting.size === 0
-    }, patience)
+    }, timeout)
   }
 
   /** Requests a member's status. Returns `undefined` if it does not answer. */
@@ -190,7 +190,7 @@
   }
 
   /** Waits until a member's process has exited and returns its exit code. */
-  exited (member: Member): Promise<number | null> {
+  waitForExit (member: Member): Promise<number | null> {
     const child = member.process
     if (child === undefined || child.exitCode !== null || child.signalCode !== null) return Promise.resolve(child?.exitCode ?? null)
     return new Promise(resolve => child.once('exit', code => resolve(code)))
@@ -198,7 +198,7 @@
 
   /** Sends an order for a member's endpoint to the endpoint's host. */
   async endpoint (member: Member, order: { type: 'freeze', frozen: boolean } | { type: 'fail-loads', count: number } | { type: 'behave', behaviour: 'normal' | 'down' | 'slow' }): Promise<void> {
-    await this._hostOf(member).order({ ...order, port: member.endpointPort })
+    await this._hostFor(member).order({ ...order, port: member.endpointPort })
   }
 
   /** Returns the journals of all endpoint stand-ins. */
@@ -213,7 +213,7 @@
       member.process?.kill('SIGCONT')
       member.process?.kill('SIGTERM')
     }
-    const ended = Promise.all(this.members.map(member => this.exited(member)))
+    const ended = Promise.all(this.members.map(member => this.waitForExit(member)))
     await Promise.race([ended, new Promise(resolve => setTimeout(resolve, STOP_TIMEOUT_MILLISECONDS).unref())])
     const orphans = this._pids.filter(isAlive)
     for (const pid of orphans) process.kill(pid, 'SIGKILL')
@@ -256,7 +256,7 @@
     const order = endpoint.kind === 'model'
       ? { type: 'engine', port: endpointPort, times: this.plan.engineTimes ?? defaultEngineTimes } as const
       : { type: 'plain', port: endpointPort, duration: this.plan.plainDuration ?? 20 } as const
-    await this._hostOf(member).order(order)
+    await this._hostFor(member).order(order)
   }
 
   private readonly _listen = new Map<string, string>()
@@ -268,7 +268,7 @@
     return added
   }
 
-  private _hostOf (member: Member): EndpointHost {
+  private _hostFor (member: Member): EndpointHost {
     const index = this.agents.findIndex(agent => agent.instance === member.instance)
     return this._hosts[index % this._hosts.length] as EndpointHost
   }
--- a/packages/benchmarks/src/lib/limits/limit-model.ts
+++ b/packages/benchmarks/src/lib/limits/limit-model.ts
@@ -48,13 +48,13 @@
   sent (): void { this._tokens -= 1 }
 }
 
-const never: RateLimiter = { maySend: () => false, sent: () => {} }
+const neverSend: RateLimiter = { maySend: () => false, sent: () => {} }
 
 const policies: Record<LimitPolicy, (inputs: LimiterInputs) => RateLimiter> = {
   'whole-for-each': ({ limit, startedAt }) => new TokenBucket(limit, 1, startedAt),
   'parts-saved': ({ limit, entries, startedAt }) => new TokenBucket(limit / entries, 1, startedAt),
   'parts-begun-empty': ({ limit, entries, startedAt }) => new TokenBucket(limit / entries, 0, startedAt),
-  'few-holders': ({ limit, entries, draw, startedAt }) => draw() < EXPECTED_HOLDERS / entries ? new TokenBucket(limit / EXPECTED_HOLDERS, 0, startedAt) : never,
+  'few-holders': ({ limit, entries, draw, startedAt }) => draw() < EXPECTED_HOLDERS / entries ? new TokenBucket(limit / EXPECTED_HOLDERS, 0, startedAt) : neverSend,
   'parts-that-lapse': ({ limit, entries, draw, startedAt }) => new LimitShare(limit, () => entries, draw(), startedAt)
 }
 
--- a/packages/benchmarks/src/lib/load.ts
+++ b/packages/benchmarks/src/lib/load.ts
@@ -30,7 +30,7 @@
  * @example
  * const [calm, burst] = await playLoad([{ seconds: 2, callsPerSecond: 20 }, { seconds: 5, callsPerSecond: 400 }], make, random)
  */
-export async function playLoad (phases: readonly Phase[], make: CallMaker, random: () => number): Promise<CallRecord[][]> {
+export async function generateLoad (phases: readonly Phase[], make: CallMaker, random: () => number): Promise<CallRecord[][]> {
   let due = performance.now()
   let number = 0
   const all: Promise<CallRecord>[][] = []
@@ -52,33 +52,33 @@
 
 /** Counts and latencies of a set of calls. */
 export interface LoadFigures {
-  readonly asked: number
+  readonly requests: number
   readonly whole: number
   readonly refused: number
   readonly unknown: number
   readonly cut: number
-  readonly first50: string
-  readonly first95: string
-  readonly first99: string
-  readonly refusal99: string
+  readonly firstBytePercentile50: string
+  readonly firstBytePercentile95: string
+  readonly firstBytePercentile99: string
+  readonly refusalPercentile99: string
 }
 
 /** Summarises records; times are in milliseconds. */
-export function figuresOf (records: readonly CallRecord[]): LoadFigures {
+export function summariseCalls (records: readonly CallRecord[]): LoadFigures {
   const whole = records.filter(record => record.result === 'whole')
   const refused = records.filter(record => record.result === 'refused')
   const first = whole.map(record => record.firstByte)
   const text = (value: number): string => Number.isNaN(value) ? 'none' : value.toFixed(1)
   return {
-    asked: records.length,
+    requests: records.length,
     whole: whole.length,
     refused: refused.length,
     unknown: records.filter(record => record.result === 'unknown').length,
     cut: records.filter(record => record.result === 'cut' || record.result === 'wrong' || record.result === 'mixed').length,
-    first50: text(quantile(first, 0.5)),
-    first95: text(quantile(first, 0.95)),
-    first99: text(quantile(first, 0.99)),
-    refusal99: text(quantile(refused.map(record => record.took), 0.99))
+    firstBytePercentile50: text(quantile(first, 0.5)),
+    firstBytePercentile95: text(quantile(first, 0.95)),
+    firstBytePercentile99: text(quantile(first, 0.99)),
+    refusalPercentile99: text(quantile(refused.map(record => record.took), 0.99))
   }
 }
 
@@ -124,7 +124,7 @@
   fleet.publish(configuration)
   fleet.publishInstances()
   await fleet.startAll()
-  const up = await fleet.untilUp() && await fleet.until(async () => (await fleet.journals()).engines.every(engine => engine.version === version.digest), 30_000)
+  const up = await fleet.waitUntilUp() && await fleet.waitUntil(async () => (await fleet.journals()).engines.every(engine => engine.version === version.digest), 30_000)
   if (!up) throw new Error('the fleet did not start in time')
   await pause(1_000)
   return { fleet, version, configuration }
--- a/packages/benchmarks/src/lib/retries-bench.ts
+++ b/packages/benchmarks/src/lib/retries-bench.ts
@@ -7,7 +7,7 @@
 import { setTimeout as pause } from 'node:timers/promises'
 import { printFigures, seededRandom, twoDecimals, type BenchOptions } from './bench-options.js'
 import type { CallRecord } from './callers.js'
-import { chatCalls, figuresOf, playLoad, startServing } from './load.js'
+import { chatCalls, summariseCalls, generateLoad, startServing } from './load.js'
 import { printRetryTable } from './retries/retry-table.js'
 
 const WORKERS = 6
@@ -34,7 +34,7 @@
   const settings = [['requests', 'retry-percent', percent], ['requests', 'first-answer-seconds', '0.5'], ['requests', 'silence-seconds', '0.5']] as const
   const { fleet } = await startServing({ entries: 2, workers: WORKERS, slots: SLOTS, organisations: { 'hall-1': 1 }, engineTimes: TIMES, settings }, options.seed)
   const calls = chatCalls(fleet, `retry${percent}`, () => 'hall-1', TOKENS)
-  const load = playLoad([{ seconds: SECONDS_BEFORE, callsPerSecond: CALLS_PER_SECOND }, { seconds: options.seconds, callsPerSecond: CALLS_PER_SECOND }, { seconds: SECONDS_AFTER, callsPerSecond: CALLS_PER_SECOND }], calls, seededRandom(options.seed))
+  const load = generateLoad([{ seconds: SECONDS_BEFORE, callsPerSecond: CALLS_PER_SECOND }, { seconds: options.seconds, callsPerSecond: CALLS_PER_SECOND }, { seconds: SECONDS_AFTER, callsPerSecond: CALLS_PER_SECOND }], calls, seededRandom(options.seed))
   const failing = fleet.agents.slice(0, HANGING)
   await pause(SECONDS_BEFORE * 1000)
   for (const member of failing) await fleet.endpoint(member, { type: 'freeze', frozen: true })
@@ -46,29 +46,29 @@
   const runs = engines.reduce((sum, engine) => sum + Object.values(engine.journal.runs).reduce((left, right) => left + right, 0), 0)
   const asked = before.length + during.length + after.length
   const started = asked - [...before, ...during, ...after].filter(record => record.result === 'refused').length
-  const [calm, faulty, healed] = [before, during, after].map(figuresOf)
+  const [calm, faulty, healed] = [before, during, after].map(summariseCalls)
   printFigures('retries', {
     retry_percent: percent,
     seed: options.seed,
     failing: `${HANGING}/${WORKERS}`,
     asked,
     load_factor: twoDecimals(runs / started),
-    goodput_before: ratio(calm),
-    goodput_during: ratio(faulty),
-    goodput_after: ratio(healed),
+    goodput_before: completeShare(calm),
+    goodput_during: completeShare(faulty),
+    goodput_after: completeShare(healed),
     cut_during: faulty?.cut,
     unknown_during: faulty?.unknown,
     recovery_milliseconds: recoveryMilliseconds(after, healedAt),
-    first_99_before: calm?.first99,
-    first_99_during: faulty?.first99,
-    first_99_after: healed?.first99
+    first_99_before: calm?.firstBytePercentile99,
+    first_99_during: faulty?.firstBytePercentile99,
+    first_99_after: healed?.firstBytePercentile99
   })
   await fleet.stop()
   return calm !== undefined && calm.whole > 0
 }
 
-function ratio (figures: ReturnType<typeof figuresOf> | undefined): string {
-  return figures === undefined ? 'none' : twoDecimals(figures.whole / Math.max(1, figures.asked))
+function completeShare (figures: ReturnType<typeof summariseCalls> | undefined): string {
+  return figures === undefined ? 'none' : twoDecimals(figures.whole / Math.max(1, figures.requests))
 }
 
 /** Returns the milliseconds from the end of the fault to the first half second in which 99% of the requests are answered, or -1 if there is none. */
--- a/packages/benchmarks/src/lib/rollout-bench.ts
+++ b/packages/benchmarks/src/lib/rollout-bench.ts
@@ -40,7 +40,7 @@
   fleet.publish({})
   fleet.publishInstances()
   await fleet.startAll()
-  if (!await fleet.untilUp(60_000)) throw new Error('the fleet did not start in time')
+  if (!await fleet.waitUntilUp(60_000)) throw new Error('the fleet did not start in time')
   await pause(1_500)
   const bound = CHUNKS * CHUNK_BYTES / (link * MEBIBYTE) * 1000
   const startedAt = Date.now()
@@ -48,7 +48,7 @@
     models: { chat: { versions: { v1: version.digest } } },
     pools: { drafting: { model: 'chat', version: 'v1', switchFraction: 1, slots: 8, originCopies: options.originCopies } }
   })
-  const killed = await faults(fleet, options, bound)
+  const killed = await injectFaults(fleet, options, bound)
   const live = fleet.agents.filter(member => !killed.has(member))
   const served = await timesToServe(fleet, live, version, startedAt, bound * TIMEOUT_FACTOR)
   const { engines } = await fleet.journals()
@@ -92,7 +92,7 @@
 }
 
 /** Kills, stalls and corrupts disjoint sets of agents, drawn from the seed. Returns the killed agents. */
-async function faults (fleet: Fleet, options: BenchOptions, bound: number): Promise<ReadonlySet<Member>> {
+async function injectFaults (fleet: Fleet, options: BenchOptions, bound: number): Promise<ReadonlySet<Member>> {
   const random = seededRandom(options.seed)
   const drawn = [...fleet.agents].map(member => ({ member, order: random() })).sort((left, right) => left.order - right.order).map(({ member }) => member)
   const killed = new Set(drawn.splice(0, options.kill))
@@ -107,10 +107,10 @@
 }
 
 /** Returns the milliseconds until each member's engine served the version, or 0 for an engine that did not within the timeout. */
-async function timesToServe (fleet: Fleet, members: readonly Member[], version: GeneratedVersion, startedAt: number, patience: number): Promise<number[]> {
+async function timesToServe (fleet: Fleet, members: readonly Member[], version: GeneratedVersion, startedAt: number, timeout: number): Promise<number[]> {
   const ports = new Set(members.map(member => member.endpointPort))
   let times: number[] = []
-  await fleet.until(async () => {
+  await fleet.waitUntil(async () => {
     const { engines } = await fleet.journals()
     times = engines.filter(engine => ports.has(engine.port)).map(engine => {
       const load = engine.journal.loads.find(candidate => candidate.manifest === version.digest && candidate.whole)
@@ -118,6 +118,6 @@
     })
     await pause(200)
     return times.every(time => time > 0)
-  }, patience)
+  }, timeout)
   return times
 }
--- a/packages/benchmarks/src/lib/rollout-under-load-bench.ts
+++ b/packages/benchmarks/src/lib/rollout-under-load-bench.ts
@@ -7,7 +7,7 @@
 import { setTimeout as pause } from 'node:timers/promises'
 import { generateVersion } from '@drumdrift/stand-ins'
 import { printFigures, seededRandom, twoDecimals, type BenchOptions } from './bench-options.js'
-import { chatCalls, figuresOf, playLoad, startServing } from './load.js'
+import { chatCalls, summariseCalls, generateLoad, startServing } from './load.js'
 
 const WORKERS = 8
 const SLOTS = 8
@@ -29,7 +29,7 @@
   fleet.addVersion(next)
   const calls = chatCalls(fleet, 'load', () => 'hall-1', TOKENS)
   const seconds = Math.max(options.seconds, 14)
-  const load = playLoad([{ seconds: CALM_SECONDS, callsPerSecond: CALLS_PER_SECOND }, { seconds, callsPerSecond: CALLS_PER_SECOND }], calls, seededRandom(options.seed))
+  const load = generateLoad([{ seconds: CALM_SECONDS, callsPerSecond: CALLS_PER_SECOND }, { seconds, callsPerSecond: CALLS_PER_SECOND }], calls, seededRandom(options.seed))
   await pause(CALM_SECONDS * 1000)
   const startedAt = Date.now()
   fleet.publish({
@@ -37,30 +37,30 @@
     models: { chat: { versions: { v1: version.digest, v2: next.digest } } },
     pools: { drafting: { model: 'chat', version: 'v2', switchFraction: 0.25, slots: SLOTS, originCopies: 1 } }
   })
-  let least = WORKERS
-  const done = await fleet.until(async () => {
+  let minimumServing = WORKERS
+  const done = await fleet.waitUntil(async () => {
     const statuses = await Promise.all(fleet.agents.map(async member => await fleet.status(member)))
-    least = Math.min(least, statuses.filter(status => status?.state !== 'switching' && status?.version !== '').length)
+    minimumServing = Math.min(minimumServing, statuses.filter(status => status?.state !== 'switching' && status?.version !== '').length)
     await pause(POLL_INTERVAL_MILLISECONDS)
     return (await fleet.journals()).engines.every(engine => engine.version === next.digest)
   }, seconds * 1000)
   const took = Date.now() - startedAt
   const [calm = [], rest = []] = await load
   const during = rest.filter(record => record.at < startedAt + took)
-  const [without, within] = [figuresOf(calm), figuresOf(during)]
+  const [without, within] = [summariseCalls(calm), summariseCalls(during)]
   printFigures('rollout-under-load', {
     seed: options.seed,
     rollout_done: done,
     rollout_milliseconds: took,
     workers: WORKERS,
-    least_serving: least,
-    first_95_without: without.first95,
-    first_95_during: within.first95,
-    ratio_95: twoDecimals(Number(within.first95) / Number(without.first95)),
-    first_99_without: without.first99,
-    first_99_during: within.first99,
-    whole_without: twoDecimals(without.whole / Math.max(1, without.asked)),
-    whole_during: twoDecimals(within.whole / Math.max(1, within.asked)),
+    least_serving: minimumServing,
+    first_95_without: without.firstBytePercentile95,
+    first_95_during: within.firstBytePercentile95,
+    ratio_95: twoDecimals(Number(within.firstBytePercentile95) / Number(without.firstBytePercentile95)),
+    first_99_without: without.firstBytePercentile99,
+    first_99_during: within.firstBytePercentile99,
+    whole_without: twoDecimals(without.whole / Math.max(1, without.requests)),
+    whole_during: twoDecimals(within.whole / Math.max(1, within.requests)),
     cut_during: within.cut,
     versions_seen: new Set(rest.map(record => record.version).filter(seen => seen !== '')).size
   })
--- a/packages/benchmarks/src/test/whole-path_test.ts
+++ b/packages/benchmarks/src/test/whole-path_test.ts
@@ -13,7 +13,7 @@
 import { callerKey, Fleet, OPERATOR_KEY, organisations } from '../lib/fleet.js'
 
 const version = generateVersion({ model: 'chat', version: 'v1', chunks: 8, chunkBytes: 16_384, seed: 1 })
-const PATIENCE = 30_000
+const TIMEOUT_MILLISECONDS = 30_000
 let fleet: Fleet
 
 function configurationOf (extra: object = {}): Parameters<Fleet['publish']>[0] {
@@ -57,9 +57,9 @@
     fleet.publish(configurationOf())
     fleet.publishInstances()
     await fleet.startAll()
-    assert.ok(await fleet.untilUp(PATIENCE))
-    assert.ok(await fleet.until(async () => (await fleet.journals()).engines.every(engine => engine.version === version.digest), PATIENCE))
-    assert.ok(await fleet.until(async () => (await post('/services/booking/halls', '')).status === 200, PATIENCE))
+    assert.ok(await fleet.waitUntilUp(TIMEOUT_MILLISECONDS))
+    assert.ok(await fleet.waitUntil(async () => (await fleet.journals()).engines.every(engine => engine.version === version.digest), TIMEOUT_MILLISECONDS))
+    assert.ok(await fleet.waitUntil(async () => (await post('/services/booking/halls', '')).status === 200, TIMEOUT_MILLISECONDS))
   })
   after(async () => {
     assert.equal(await fleet.stop(), 0, 'no process is left behind')
@@ -78,14 +78,14 @@
     assert.deepEqual(models.data.map(model => model.id), ['drafting'])
   })
 
-  const bad: [name: string, path: string, body: string, headers: Record<string, string>, status: number, code: string][] = [
+  const invalidRequests: [name: string, path: string, body: string, headers: Record<string, string>, status: number, code: string][] = [
     ['an unknown model', '/v1/chat/completions', '{"model":"x","messages":[{}]}', {}, 404, 'unknown-model'],
     ['an unknown organisation', '/v1/chat/completions', '{}', { authorization: 'Bearer no' }, 401, 'unknown-organisation'],
     ['an oversized body', '/v1/chat/completions', 'x'.repeat(70_000), {}, 413, 'body-too-large'],
     ['an expired deadline', '/services/booking/halls', '', { 'x-deadline-milliseconds': '0' }, 408, 'deadline-passed'],
     ['a body that is not JSON', '/v1/chat/completions', '{{{', {}, 400, 'bad-request']
   ]
-  for (const [name, path, body, headers, status, code] of bad) {
+  for (const [name, path, body, headers, status, code] of invalidRequests) {
     it(`answers ${name} with ${status} ${code} and continues to serve`, async () => {
       assert.deepEqual(await post(path, body, headers), { status, code })
       assert.equal((await post('/services/booking/halls', '')).status, 200)
@@ -93,12 +93,12 @@
   }
 
   it('continues to serve after invalid data on the peer port', async () => {
-    for (const garbage of ['GET / HTTP/1.1\r\n\r\n', '\0\0\0\x01\0\0\0\0\xff', 'x'.repeat(100_000)]) {
+    for (const data of ['GET / HTTP/1.1\r\n\r\n', '\0\0\0\x01\0\0\0\0\xff', 'x'.repeat(100_000)]) {
       const [host, port] = (fleet.agents[0]?.address ?? '').split(':')
       const socket = createConnection({ host, port: Number(port) })
       await new Promise(resolve => {
         socket.on('error', resolve).on('close', resolve)
-        socket.write(garbage, 'latin1')
+        socket.write(data, 'latin1')
         setTimeout(() => socket.destroy(), 300)
       })
     }
@@ -154,7 +154,7 @@
     await new Promise(resolve => setTimeout(resolve, 500))
     assert.equal((await fleet.status(fleet.entries[0] as never))?.revisions.configuration, 1)
     fleet.publish(configurationOf({ organisations: organisations({ 'hall-1': 2 }) }))
-    assert.ok(await fleet.until(async () => (await Promise.all(fleet.members.map(async member => await fleet.status(member)))).every(status => status?.revisions.configuration === 3), 9_000))
+    assert.ok(await fleet.waitUntil(async () => (await Promise.all(fleet.members.map(async member => await fleet.status(member)))).every(status => status?.revisions.configuration === 3), 9_000))
   })
 
   it('completes requests in progress before it stops', async () => {
@@ -163,7 +163,7 @@
     fleet.signal(fleet.entries[0] as never, 'SIGTERM')
     fleet.signal(fleet.member('agent-2'), 'SIGTERM')
     assert.equal((await call).result, 'whole')
-    assert.equal(await fleet.exited(fleet.entries[0] as never), 0)
-    assert.equal(await fleet.exited(fleet.member('agent-2')), 0)
+    assert.equal(await fleet.waitForExit(fleet.entries[0] as never), 0)
+    assert.equal(await fleet.waitForExit(fleet.member('agent-2')), 0)
   })
 })
