--- a/packages/benchmarks/src/lib/limits/limit-model.ts
+++ b/packages/benchmarks/src/lib/limits/limit-model.ts
@@ -67,7 +67,7 @@
   readonly entries: number
   readonly limit: number
   /** Requests per second that each entry tries to send. */
-  readonly wanted: number
+  readonly requestsPerSecond: number
   /** How long no entry has requests at the start of every 20 s, in milliseconds; after that all entries have requests at once. */
   readonly idleMilliseconds: number
   /** Seconds between two restarts of an entry; `undefined` for no restarts. */
@@ -94,9 +94,9 @@
  * Simulates two minutes.
  *
  * @example
- * const { maximum, allowed } = simulateLimit({ policy: 'parts-that-lapse', entries: 98, limit: 1.1, wanted: 1, idleMilliseconds: 0, restartEvery: undefined, seed: 7 })
+ * const { maximum, allowed } = simulateLimit({ policy: 'parts-that-lapse', entries: 98, limit: 1.1, requestsPerSecond: 1, idleMilliseconds: 0, restartEvery: undefined, seed: 7 })
  */
-export function simulateLimit ({ policy, entries, limit, wanted, idleMilliseconds, restartEvery, seed }: LimitRun): LimitFigures {
+export function simulateLimit ({ policy, entries, limit, requestsPerSecond, idleMilliseconds, restartEvery, seed }: LimitRun): LimitFigures {
   const draw = seededRandom(seed)
   const createLimiter = (startedAt: number): RateLimiter => policies[policy]({ limit, entries, draw, startedAt })
   const limiters = Array.from({ length: entries }, () => createLimiter(0))
@@ -109,7 +109,7 @@
     }
     if (now % PERIOD_MILLISECONDS < idleMilliseconds) continue
     for (const limiter of limiters) {
-      if (draw() >= wanted * TICK_MILLISECONDS / MILLISECONDS_PER_SECOND || !limiter.maySend(now)) continue
+      if (draw() >= requestsPerSecond * TICK_MILLISECONDS / MILLISECONDS_PER_SECOND || !limiter.maySend(now)) continue
       limiter.sent(now)
       arrivals.push(now)
     }
--- a/packages/benchmarks/src/lib/limits/limits-bench.ts
+++ b/packages/benchmarks/src/lib/limits/limits-bench.ts
@@ -10,9 +10,9 @@
 const FLEETS = [6, 24, 98, 380] as const
 const LIMITS = [1.1, 5] as const
 const LOADS = [
-  { load: 'steady', wanted: 1, idleMilliseconds: 0, restartEvery: undefined },
-  { load: 'after-silences', wanted: 1, idleMilliseconds: 15_000, restartEvery: undefined },
-  { load: 'with-restarts', wanted: 1, idleMilliseconds: 0, restartEvery: 0.25 }
+  { load: 'steady', requestsPerSecond: 1, idleMilliseconds: 0, restartEvery: undefined },
+  { load: 'after-silences', requestsPerSecond: 1, idleMilliseconds: 15_000, restartEvery: undefined },
+  { load: 'with-restarts', requestsPerSecond: 1, idleMilliseconds: 0, restartEvery: 0.25 }
 ] as const
 
 /** Prints one line for each combination: the maximum number of requests in 4 s over all seeds, the number of seeds that exceeded the limit, and the mean share used. */
--- a/packages/benchmarks/src/lib/policy/policies.ts
+++ b/packages/benchmarks/src/lib/policy/policies.ts
@@ -23,8 +23,8 @@
 export interface EntryPolicy {
   /** Returns the index of an engine, or `undefined` to refuse the request. */
   choose (request: RoutedRequest, tried: ReadonlySet<number>, now: number): number | undefined
-  begun (engine: number, request: RoutedRequest, now: number): void
-  ended (engine: number, request: RoutedRequest, outcome: 'served' | 'refused', now: number): void
+  firstTokenReceived (engine: number, request: RoutedRequest, now: number): void
+  responseEnded (engine: number, request: RoutedRequest, outcome: 'served' | 'refused', now: number): void
   reportReceived (engine: number, report: LoadReport, now: number): void
 }
 
@@ -62,11 +62,11 @@
     return Number(choice.record.id)
   }
 
-  begun (engine: number, { id }: RoutedRequest, now: number): void {
+  firstTokenReceived (engine: number, { id }: RoutedRequest, now: number): void {
     this._chooser.load(String(engine)).begun(id, this._choices.get(id)?.expected, now)
   }
 
-  ended (engine: number, { id }: RoutedRequest, outcome: 'served' | 'refused', now: number): void {
+  responseEnded (engine: number, { id }: RoutedRequest, outcome: 'served' | 'refused', now: number): void {
     this._choices.delete(id)
     if (outcome === 'refused') this._chooser.avoid(String(engine), 'refused', now)
     this._chooser.ended(String(engine), id, outcome === 'served' ? 'good' : 'unclear', now)
@@ -89,8 +89,8 @@
     return engine
   }
 
-  begun (): void {}
-  ended (engine: number): void { this._add(engine, -1) }
+  firstTokenReceived (): void {}
+  responseEnded (engine: number): void { this._add(engine, -1) }
   reportReceived (engine: number, { accepting }: LoadReport): void {
     if (accepting) this._closed.delete(engine)
     else this._closed.add(engine)
@@ -112,8 +112,8 @@
     return soonest.time <= objective ? soonest.index : undefined
   }
 
-  begun (): void {}
-  ended (): void {}
+  firstTokenReceived (): void {}
+  responseEnded (): void {}
   reportReceived (): void {}
 }
 
--- a/packages/benchmarks/src/lib/policy/policy-model.ts
+++ b/packages/benchmarks/src/lib/policy/policy-model.ts
@@ -28,7 +28,7 @@
   readonly pool: PoolDescription
   /** One-way latency between any two processes, in milliseconds. */
   readonly latency: number
-  /** Deadline for the first token, in milliseconds. */
+  /** Target time to the first token, in milliseconds. */
   readonly objective: number
   readonly sizes: Readonly<Record<'prompt' | 'answer', LogNormal>>
   /** Credit earned by each kind of answer. */
@@ -137,10 +137,10 @@
 const CALLER_TIMEOUT_MILLISECONDS = 6_000
 /** A share of the engines stops accepting requests for a while and reopens at once, as after a switch or an outage; times in milliseconds. */
 const CLOSURE = { share: 0.4, from: 6_000, to: 8_000 }
-/** Requests that arrive before this time are not counted, because the engines are still filling; none arrive after `END`. In milliseconds. */
+/** Requests that arrive before this time are not counted, because the engines are still filling; none arrive after `ARRIVALS_END_MILLISECONDS`. In milliseconds. */
 const COUNTING_START_MILLISECONDS = 2_000
 const ARRIVALS_END_MILLISECONDS = 14_000
-/** Time after `END` in which the last answers complete, in milliseconds. */
+/** Time after `ARRIVALS_END_MILLISECONDS` in which the last answers complete, in milliseconds. */
 const DRAIN_MILLISECONDS = 6_000
 
 interface Counters {
@@ -267,12 +267,12 @@
     if (index === undefined || engine === undefined) return onRefusal()
     tried.add(index)
     const onFirstToken = (): void => this._time.after(this._site.latency, () => {
-      entry.begun(index, request, this._time.now)
+      entry.firstTokenReceived(index, request, this._time.now)
       if (attempt.counted) this._recordFirstToken(this._time.now - since, attempt.isRetry)
     })
-    const onEnd = (): void => this._time.after(this._site.latency, () => entry.ended(index, request, 'served', this._time.now))
+    const onEnd = (): void => this._time.after(this._site.latency, () => entry.responseEnded(index, request, 'served', this._time.now))
     const onRejected = (): void => this._time.after(this._site.latency, () => {
-      entry.ended(index, request, 'refused', this._time.now)
+      entry.responseEnded(index, request, 'refused', this._time.now)
       this._dispatch(entry, attempt, tried, since, onRefusal)
     })
     this._addInTransit(index, 1, request.promptTokens)
--- a/packages/benchmarks/src/lib/rollout-under-load-bench.ts
+++ b/packages/benchmarks/src/lib/rollout-under-load-bench.ts
@@ -44,14 +44,14 @@
     await pause(POLL_INTERVAL_MILLISECONDS)
     return (await fleet.journals()).engines.every(engine => engine.version === next.digest)
   }, seconds * 1000)
-  const took = Date.now() - startedAt
+  const rolloutMilliseconds = Date.now() - startedAt
   const [calm = [], rest = []] = await load
-  const during = rest.filter(record => record.at < startedAt + took)
+  const during = rest.filter(record => record.at < startedAt + rolloutMilliseconds)
   const [without, within] = [summariseCalls(calm), summariseCalls(during)]
   printFigures('rollout-under-load', {
     seed: options.seed,
     rollout_done: done,
-    rollout_milliseconds: took,
+    rollout_milliseconds: rolloutMilliseconds,
     workers: WORKERS,
     least_serving: minimumServing,
     first_95_without: without.firstBytePercentile95,
--- a/packages/benchmarks/src/lib/suspects/suspect-model.ts
+++ b/packages/benchmarks/src/lib/suspects/suspect-model.ts
@@ -124,7 +124,7 @@
   readonly entry: Entry
   readonly incarnation: number
   readonly number: number
-  begun: boolean
+  started: boolean
 }
 
 class SuspectModel {
@@ -202,13 +202,13 @@
     if (index === undefined) return this._fail(request)
     if (isFatal(request)) this._lastSend = this._time.now
     const endpoint = this._endpoints[index] as Endpoint
-    const attempt: Attempt = { request, entry, incarnation: entry.incarnation, number, begun: false }
+    const attempt: Attempt = { request, entry, incarnation: entry.incarnation, number, started: false }
     endpoint.running.add(attempt)
     this._time.after(START_DELAY, () => { if (endpoint.running.has(attempt)) this._start(index, endpoint, attempt) })
   }
 
   private _start (index: number, endpoint: Endpoint, attempt: Attempt): void {
-    attempt.begun = true
+    attempt.started = true
     if (isFatal(attempt.request)) return this._time.after(TIME_TO_CRASH, () => { if (endpoint.running.has(attempt)) this._crash(index, endpoint) })
     this._event(index, endpoint, attempt, this._time.now + RUN_TIME)
   }
@@ -266,7 +266,7 @@
   /** Removes an entry's attempts that have not started and whose request is now held back. */
   private _withdraw ({ running }: Endpoint, entry: Entry): void {
     for (const attempt of running) {
-      const heldBack = attempt.entry === entry && !attempt.begun && entry.suspects.standing(attempt.request.fingerprint, this._time.now) === 'held-back'
+      const heldBack = attempt.entry === entry && !attempt.started && entry.suspects.standing(attempt.request.fingerprint, this._time.now) === 'held-back'
       if (heldBack) running.delete(attempt)
     }
   }
--- a/packages/benchmarks/src/test/lib/limits/limit-model_test.ts
+++ b/packages/benchmarks/src/test/lib/limits/limit-model_test.ts
@@ -7,7 +7,7 @@
 import { describe, it } from 'node:test'
 import { simulateLimit, type LimitRun } from '../../../lib/limits/limit-model.js'
 
-const run: LimitRun = { policy: 'parts-that-lapse', entries: 98, limit: 1.1, wanted: 1, idleMilliseconds: 0, restartEvery: undefined, seed: 7 }
+const run: LimitRun = { policy: 'parts-that-lapse', entries: 98, limit: 1.1, requestsPerSecond: 1, idleMilliseconds: 0, restartEvery: undefined, seed: 7 }
 
 describe('simulateLimit', () => {
   const cases: [name: string, changes: Partial<LimitRun>, keeps: boolean][] = [
