--- a/packages/benchmarks/src/lib/callers.ts
+++ b/packages/benchmarks/src/lib/callers.ts
@@ -3,14 +3,12 @@
  * Copyright 2026 the drumdrift contributors
  * SPDX-License-Identifier: BSD-3-Clause
  */
-/**
- * Callers of a fleet, who check for themselves what they get: that an answer is whole, their own, and of one version.
- */
+/** Callers of a fleet, which check that each answer is complete, belongs to their request and comes from a single model version. */
 import { Agent, request } from 'node:http'
 import { expectedText, tokenOf } from '@drumdrift/stand-ins'
 import { callerKey } from './fleet.js'
 
-/** What a caller got. */
+/** The caller's verdict on an answer. */
 export type CallerResult = 'whole' | 'refused' | 'unknown' | 'cut' | 'wrong' | 'mixed'
 
 /** One call and its result. */
@@ -30,19 +28,19 @@
   readonly at: number
 }
 
-/** What to ask. */
+/** A request to an entry. */
 export interface Call {
   readonly id: string
   readonly organisation: string
   readonly address: string
-  /** When the call was due: latency counts from there, however late the sender is. */
+  /** When the call was due. Latency is measured from this time, even if the call is sent late. */
   readonly due?: number
   readonly requestClass?: 'interactive' | 'batch'
   readonly chat?: { readonly pool: string, readonly prompt: string, readonly tokens: number, readonly streamed: boolean }
   readonly plain?: { readonly service: string, readonly method: string, readonly path: string, readonly body: string }
   readonly neverRepeat?: boolean
   readonly timeout?: number
-  /** Versions that were ever published, to tell a mixed answer from a wrong one. */
+  /** All versions published so far, to distinguish a mixed answer from a wrong one. */
   readonly versions?: readonly string[]
 }
 
@@ -55,10 +53,10 @@
 }
 
 const connections = new Agent({ keepAlive: true, maxSockets: Infinity, maxFreeSockets: 256 })
-const DEFAULT_TIMEOUT = 30_000
+const DEFAULT_TIMEOUT_MILLISECONDS = 30_000
 
 /**
- * Makes a call and judges the answer.
+ * Makes a call and checks the answer.
  *
  * @example
  * const record = await makeCall({ id: 'r1', organisation: 'hall-1', address, chat: { pool: 'drafting', prompt: 'Plan', tokens: 8, streamed: true } })
@@ -67,7 +65,7 @@
   const due = call.due ?? performance.now()
   const at = Date.now()
   const answer = await send(call, due)
-  const judged = judge(call, answer)
+  const verdict = checkAnswer(call, answer)
   return {
     id: call.id,
     organisation: call.organisation,
@@ -78,12 +76,12 @@
     took: performance.now() - due,
     retryAfter: Number(answer.headers['retry-after'] ?? 0) * 1000,
     at,
-    ...judged
+    ...verdict
   }
 }
 
-/** Asks an entry for a request id, as callers of requests that may not repeat do. */
-export async function issueId (address: string): Promise<string | undefined> {
+/** Obtains a request id from an entry, as callers do for requests that must not repeat. Returns `undefined` on failure. */
+export async function obtainRequestId (address: string): Promise<string | undefined> {
   const answer = await send({ id: '', organisation: '', address, path: '/v1/request-ids' }, performance.now())
   return answer.status === 200 ? (JSON.parse(answer.text) as { id: string }).id : undefined
 }
@@ -96,8 +94,8 @@
   }
   if (call.neverRepeat === true) headers['x-repeat'] = 'never'
   return new Promise(resolve => {
-    const lost: RawAnswer = { status: 0, headers: {}, text: '', complete: false, firstByte: 0 }
-    const outgoing = request({ host, port, path, method, headers, agent: connections, timeout: call.timeout ?? DEFAULT_TIMEOUT }, response => {
+    const noAnswer: RawAnswer = { status: 0, headers: {}, text: '', complete: false, firstByte: 0 }
+    const outgoing = request({ host, port, path, method, headers, agent: connections, timeout: call.timeout ?? DEFAULT_TIMEOUT_MILLISECONDS }, response => {
       const pieces: Buffer[] = []
       let firstByte = 0
       const finish = (): void => resolve({ status: response.statusCode ?? 0, headers: response.headers, text: Buffer.concat(pieces).toString('utf8'), complete: response.complete, firstByte })
@@ -109,7 +107,7 @@
       response.on('error', () => {})
     })
     outgoing.on('timeout', () => outgoing.destroy())
-    outgoing.on('error', () => resolve(lost))
+    outgoing.on('error', () => resolve(noAnswer))
     outgoing.end(body)
   })
 }
@@ -122,30 +120,30 @@
   return { path: '/v1/chat/completions', method: 'POST', body }
 }
 
-type Judged = Pick<CallRecord, 'result' | 'code' | 'outcome'>
+type Verdict = Pick<CallRecord, 'result' | 'code' | 'outcome'>
 
-function judge (call: Call, answer: RawAnswer): Judged {
+function checkAnswer (call: Call, answer: RawAnswer): Verdict {
   if (answer.status === 0) return { result: 'unknown', code: 'no-connection', outcome: 'unknown' }
   if (answer.status === 200 && !answer.complete) return { result: 'cut', code: 'cut', outcome: 'cut' }
-  if (answer.status !== 200) return judgeFailure(answer)
-  const content = call.chat === undefined ? judgePlain(call, answer) : judgeChat(call.chat, answer, call.versions ?? [])
+  if (answer.status !== 200) return checkFailure(answer)
+  const content = call.chat === undefined ? checkPlain(call, answer) : checkChat(call.chat, answer, call.versions ?? [])
   return { result: content, code: '', outcome: 'whole' }
 }
 
-function judgeFailure (answer: RawAnswer): Judged {
+function checkFailure (answer: RawAnswer): Verdict {
   const code = /"code":"([a-z-]+)"/.exec(answer.text)?.[1] ?? `status-${answer.status}`
   const outcome = String(answer.headers['x-outcome'] ?? 'unknown')
   return { result: outcome === 'not-run' ? 'refused' : 'unknown', code, outcome }
 }
 
-function judgePlain (call: Call, answer: RawAnswer): CallerResult {
+function checkPlain (call: Call, answer: RawAnswer): CallerResult {
   const body = JSON.parse(answer.text) as { id?: string }
   return body.id === call.id ? 'whole' : 'wrong'
 }
 
-function judgeChat (chat: NonNullable<Call['chat']>, answer: RawAnswer, versions: readonly string[]): CallerResult {
+function checkChat (chat: NonNullable<Call['chat']>, answer: RawAnswer, versions: readonly string[]): CallerResult {
   const version = String(answer.headers['x-model-version'] ?? '')
-  const text = chat.streamed ? streamedText(answer.text) : wholeText(answer.text)
+  const text = chat.streamed ? streamedText(answer.text) : completeText(answer.text)
   if (text === undefined) return 'cut'
   if (text === expectedText(version, chat.prompt, chat.tokens)) return 'whole'
   const tokens = text.split(/(?<= )/)
@@ -153,13 +151,13 @@
   return known && tokens.length === chat.tokens ? 'mixed' : 'wrong'
 }
 
-/** The text of a stream, or nothing when it lacks its end. */
+/** Returns the text of a stream, or `undefined` if the stream lacks its end marker. */
 function streamedText (text: string): string | undefined {
   const events = text.split('\n\n').filter(event => event.startsWith('data: ')).map(event => event.slice('data: '.length))
   if (events.at(-1) !== '[DONE]') return undefined
   return events.slice(0, -1).map(event => (JSON.parse(event) as { choices: { delta: { content?: string } }[] }).choices[0]?.delta.content ?? '').join('')
 }
 
-function wholeText (text: string): string | undefined {
+function completeText (text: string): string | undefined {
   return (JSON.parse(text) as { choices: { message: { content: string } }[] }).choices[0]?.message.content
 }
--- a/packages/benchmarks/src/lib/demo-run.ts
+++ b/packages/benchmarks/src/lib/demo-run.ts
@@ -4,15 +4,15 @@
  * SPDX-License-Identifier: BSD-3-Clause
  */
 /**
- * The demo's script: 3 availability zones, 2 entries and 4 endpoints in each; version 1, a burst, version 2 in its
- * middle, and faults.
+ * The demo scenario: 3 availability zones with 2 entries and 4 endpoints each. The fleet serves version 1, then a burst of requests
+ * during which version 2 is rolled out and faults are injected.
  */
 import { setTimeout as pause } from 'node:timers/promises'
 import { formatPairs, type LogFields } from 'drumdrift'
 import type { Configuration } from '@drumdrift/core'
 import { generateVersion, type GeneratedVersion } from '@drumdrift/stand-ins'
-import { issueId, makeCall, type Call, type CallRecord } from './callers.js'
-import { runsById, untrueNotRun } from './oracles.js'
+import { obtainRequestId, makeCall, type Call, type CallRecord } from './callers.js'
+import { runsById, countFalseNotRun } from './oracles.js'
 import { Fleet, organisations, type EndpointPlan, type Member } from './fleet.js'
 
 const POOL = 'drafting'
@@ -20,7 +20,7 @@
 const CHUNKS = 128
 const BURST_SECONDS = 14
 const CALLS_PER_SECOND = 60
-const PATIENCE = 20_000
+const TIMEOUT_MILLISECONDS = 20_000
 const WEIGHTS = { 'hall-1': 4, 'hall-2': 4, 'hall-3': 1, 'hall-4': 1, 'house-1': 2, 'house-2': 2 }
 
 const zonePlans: Readonly<Record<string, readonly (readonly [string, 'model' | 'plain'])[]>> = {
@@ -29,19 +29,19 @@
   koshi: [[POOL, 'model'], [POOL, 'model'], ['booking', 'plain'], ['membership', 'plain']]
 }
 
-/** What the demo ends with. */
+/** The result of the demo. */
 export type DemoSummary = LogFields & { readonly result: 'pass' | 'fail' }
 
 /** One run of the demo. */
 export class DemoRun {
-  private readonly _records: CallRecord[] = []
+  private readonly _results: CallRecord[] = []
   private readonly _repeats: CallRecord[] = []
   private readonly _startedAt = performance.now()
-  /** Calls that never got an id, so that nothing was asked of a service. */
+  /** The number of calls that received no request id and were therefore not sent. */
   private _withoutId = 0
   private readonly _versions: readonly GeneratedVersion[]
-  /** Ids that entries issued, with the number of the call. */
-  private readonly _issued = new Map<string, number>()
+  /** The call number of each id that an entry issued. */
+  private readonly _issuedIds = new Map<string, number>()
   private _timeToReplicas = -1
 
   private constructor (private readonly _fleet: Fleet) {
@@ -64,82 +64,82 @@
     return new DemoRun(fleet)
   }
 
-  /** Plays the script. */
-  async play (): Promise<DemoSummary> {
+  /** Runs the scenario. */
+  async run (): Promise<DemoSummary> {
     const fleet = this._fleet
     for (const version of this._versions) fleet.addVersion(version)
     fleet.publish(this._configuration('v1'))
     fleet.publishInstances()
     await fleet.startAll()
-    this._say('started', { processes: fleet.members.length, up: await fleet.untilUp(PATIENCE) })
-    const first = await this._serving(0, this._models(), PATIENCE)
-    this._say('version-1', { serving: first, origin_copies: this._originCopies() })
+    this._print('started', { processes: fleet.members.length, up: await fleet.waitUntilUp(TIMEOUT_MILLISECONDS) })
+    const first = await this._waitUntilServing(0, this._models(), TIMEOUT_MILLISECONDS)
+    this._print('version-1', { serving: first, origin_copies: this._originCopies() })
     const burst = this._burst()
     await pause(2_000)
-    await this._faults()
+    await this._injectFaults()
     await burst
-    await this._repeatSome()
-    const summary = await this._judge()
+    await this._repeatCalls()
+    const summary = await this._summarise()
     return summary
   }
 
-  private async _faults (): Promise<void> {
+  private async _injectFaults (): Promise<void> {
     const fleet = this._fleet
     const models = this._models()
     const [killed, frozen, drained, corrupt] = [models[1], models[4], models[6], models[2]] as [Member, Member, Member, Member]
     corrupt.relay?.set('corrupt', 3)
     const rolloutAt = performance.now()
     fleet.publish(this._configuration('v2'))
-    this._say('rollout', { to: 'v2' })
+    this._print('rollout', { to: 'v2' })
     await pause(700)
     fleet.signal(killed, 'SIGKILL')
     killed.state = 'gone'
-    this._say('killed', { instance: killed.instance })
+    this._print('killed', { instance: killed.instance })
     await pause(300)
     fleet.signal(frozen, 'SIGSTOP')
-    this._say('frozen', { instance: frozen.instance })
+    this._print('frozen', { instance: frozen.instance })
     fleet.publishInstances()
     await pause(1_000)
     const status = await fleet.status(drained)
     await fleet.ask(drained, { type: 'leave', incarnation: status?.incarnation ?? '', lifecycle: 'draining', operator: 'demo' })
-    this._say('drained', { instance: drained.instance })
+    this._print('drained', { instance: drained.instance })
     fleet.configuration.behaviour = 'down'
-    this._say('configuration-service', { behaviour: 'down' })
+    this._print('configuration-service', { behaviour: 'down' })
     await pause(3_000)
     await fleet.start(killed)
-    this._say('restarted', { instance: killed.instance, while_service_is: 'down' })
+    this._print('restarted', { instance: killed.instance, while_service_is: 'down' })
     await pause(700)
     fleet.signal(frozen, 'SIGCONT')
-    this._say('thawed', { instance: frozen.instance })
+    this._print('thawed', { instance: frozen.instance })
     fleet.configuration.behaviour = 'normal'
     fleet.publishInstances()
-    this._say('configuration-service', { behaviour: 'normal' })
-    const serving = await this._serving(1, models, PATIENCE)
+    this._print('configuration-service', { behaviour: 'normal' })
+    const serving = await this._waitUntilServing(1, models, TIMEOUT_MILLISECONDS)
     this._timeToReplicas = Math.round(performance.now() - rolloutAt)
-    this._say('version-2', { serving, origin_copies: this._originCopies(), corrupted: corrupt.relay?.corrupted })
+    this._print('version-2', { serving, origin_copies: this._originCopies(), corrupted: corrupt.relay?.corrupted })
   }
 
   private _models (): Member[] {
     return this._fleet.agents.filter(member => member.kind === 'model')
   }
 
-  /** How many engines serve a version, waiting until all do. */
-  private async _serving (version: number, members: readonly Member[], patience: number): Promise<number> {
+  /** Waits until all engines serve a version. Returns the number of engines that do. */
+  private async _waitUntilServing (version: number, members: readonly Member[], timeout: number): Promise<number> {
     let serving = 0
-    await this._fleet.until(async () => {
-      serving = await this._count(version, members)
+    await this._fleet.waitUntil(async () => {
+      serving = await this._countServing(version, members)
       return serving === members.length
-    }, patience)
+    }, timeout)
     return serving
   }
 
-  private async _count (version: number, members: readonly Member[]): Promise<number> {
+  private async _countServing (version: number, members: readonly Member[]): Promise<number> {
     const ports = new Set(members.map(member => member.endpointPort))
     const { engines } = await this._fleet.journals()
     return engines.filter(engine => ports.has(engine.port) && engine.version === this._versions[version]?.digest).length
   }
 
-  /** Open-loop arrivals: each call is due at its time, whatever became of the ones before. */
+  /** Sends calls at fixed times that do not depend on earlier calls (open loop). */
   private async _burst (): Promise<void> {
     const calls: Promise<unknown>[] = []
     const startedAt = performance.now()
@@ -147,20 +147,20 @@
       const due = startedAt + index * 1000 / CALLS_PER_SECOND
       const wait = due - performance.now()
       if (wait > 0) await pause(wait)
-      calls.push(this._make(index, due))
+      calls.push(this._send(index, due))
     }
     await Promise.all(calls)
   }
 
-  private async _make (index: number, due: number): Promise<void> {
+  private async _send (index: number, due: number): Promise<void> {
     const call = this._call(index)
-    const id = call.neverRepeat === true ? await issueId(call.address) : call.id
+    const id = call.neverRepeat === true ? await obtainRequestId(call.address) : call.id
     if (id === undefined) {
       this._withoutId += 1
       return
     }
-    if (call.neverRepeat === true) this._issued.set(id, index)
-    this._records.push(await makeCall({ ...call, id, due }))
+    if (call.neverRepeat === true) this._issuedIds.set(id, index)
+    this._results.push(await makeCall({ ...call, id, due }))
   }
 
   private _call (index: number): Call {
@@ -177,44 +177,44 @@
     return { ...common, chat: { pool: POOL, prompt: `Plan rehearsal ${index % 40} for hall ${index % 7}`, tokens: 24, streamed: index % 2 === 0 } }
   }
 
-  /** Callers ask again with the same id, through another entry. */
-  private async _repeatSome (): Promise<void> {
-    const asked = this._records.filter(record => record.neverRepeat).slice(0, 60)
-    for (const [index, record] of asked.entries()) {
-      const number = this._issued.get(record.id) ?? 0
+  /** Repeats calls with the same id through another entry. */
+  private async _repeatCalls (): Promise<void> {
+    const neverRepeated = this._results.filter(record => record.neverRepeat).slice(0, 60)
+    for (const [index, record] of neverRepeated.entries()) {
+      const number = this._issuedIds.get(record.id) ?? 0
       const other = this._fleet.entries[(number + 1 + index) % this._fleet.entries.length]
       this._repeats.push(await makeCall({ ...this._call(number), id: record.id, address: other?.httpAddress ?? '' }))
     }
-    this._say('repeated-by-callers', { asked: asked.length, answered_again: this._repeats.filter(repeat => repeat.result === 'whole').length })
+    this._print('repeated-by-callers', { asked: neverRepeated.length, answered_again: this._repeats.filter(repeat => repeat.result === 'whole').length })
   }
 
-  private async _judge (): Promise<DemoSummary> {
+  private async _summarise (): Promise<DemoSummary> {
     const models = this._models()
-    const serving = await this._count(1, models)
+    const serving = await this._countServing(1, models)
     const { engines, plains } = await this._fleet.journals()
     const originCopies = this._originCopies()
     const runs = runsById(plains)
-    const count = (result: CallRecord['result']): number => this._records.filter(record => record.result === result).length
-    const neverRepeat = new Set(this._records.filter(record => record.neverRepeat).map(record => record.id))
+    const count = (result: CallRecord['result']): number => this._results.filter(record => record.result === result).length
+    const neverRepeat = new Set(this._results.filter(record => record.neverRepeat).map(record => record.id))
     const repeated = [...neverRepeat].filter(id => (runs.get(id) ?? 0) > 1).length
-    const untrue = untrueNotRun([...this._records, ...this._repeats], runs)
+    const falseNotRun = countFalseNotRun([...this._results, ...this._repeats], runs)
     const partial = engines.reduce((sum, engine) => sum + engine.journal.partialLoads, 0)
     const orphans = await this._fleet.stop()
-    this._explain()
-    const good = serving === models.length && repeated === 0 && untrue === 0 && count('mixed') === 0 && count('wrong') === 0 && partial === 0 && orphans === 0 && count('cut') === 0 && count('whole') > 0
+    this._printCodes()
+    const good = serving === models.length && repeated === 0 && falseNotRun === 0 && count('mixed') === 0 && count('wrong') === 0 && partial === 0 && orphans === 0 && count('cut') === 0 && count('whole') > 0
     return {
       result: good ? 'pass' : 'fail',
       replicas: serving,
       of: models.length,
       time_to_replicas_milliseconds: this._timeToReplicas,
       origin_copies: originCopies.toFixed(2),
-      answers_asked: this._records.length + this._withoutId,
+      answers_asked: this._results.length + this._withoutId,
       answers_whole: count('whole'),
       answers_refused: count('refused') + this._withoutId,
       answers_unknown: count('unknown'),
       answers_cut: count('cut'),
       answers_wrong: count('wrong'),
-      not_run_untrue: untrue,
+      not_run_untrue: falseNotRun,
       repeated,
       mixed_versions: count('mixed'),
       partial_loads: partial,
@@ -223,13 +223,13 @@
     }
   }
 
-  /** Says why calls did not get an answer, by code. */
-  private _explain (): void {
+  /** Prints the number of unanswered calls by code. */
+  private _printCodes (): void {
     const codes = new Map<string, number>()
-    for (const record of [...this._records, ...this._repeats]) {
+    for (const record of [...this._results, ...this._repeats]) {
       if (record.code !== '') codes.set(record.code, (codes.get(record.code) ?? 0) + 1)
     }
-    for (const [code, calls] of codes) this._say('code', { code, calls })
+    for (const [code, calls] of codes) this._print('code', { code, calls })
   }
 
   private _originCopies (): number {
@@ -246,7 +246,7 @@
     }
   }
 
-  private _say (event: string, fields: LogFields): void {
+  private _print (event: string, fields: LogFields): void {
     process.stdout.write(`${formatPairs({ event, at_milliseconds: Math.round(performance.now() - this._startedAt), ...fields })}\n`)
   }
 }
--- a/packages/benchmarks/src/lib/policy/virtual-engine.ts
+++ b/packages/benchmarks/src/lib/policy/virtual-engine.ts
@@ -4,8 +4,8 @@
  * SPDX-License-Identifier: BSD-3-Clause
  */
 /**
- * A batching engine in virtual time, as the users publish how theirs work: it plays passes, each of which admits what
- * waits, reads prompts up to a limit, and lets every request that has been read write some tokens.
+ * A batching engine in virtual time that follows the users' published description of theirs. It runs passes; each admits
+ * waiting requests, prefills prompts up to a token limit, and generates some tokens for every request whose prompt has been read.
  */
 import { readRate, stepTime, type EngineWork, type PoolDescription } from '@drumdrift/core'
 import type { VirtualTime } from './virtual-time.js'
@@ -14,42 +14,42 @@
 export interface EngineJob {
   readonly promptTokens: number
   readonly answerTokens: number
-  readonly onFirst: () => void
+  readonly onFirstToken: () => void
   readonly onEnd: () => void
 }
 
-interface Running {
+interface RunningJob {
   readonly job: EngineJob
   unread: number
   left: number
 }
 
-/** One engine. */
+/** A simulated engine with continuous batching. */
 export class VirtualEngine {
   private readonly _waiting: EngineJob[] = []
-  private _running: Running[] = []
+  private _running: RunningJob[] = []
   private _busy = false
-  /** Whether it takes new work. */
+  /** Whether the engine accepts new requests. */
   accepting = true
 
   constructor (private readonly _pool: PoolDescription, private readonly _time: VirtualTime) {}
 
-  /** Takes a request; false when it is closed. */
+  /** Queues a request. Returns false if the engine does not accept requests. */
   send (job: EngineJob): boolean {
     if (!this.accepting) return false
     this._waiting.push(job)
-    if (!this._busy) this._pass()
+    if (!this._busy) this._startPass()
     return true
   }
 
-  /** What it tells of itself. Requests count as running from their admission on, as the users' engines count them. */
-  reading (): { running: number, waiting: number, contextTokens: number } {
+  /** The load that the engine reports. Requests count as running from their admission on, as in the users' engines. */
+  reportedLoad (): { running: number, waiting: number, contextTokens: number } {
     const contextTokens = this._running.reduce((sum, { job, left }) => sum + job.promptTokens + job.answerTokens - left, 0)
     return { running: this._running.length, waiting: this._waiting.length, contextTokens }
   }
 
-  /** All that it has to do, as nobody outside can see it. */
-  work (): EngineWork {
+  /** The exact remaining work, which is not visible outside the engine. */
+  remainingWork (): EngineWork {
     const unread = this._running.filter(each => each.unread > 0)
     return {
       running: this._running.length - unread.length,
@@ -58,16 +58,16 @@
     }
   }
 
-  private _pass (): void {
+  private _startPass (): void {
     this._admit()
     this._busy = this._running.length > 0
     if (!this._busy) return
-    const writers = this._running.filter(({ unread }) => unread === 0)
-    const readers = this._running.filter(({ unread }) => unread > 0)
-    const steps = writers.length > 0 ? this._pool.stride : 1
-    const read = readPrompts(readers, this._pool.promptTokensPerStep * steps)
-    const duration = read / readRate(this._pool) + steps * stepTime(this._pool, writers.length)
-    this._time.after(duration, () => this._passEnds(writers, readers))
+    const generating = this._running.filter(({ unread }) => unread === 0)
+    const prefilling = this._running.filter(({ unread }) => unread > 0)
+    const steps = generating.length > 0 ? this._pool.stride : 1
+    const read = readPrompts(prefilling, this._pool.promptTokensPerStep * steps)
+    const duration = read / readRate(this._pool) + steps * stepTime(this._pool, generating.length)
+    this._time.after(duration, () => this._endPass(generating, prefilling))
   }
 
   private _admit (): void {
@@ -78,23 +78,23 @@
     }
   }
 
-  private _passEnds (writers: readonly Running[], readers: readonly Running[]): void {
-    for (const writer of writers) writer.left = Math.max(0, writer.left - this._pool.stride)
+  private _endPass (generating: readonly RunningJob[], prefilling: readonly RunningJob[]): void {
+    for (const request of generating) request.left = Math.max(0, request.left - this._pool.stride)
     const ended = this._running.filter(({ unread, left }) => unread === 0 && left === 0)
     this._running = this._running.filter(running => !ended.includes(running))
-    for (const { job } of readers.filter(({ unread }) => unread === 0)) job.onFirst()
+    for (const { job } of prefilling.filter(({ unread }) => unread === 0)) job.onFirstToken()
     for (const { job } of ended) job.onEnd()
-    this._pass()
+    this._startPass()
   }
 }
 
-/** Reads prompts in the order of their admission. Returns the tokens read. */
-function readPrompts (readers: readonly Running[], most: number): number {
-  let left = most
-  for (const reader of readers) {
-    const read = Math.min(left, reader.unread)
-    reader.unread -= read
-    left -= read
+/** Prefills prompts in the order of their admission. Returns the number of tokens read. */
+function readPrompts (prefilling: readonly RunningJob[], maxTokens: number): number {
+  let remaining = maxTokens
+  for (const request of prefilling) {
+    const read = Math.min(remaining, request.unread)
+    request.unread -= read
+    remaining -= read
   }
-  return most - left
+  return maxTokens - remaining
 }
--- a/packages/benchmarks/src/test/whole-path_test.ts
+++ b/packages/benchmarks/src/test/whole-path_test.ts
@@ -9,11 +9,11 @@
 import OpenAI from 'openai'
 import { askHttp } from 'drumdrift'
 import { expectedText, generateVersion } from '@drumdrift/stand-ins'
-import { issueId, makeCall, type Call } from '../lib/callers.js'
+import { obtainRequestId, makeCall, type Call } from '../lib/callers.js'
 import { callerKey, Fleet, OPERATOR_KEY, organisations } from '../lib/fleet.js'
 
 const version = generateVersion({ model: 'chat', version: 'v1', chunks: 8, chunkBytes: 16_384, seed: 1 })
-const PATIENCE = 30_000
+const TIMEOUT_MILLISECONDS = 30_000
 let fleet: Fleet
 
 function configurationOf (extra: object = {}): Parameters<Fleet['publish']>[0] {
@@ -43,7 +43,7 @@
   return answer.body.toString()
 }
 
-describe('the whole path, as separate processes', { timeout: 120_000 }, () => {
+describe('entries, agents and endpoints as separate processes', { timeout: 120_000 }, () => {
   before(async () => {
     fleet = await Fleet.prepare({
       availabilityZones: ['koshi'],
@@ -57,9 +57,9 @@
     fleet.publish(configurationOf())
     fleet.publishInstances()
     await fleet.startAll()
-    assert.ok(await fleet.untilUp(PATIENCE))
-    assert.ok(await fleet.until(async () => (await fleet.journals()).engines.every(engine => engine.version === version.digest), PATIENCE))
-    assert.ok(await fleet.until(async () => (await post('/services/booking/halls', '')).status === 200, PATIENCE))
+    assert.ok(await fleet.waitUntilUp(TIMEOUT_MILLISECONDS))
+    assert.ok(await fleet.waitUntil(async () => (await fleet.journals()).engines.every(engine => engine.version === version.digest), TIMEOUT_MILLISECONDS))
+    assert.ok(await fleet.waitUntil(async () => (await post('/services/booking/halls', '')).status === 200, TIMEOUT_MILLISECONDS))
   })
   after(async () => {
     assert.equal(await fleet.stop(), 0, 'no process is left behind')
@@ -78,35 +78,35 @@
     assert.deepEqual(models.data.map(model => model.id), ['drafting'])
   })
 
-  const bad: [name: string, path: string, body: string, headers: Record<string, string>, status: number, code: string][] = [
+  const invalidRequests: [name: string, path: string, body: string, headers: Record<string, string>, status: number, code: string][] = [
     ['an unknown model', '/v1/chat/completions', '{"model":"x","messages":[{}]}', {}, 404, 'unknown-model'],
     ['an unknown organisation', '/v1/chat/completions', '{}', { authorization: 'Bearer no' }, 401, 'unknown-organisation'],
     ['an oversized body', '/v1/chat/completions', 'x'.repeat(70_000), {}, 413, 'body-too-large'],
-    ['a deadline already past', '/services/booking/halls', '', { 'x-deadline-milliseconds': '0' }, 408, 'deadline-passed'],
-    ['a body that is no JSON', '/v1/chat/completions', '{{{', {}, 400, 'bad-request']
+    ['an expired deadline', '/services/booking/halls', '', { 'x-deadline-milliseconds': '0' }, 408, 'deadline-passed'],
+    ['a body that is not JSON', '/v1/chat/completions', '{{{', {}, 400, 'bad-request']
   ]
-  for (const [name, path, body, headers, status, code] of bad) {
-    it(`answers ${name} with ${status} ${code}, and serves on`, async () => {
+  for (const [name, path, body, headers, status, code] of invalidRequests) {
+    it(`answers ${name} with ${status} ${code} and continues to serve`, async () => {
       assert.deepEqual(await post(path, body, headers), { status, code })
       assert.equal((await post('/services/booking/halls', '')).status, 200)
     })
   }
 
-  it('survives garbage on the port between processes', async () => {
-    for (const garbage of ['GET / HTTP/1.1\r\n\r\n', '\0\0\0\x01\0\0\0\0\xff', 'x'.repeat(100_000)]) {
+  it('continues to serve after invalid data on the peer port', async () => {
+    for (const data of ['GET / HTTP/1.1\r\n\r\n', '\0\0\0\x01\0\0\0\0\xff', 'x'.repeat(100_000)]) {
       const [host, port] = (fleet.agents[0]?.address ?? '').split(':')
       const socket = createConnection({ host, port: Number(port) })
       await new Promise(resolve => {
         socket.on('error', resolve).on('close', resolve)
-        socket.write(garbage, 'latin1')
+        socket.write(data, 'latin1')
         setTimeout(() => socket.destroy(), 300)
       })
     }
     assert.notEqual(await fleet.status(fleet.agents[0] as never), undefined)
   })
 
-  it('runs a request that may not repeat once, also when its id comes again through the other entry', async () => {
-    const id = await issueId(entryAddress()) ?? ''
+  it('runs a request that must not repeat once, even if its id is sent again through the other entry', async () => {
+    const id = await obtainRequestId(entryAddress()) ?? ''
     const call: Call = { id, organisation: 'hall-1', address: entryAddress(), plain: { service: 'booking', method: 'POST', path: '/notices', body: '{}' }, neverRepeat: true }
     const first = await makeCall(call)
     assert.equal(first.result, 'whole', first.code)
@@ -117,7 +117,7 @@
     assert.equal(await runsOf(id), 1)
   })
 
-  it('says of a caller\'s own id that its history is unknown while keepers are young', async () => {
+  it('answers history-unknown to a caller\'s own id while its keepers have just started', async () => {
     const call: Call = { id: 'my-own-id', organisation: 'hall-1', address: entryAddress(), plain: { service: 'booking', method: 'POST', path: '/notices', body: '{}' }, neverRepeat: true }
     const record = await makeCall(call)
     assert.deepEqual([record.result, record.code], ['unknown', 'history-unknown'])
@@ -125,7 +125,7 @@
     assert.equal(await runsOf('my-own-id'), 0)
   })
 
-  it('answers operators, and only those', async () => {
+  it('answers operators and rejects other callers', async () => {
     const shown = await operator('show agents where pool = drafting')
     assert.equal(shown.split('\n').filter(line => line.includes('state=serving')).length, 2)
     assert.match(shown, /event=view shown=2 unseen=0 revision=1/)
@@ -136,7 +136,7 @@
     assert.equal(refused.status, 403)
   })
 
-  it('drains an agent by order: no new work, and the order hits only its incarnation', async () => {
+  it('drains an agent by order, sends it no new requests and rejects an order for another incarnation', async () => {
     assert.match(await operator('drain agent-1 incarnation agent-1.000000'), /reason=wrong-incarnation/)
     assert.match(await operator('drain agent-1'), /event=left .*lifecycle=draining/)
     assert.match(await operator('drain agent-1'), /event=left .*lifecycle=draining/, 'a repeat changes nothing')
@@ -149,21 +149,21 @@
     assert.ok(records.every(record => drained?.journal.runs[record.id] === undefined))
   })
 
-  it('refuses an invalid configuration whole and keeps the old one', async () => {
+  it('rejects an invalid configuration completely and keeps the old one', async () => {
     fleet.publish({ pools: { drafting: { model: 'none', version: 'v1', switchFraction: 1, slots: 1, originCopies: 1 } } })
     await new Promise(resolve => setTimeout(resolve, 500))
     assert.equal((await fleet.status(fleet.entries[0] as never))?.revisions.configuration, 1)
     fleet.publish(configurationOf({ organisations: organisations({ 'hall-1': 2 }) }))
-    assert.ok(await fleet.until(async () => (await Promise.all(fleet.members.map(async member => await fleet.status(member)))).every(status => status?.revisions.configuration === 3), 9_000))
+    assert.ok(await fleet.waitUntil(async () => (await Promise.all(fleet.members.map(async member => await fleet.status(member)))).every(status => status?.revisions.configuration === 3), 9_000))
   })
 
-  it('ends requests in progress before it stops', async () => {
+  it('completes requests in progress before it stops', async () => {
     const call = makeCall({ id: 'long', organisation: 'hall-1', address: entryAddress(), chat: { pool: 'drafting', prompt: 'long', tokens: 100, streamed: true } })
     await new Promise(resolve => setTimeout(resolve, 200))
     fleet.signal(fleet.entries[0] as never, 'SIGTERM')
     fleet.signal(fleet.member('agent-2'), 'SIGTERM')
     assert.equal((await call).result, 'whole')
-    assert.equal(await fleet.exited(fleet.entries[0] as never), 0)
-    assert.equal(await fleet.exited(fleet.member('agent-2')), 0)
+    assert.equal(await fleet.waitForExit(fleet.entries[0] as never), 0)
+    assert.equal(await fleet.waitForExit(fleet.member('agent-2')), 0)
   })
 })
