--- a/packages/benchmarks/src/lib/demo-run.ts
+++ b/packages/benchmarks/src/lib/demo-run.ts
@@ -116,7 +116,7 @@
     this._print('configuration-service', { behaviour: 'normal' })
     const serving = await this._waitUntilServing(1, models, TIMEOUT_MILLISECONDS)
     this._timeToReplicas = Math.round(performance.now() - rolloutAt)
-    this._print('version-2', { serving, origin_copies: this._originCopies(), corrupted: corrupt.relay?.corrupted })
+    this._print('version-2', { serving, origin_copies: this._originCopies(), corrupted: corrupt.relay?.corruptedBlocks })
   }
 
   private _models (): Member[] {
--- a/packages/benchmarks/src/lib/policy/policies.ts
+++ b/packages/benchmarks/src/lib/policy/policies.ts
@@ -4,7 +4,7 @@
  * SPDX-License-Identifier: BSD-3-Clause
  */
 /** Engine selection policies that the simulation compares: the product's own, earlier versions of it, and baselines. */
-import { decideStart, EndpointChooser, firstTokenTime, type Choice, type EndpointRecord, type EngineWork, type LoadReport, type PoolDescription, type ServiceDescription } from '@drumdrift/core'
+import { decideAdmission, EndpointChooser, firstTokenTime, type ChosenEndpoint, type EndpointRecord, type EngineWork, type LoadReport, type PoolDescription, type ServiceDescription } from '@drumdrift/core'
 
 /** The names of the selection policies. */
 export const policyNames = ['by-room', 'soonest', 'soonest-unread-unknown', 'least-connections', 'random', 'sees-all'] as const
@@ -45,7 +45,7 @@
 class ChooserPolicy implements EntryPolicy {
   private readonly _chooser: EndpointChooser
   private readonly _service: ServiceDescription
-  private readonly _choices = new Map<string, Choice>()
+  private readonly _choices = new Map<string, ChosenEndpoint>()
 
   constructor (inputs: PolicyInputs, private readonly _filterReport: (report: LoadReport) => LoadReport) {
     this._chooser = new EndpointChooser({ availabilityZone: ZONE, regionOf: zone => zone }, inputs.random)
@@ -56,7 +56,7 @@
   choose (request: RoutedRequest, tried: ReadonlySet<number>, now: number): number | undefined {
     const requirements = { promptTokens: request.promptTokens, answerTokens: 0, model: MODEL, leastVersion: 0, mustBeginBy: () => undefined, usualObjective: request.objective, tried: new Set([...tried].map(String)) }
     const choice = this._chooser.choose(this._service, requirements, now)
-    if (choice === undefined || decideStart({ expected: choice.expectedOfUsual, objective: request.objective, usualObjective: request.objective }).type === 'refuse') return undefined
+    if (choice === undefined || decideAdmission({ expected: choice.expectedOfUsual, objective: request.objective, usualObjective: request.objective }).type === 'refuse') return undefined
     this._chooser.sent(choice, request.id, request.promptTokens, now)
     this._choices.set(request.id, choice)
     return Number(choice.record.id)
@@ -68,7 +68,7 @@
 
   responseEnded (engine: number, { id }: RoutedRequest, outcome: 'served' | 'refused', now: number): void {
     this._choices.delete(id)
-    if (outcome === 'refused') this._chooser.avoid(String(engine), 'refused', now)
+    if (outcome === 'refused') this._chooser.skip(String(engine), 'refused', now)
     this._chooser.ended(String(engine), id, outcome === 'served' ? 'good' : 'unclear', now)
   }
 
--- a/packages/benchmarks/src/lib/policy/policy-model.ts
+++ b/packages/benchmarks/src/lib/policy/policy-model.ts
@@ -7,7 +7,7 @@
  * Simulates a pool behind several entries in virtual time: callers, entries that choose engines, engines, and the agents' load
  * reports. It compares selection policies. Networks, links and weights are not modelled.
  */
-import { type EngineWork, type PoolDescription, readRate, retryAfter, UnreadTokens } from '@drumdrift/core'
+import { type EngineWork, type PoolDescription, prefillRate, retryAfter, UnreadTokenEstimator } from '@drumdrift/core'
 import { quantile } from '../bench-options.js'
 import { seededRandom } from '@drumdrift/stand-ins'
 import { entryPolicies, type EntryPolicy, type RoutedRequest, type PolicyName } from './policies.js'
@@ -203,7 +203,7 @@
 
   /** Starts an agent's loop, which reads its engine and sends load reports to the entries that follow it. */
   private _startReporting (engine: VirtualEngine, index: number): void {
-    const estimator = new UnreadTokens()
+    const estimator = new UnreadTokenEstimator()
     const followers = this._entries.filter((_, entry) => this._followed[entry]?.has(index))
     const sentRate = followers.length * this._run.perSecond / 1_000 / this._site.entries / this._site.followed
     const pause = reportSchedules[this._run.reportSchedule ?? 'each-look'](this._run.perSecond / 1_000 / this._site.entries)
@@ -211,7 +211,7 @@
     const isDue = (entry: EntryPolicy): boolean => this._time.now - (reportedAt.get(entry) ?? -Infinity) >= pause - READING_INTERVAL_MILLISECONDS / 2
     const readAndReport = (): void => {
       const { running, waiting, contextTokens } = engine.reportedLoad()
-      const unreadTokens = estimator.observe({ running, contextTokens }, readRate(this._site.pool), this._time.now)
+      const unreadTokens = estimator.observe({ running, contextTokens }, prefillRate(this._site.pool), this._time.now)
       const report = { running, waiting, unreadTokens, version: 1, accepting: engine.accepting, pace: 1, sentRate }
       const recipients = followers.filter(isDue)
       for (const entry of recipients) reportedAt.set(entry, this._time.now)
--- a/packages/benchmarks/src/lib/policy/virtual-engine.ts
+++ b/packages/benchmarks/src/lib/policy/virtual-engine.ts
@@ -7,7 +7,7 @@
  * A batching engine in virtual time that follows the users' published description of theirs. It runs passes; each admits
  * waiting requests, prefills prompts up to a token limit, and generates some tokens for every request whose prompt has been read.
  */
-import { readRate, stepTime, type EngineWork, type PoolDescription } from '@drumdrift/core'
+import { prefillRate, stepTime, type EngineWork, type PoolDescription } from '@drumdrift/core'
 import type { VirtualTime } from './virtual-time.js'
 
 /** A request at an engine. */
@@ -66,7 +66,7 @@
     const prefilling = this._running.filter(({ unread }) => unread > 0)
     const steps = generating.length > 0 ? this._pool.stride : 1
     const read = readPrompts(prefilling, this._pool.promptTokensPerStep * steps)
-    const duration = read / readRate(this._pool) + steps * stepTime(this._pool, generating.length)
+    const duration = read / prefillRate(this._pool) + steps * stepTime(this._pool, generating.length)
     this._time.after(duration, () => this._endPass(generating, prefilling))
   }
 
--- a/packages/benchmarks/src/lib/retries/retry-model.ts
+++ b/packages/benchmarks/src/lib/retries/retry-model.ts
@@ -7,7 +7,7 @@
  * Simulates a fleet whose endpoints refuse a share of the attempts while its entries restart repeatedly. Measures the load that retries
  * add to the service, against the bound that its operators set, and the share of requests that are served.
  */
-import { FleetSize, RetryAllowance, RetryBudget, type RetryTerms } from '@drumdrift/core'
+import { FleetSize, RetryAllowance, RetryBudget, type RetryLimits } from '@drumdrift/core'
 import { seededRandom } from '@drumdrift/stand-ins'
 
 /** The time window for which the bound holds, in milliseconds. */
@@ -17,7 +17,7 @@
 export interface RetryFleet {
   readonly entries: number
   readonly perSecond: number
-  readonly limits: RetryTerms
+  readonly limits: RetryLimits
 }
 
 /** Fleets of three sizes, with retry limits as operators set them for such sizes. */
--- a/packages/benchmarks/src/lib/rollout-bench.ts
+++ b/packages/benchmarks/src/lib/rollout-bench.ts
@@ -70,7 +70,7 @@
     allowed_origin_copies: options.originCopies,
     megabytes: CHUNKS * CHUNK_BYTES / MEBIBYTE,
     partial_loads: engines.reduce((sum, engine) => sum + engine.journal.partialLoads, 0),
-    corrupted: fleet.agents.reduce((sum, member) => sum + (member.relay?.corrupted ?? 0), 0)
+    corrupted: fleet.agents.reduce((sum, member) => sum + (member.relay?.corruptedBlocks ?? 0), 0)
   })
   await fleet.stop()
   return times.length === live.length
--- a/packages/benchmarks/src/lib/suspects/suspect-model.ts
+++ b/packages/benchmarks/src/lib/suspects/suspect-model.ts
@@ -8,7 +8,7 @@
  * requests. Measures how many endpoints crash, how many ordinary requests go unserved or are wrongly held back, and when the last fatal
  * request is sent.
  */
-import { SuspectRequests, type Standing, type SuspectNews } from '@drumdrift/core'
+import { SuspectRequests, type SuspectStatus, type SuspectNews } from '@drumdrift/core'
 import { VirtualTime } from '../policy/virtual-time.js'
 import { seededRandom } from '@drumdrift/stand-ins'
 
@@ -56,12 +56,12 @@
 
 /** Never suspects a request. */
 class NeverSuspects extends SuspectRequests {
-  override standing (): Standing { return 'clear' }
+  override standing (): SuspectStatus { return 'clear' }
 }
 
 /** Recognises fatal requests in advance. */
 class Omniscient extends SuspectRequests {
-  override standing (fingerprint: string): Standing { return fingerprint.startsWith(FATAL) ? 'held-back' : 'clear' }
+  override standing (fingerprint: string): SuspectStatus { return fingerprint.startsWith(FATAL) ? 'held-back' : 'clear' }
 }
 
 interface Policy {
--- a/packages/benchmarks/src/test/whole-path_test.ts
+++ b/packages/benchmarks/src/test/whole-path_test.ts
@@ -7,7 +7,7 @@
 import { createConnection } from 'node:net'
 import { after, before, describe, it } from 'node:test'
 import OpenAI from 'openai'
-import { askHttp } from 'drumdrift'
+import { requestHttp } from 'drumdrift'
 import { expectedText, generateVersion } from '@drumdrift/stand-ins'
 import { obtainRequestId, makeCall, type Call } from '../lib/callers.js'
 import { callerKey, Fleet, OPERATOR_KEY, organisations } from '../lib/fleet.js'
@@ -29,7 +29,7 @@
 function entryAddress (index = 0): string { return fleet.entries[index]?.httpAddress ?? '' }
 
 async function post (path: string, body: string, headers: Record<string, string> = {}): Promise<{ status: number, code: string }> {
-  const answer = await askHttp(entryAddress(), { method: 'POST', path, body, headers: { authorization: `Bearer ${callerKey('hall-1')}`, ...headers } })
+  const answer = await requestHttp(entryAddress(), { method: 'POST', path, body, headers: { authorization: `Bearer ${callerKey('hall-1')}`, ...headers } })
   return { status: answer.status, code: /"code":"([a-z-]+)"/.exec(answer.body.toString())?.[1] ?? '' }
 }
 
@@ -39,7 +39,7 @@
 }
 
 async function operator (text: string): Promise<string> {
-  const answer = await askHttp(entryAddress(), { method: 'POST', path: '/operator/ask?format=pairs', body: text, headers: { authorization: `Bearer ${OPERATOR_KEY}` } })
+  const answer = await requestHttp(entryAddress(), { method: 'POST', path: '/operator/ask?format=pairs', body: text, headers: { authorization: `Bearer ${OPERATOR_KEY}` } })
   return answer.body.toString()
 }
 
@@ -132,7 +132,7 @@
     assert.match(await operator('shwo agents'), /event=mistake position=1 .*nearby=show/)
     assert.match(await operator('rollout drafting to v9'), /event=refused reason=invalid detail=".*no version v9"/)
     assert.match(await operator('drain agent-2 lasting'), /"madeFrom":1,.*"draining":\["agent-2"\]/)
-    const refused = await askHttp(entryAddress(), { method: 'POST', path: '/operator/ask', body: 'help', headers: { authorization: 'Bearer wrong' } })
+    const refused = await requestHttp(entryAddress(), { method: 'POST', path: '/operator/ask', body: 'help', headers: { authorization: 'Bearer wrong' } })
     assert.equal(refused.status, 403)
   })
 
--- a/packages/core/src/lib/admission.ts
+++ b/packages/core/src/lib/admission.ts
@@ -43,7 +43,7 @@
 const refusalsBySparedReason: Record<SparedFor, AdmissionRefusal> = { leaving: 'leaving', limited: 'busy', resting: 'busy' }
 
 /** The admission control of one agent. */
-export class AdmissionDoor {
+export class AdmissionController {
   private readonly _tickets = new Map<string, Ticket>()
   private readonly _runs = new Set<number>()
   private _nextTicket = 1
--- a/packages/core/src/lib/choice.ts
+++ b/packages/core/src/lib/choice.ts
@@ -114,7 +114,7 @@
   }
 
   /** Records a status that was received with an answer. */
-  heard (instance: string, status: EndpointStatus): void {
+  updateStatus (instance: string, status: EndpointStatus): void {
     const state = this._endpointState(instance)
     state.status = status
     state.inFlightAtReport = state.inFlight
--- a/packages/core/src/lib/concurrency-limit.ts
+++ b/packages/core/src/lib/concurrency-limit.ts
@@ -34,7 +34,7 @@
   get limit (): number { return Math.floor(this._limit) }
 
   /** Sets the upper bound: the total number of slots. */
-  setMost (maximum: number): void {
+  setMaximum (maximum: number): void {
     this._maximum = Math.max(this._minimum, maximum)
     this._limit = this._refused ? Math.min(this._limit, this._maximum) : this._maximum
   }
--- a/packages/core/src/lib/engine-switch.ts
+++ b/packages/core/src/lib/engine-switch.ts
@@ -10,7 +10,7 @@
  * Before an agent sends any load order, it takes the engine over with a fencing token above the engine's last one. The
  * engine then refuses orders from an earlier agent that resumes late, which tells that agent that it has been replaced.
  */
-import type { AdmissionDoor } from './admission.js'
+import type { AdmissionController } from './admission.js'
 import type { InstanceRecord } from './documents.js'
 import { previousWave, SwitchGate, type SwitchProgress } from './rollout.js'
 
@@ -35,14 +35,14 @@
 }
 
 /** The inputs to a decision of the agent. */
-export interface SwitchSituation {
+export interface SwitchInputs {
   readonly target: SwitchTarget | undefined
   /** The manifest digest of the version that is held completely and verified; empty for none. */
   readonly wholeDigest: string
   /** The members of the pool that are listed as live. */
   readonly members: readonly InstanceRecord[]
   /** The configured digests of the pool's model. Only these may be served. */
-  readonly knownDigests: ReadonlySet<string>
+  readonly configuredDigests: ReadonlySet<string>
 }
 
 /** The result of a load order. `refused-here`: the agent found that the engine lost chunks and sent no order. */
@@ -102,7 +102,7 @@
    * @param _admission The admission control, closed while the engine switches or serves no configured version.
    * @param now The start time of the agent.
    */
-  constructor (private readonly _self: string, private readonly _admission: AdmissionDoor, now: number) {
+  constructor (private readonly _self: string, private readonly _admission: AdmissionController, now: number) {
     this._lastStepAt = now
   }
 
@@ -123,7 +123,7 @@
   }
 
   /** Records the progress that a predecessor reported. */
-  heard (instance: string, progress: SwitchProgress, now: number): void {
+  progressReported (instance: string, progress: SwitchProgress, now: number): void {
     this._gate.report(instance, progress, now)
   }
 
@@ -134,14 +134,14 @@
    * @example
    * for (const effect of engineSwitch.step(await engine.state(), situation, now)) carryOut(effect)
    */
-  step (report: EngineReport | undefined, situation: SwitchSituation, now: number): SwitchEffect[] {
+  step (report: EngineReport | undefined, situation: SwitchInputs, now: number): SwitchEffect[] {
     this._report = report
     const gap = now - this._lastStepAt
     this._lastStepAt = now
     if (this._replaced) return []
     if (this._fence === 0) return this._takeOver(report, gap)
     if (report !== undefined && report.fence > this._fence) return this._stopReplaced(report.fence)
-    const effects = this._observe(situation.knownDigests, now)
+    const effects = this._observe(situation.configuredDigests, now)
     return [...effects, ...this._advance(situation, now)]
   }
 
@@ -149,7 +149,7 @@
    * Processes the result of a take-over. A stale fence means that another agent took over first. Only the platform knows
    * which of the two is older, so this one stops.
    */
-  tookOver (fence: number, result: TakeOverResult, now: number): SwitchEffect[] {
+  takeOverAnswered (fence: number, result: TakeOverResult, now: number): SwitchEffect[] {
     if (result === 'stale-fence') return this._stopReplaced(fence)
     if (result === 'unreachable' || this._replaced) return []
     this._fence = fence
@@ -177,9 +177,9 @@
    * Opens admission only while the engine reports a configured version and loads no other, and checks for the end of an
    * ordered load.
    */
-  private _observe (knownDigests: ReadonlySet<string>, now: number): SwitchEffect[] {
+  private _observe (configuredDigests: ReadonlySet<string>, now: number): SwitchEffect[] {
     const report = this._report
-    const configured = report !== undefined && report.version !== '' && knownDigests.has(report.version)
+    const configured = report !== undefined && report.version !== '' && configuredDigests.has(report.version)
     this._admission.setServing(configured && report.loading === '')
     if (report === undefined || this._orderedDigest === '' || report.loading !== '') return []
     const digest = this._orderedDigest
@@ -187,7 +187,7 @@
     return report.failed === digest ? this._fail(digest, now) : []
   }
 
-  private _advance (situation: SwitchSituation, now: number): SwitchEffect[] {
+  private _advance (situation: SwitchInputs, now: number): SwitchEffect[] {
     const { target, wholeDigest } = situation
     const report = this._report
     if (target === undefined || report === undefined || this._orderedDigest !== '' || report.loading !== '') return []
--- a/packages/core/src/lib/fair-queue.ts
+++ b/packages/core/src/lib/fair-queue.ts
@@ -16,7 +16,7 @@
 const classWeights: Record<RequestClass, number> = { interactive: 4, batch: 1 }
 
 /** A queued request. */
-export interface Waiting<Item> {
+export interface QueuedRequest<Item> {
   readonly item: Item
   readonly organisation: string
   readonly requestClass: RequestClass
@@ -27,7 +27,7 @@
 }
 
 interface Flow<Item> {
-  readonly waiting: Waiting<Item>[]
+  readonly waiting: QueuedRequest<Item>[]
   finishTag: number
 }
 
@@ -65,13 +65,13 @@
    * @example
    * queue.add(request, { organisation: 'hall-1', requestClass: 'interactive', weight: 4, now, deadline: now + 2_000 })
    */
-  add (item: Item, options: { organisation: string, requestClass: RequestClass, weight: number, now: number, deadline: number }): Waiting<Item> {
+  add (item: Item, options: { organisation: string, requestClass: RequestClass, weight: number, now: number, deadline: number }): QueuedRequest<Item> {
     const key = flowKey(options.organisation, options.requestClass)
     const flow = this._flows.get(key) ?? { waiting: [], finishTag: 0 }
     this._flows.set(key, flow)
     const startTag = Math.max(this._virtualTime, flow.finishTag)
     flow.finishTag = startTag + 1 / (options.weight * classWeights[options.requestClass])
-    const waiting: Waiting<Item> = { item, organisation: options.organisation, requestClass: options.requestClass, enqueuedAt: options.now, deadline: options.deadline, startTag }
+    const waiting: QueuedRequest<Item> = { item, organisation: options.organisation, requestClass: options.requestClass, enqueuedAt: options.now, deadline: options.deadline, startTag }
     flow.waiting.push(waiting)
     this._size += 1
     return waiting
@@ -82,8 +82,8 @@
    *
    * @param ready Returns false for organisations to skip because they are at their own limit.
    */
-  take (ready: (organisation: string) => boolean = () => true): Waiting<Item> | undefined {
-    let best: { key: string, flow: Flow<Item>, first: Waiting<Item> } | undefined
+  take (ready: (organisation: string) => boolean = () => true): QueuedRequest<Item> | undefined {
+    let best: { key: string, flow: Flow<Item>, first: QueuedRequest<Item> } | undefined
     for (const [key, flow] of this._flows) {
       const first = flow.waiting[0]
       if (first === undefined || !ready(first.organisation)) continue
@@ -98,7 +98,7 @@
   }
 
   /** Removes a request whose caller disconnected. Returns whether it was still queued. */
-  remove (waiting: Waiting<Item>): boolean {
+  remove (waiting: QueuedRequest<Item>): boolean {
     const key = flowKey(waiting.organisation, waiting.requestClass)
     const flow = this._flows.get(key)
     const index = flow?.waiting.indexOf(waiting) ?? -1
@@ -110,8 +110,8 @@
   }
 
   /** Removes and returns the requests whose deadline has passed. */
-  expire (now: number): Waiting<Item>[] {
-    const expired: Waiting<Item>[] = []
+  expire (now: number): QueuedRequest<Item>[] {
+    const expired: QueuedRequest<Item>[] = []
     for (const flow of this._flows.values()) expired.push(...flow.waiting.filter(waiting => waiting.deadline <= now))
     for (const waiting of expired) this.remove(waiting)
     return expired
--- a/packages/core/src/lib/messages.ts
+++ b/packages/core/src/lib/messages.ts
@@ -14,10 +14,10 @@
 import type { Lifecycle } from './lifecycle.js'
 import type { SwitchProgress } from './rollout.js'
 import type { SuspectNews } from './routing/attempts/suspect-requests.js'
-import type { LimitNews } from './routing/limits/limit-book.js'
+import type { LimitNews } from './routing/limits/limit-statements.js'
 import type { LoadReport } from './routing/choice/endpoint-load.js'
 import type { ModelVersion } from './routing/published/endpoint-record.js'
-import type { PublishedNote, PublishedTopic } from './routing/published/published-change.js'
+import type { PublishedRevisions, PublishedTopic } from './routing/published/published-change.js'
 import type { SpreadDocuments, SpreadNote, Topic } from './spread.js'
 
 /** The protocol version, incremented for each change to the messages that older processes would misinterpret. */
@@ -60,9 +60,9 @@
 export interface RelayNote {
   readonly availabilityZone: string
   /** The store revision up to which it has followed each topic. */
-  readonly followed: PublishedNote
+  readonly followed: PublishedRevisions
   /** The revision of the newest document that it holds for each topic. */
-  readonly held: PublishedNote
+  readonly held: PublishedRevisions
   /** Whether it reads the operators' documents directly from the store and the store responds. */
   readonly fresh: boolean
 }
@@ -88,7 +88,7 @@
   | { readonly type: 'progress', readonly digest: string }
   | { readonly type: 'status' }
   /** Requests published state newer than `note`, of the given topics or of all topics if none are given. */
-  | { readonly type: 'news', readonly note: PublishedNote, readonly topics?: readonly PublishedTopic[] | undefined }
+  | { readonly type: 'news', readonly note: PublishedRevisions, readonly topics?: readonly PublishedTopic[] | undefined }
   /** Subscribes to the revisions of published state that a relay holds, for the lifetime of the connection. */
   | { readonly type: 'follow-news' }
   /**
--- a/packages/core/src/lib/routing/attempts/attempt-course.ts
+++ b/packages/core/src/lib/routing/attempts/attempt-tracker.ts
@@ -24,7 +24,7 @@
   | { readonly type: 'stalled', readonly detail: string }
 
 /** The action to take after an attempt ends. */
-export type NextStep =
+export type NextAction =
   | { readonly type: 'pass-on' }
   | { readonly type: 'try-next' }
   /** Resume at another endpoint after the last event forwarded to the caller. */
@@ -47,9 +47,9 @@
 }
 
 /** Status codes below this one are successes. */
-export const LEAST_UNSUCCESSFUL_STATUS = 300
+export const MIN_UNSUCCESSFUL_STATUS = 300
 /** Status codes from this one on are failures of the endpoint. */
-export const LEAST_FAILURE_STATUS = 500
+export const MIN_FAILURE_STATUS = 500
 
 /** The classes of attempt results that the decision distinguishes. */
 export type ResultKind = 'whole-stream' | 'whole-success' | 'rejection' | 'failure' | 'not-connected' | 'not-run' | 'lost'
@@ -81,7 +81,7 @@
 const notRunKinds: ReadonlySet<ResultKind> = new Set(['not-connected', 'not-run'])
 
 /** Tracks the attempts of one request. */
-export class AttemptCourse {
+export class AttemptTracker {
   private _sent = 0
   private _mayHaveRun = false
   private _forwarded: Forwarded = 'nothing'
@@ -103,7 +103,7 @@
    * @example
    * const step = course.ended({ type: 'not-run', reason: 'full' }, { timeLeft: true, suspect: false, elsewhere: () => true, spendRetry: purpose => budget.trySpend(purpose) })
    */
-  ended (end: AttemptEnd, bounds: AttemptBounds): NextStep {
+  ended (end: AttemptEnd, bounds: AttemptBounds): NextAction {
     const kind = kindOf(end)
     if (kind !== 'not-connected') this._sent += 1
     if (!notRunKinds.has(kind)) this._mayHaveRun = true
@@ -125,7 +125,7 @@
     return !countsAsAttempt || spendRetry(this._forwarded === 'events' ? 'go-on' : 'begin')
   }
 
-  private _failure (): NextStep {
+  private _failure (): NextAction {
     if (this._forwarded === 'events') return { type: 'give-up', outcome: 'cut' }
     return { type: 'give-up', outcome: this._mayHaveRun ? 'unknown' : 'not-run' }
   }
@@ -133,8 +133,8 @@
 
 const kindByType: { readonly [Type in AttemptEnd['type']]: (end: Extract<AttemptEnd, { type: Type }>) => ResultKind } = {
   answered: ({ status, stream }) => {
-    if (status >= LEAST_FAILURE_STATUS) return 'failure'
-    if (status >= LEAST_UNSUCCESSFUL_STATUS) return 'rejection'
+    if (status >= MIN_FAILURE_STATUS) return 'failure'
+    if (status >= MIN_UNSUCCESSFUL_STATUS) return 'rejection'
     return stream ? 'whole-stream' : 'whole-success'
   },
   'not-run': ({ reason }) => reason === 'not-connected' ? 'not-connected' : 'not-run',
--- a/packages/core/src/lib/routing/attempts/early-refusal.ts
+++ b/packages/core/src/lib/routing/attempts/early-refusal.ts
@@ -53,7 +53,7 @@
 const RESTART_MILLISECONDS = 500
 
 /** When a pool is expected to accept requests. */
-export type Opening =
+export type PoolOpening =
   /** It accepts requests now. */
   | { readonly type: 'open' }
   /** It opens in this many milliseconds, according to its agents. */
@@ -67,9 +67,9 @@
  * Decides whether to admit one request.
  *
  * @example
- * const decision = decideStart({ expected: 900, objective: 400, usualObjective: 440 })
+ * const decision = decideAdmission({ expected: 900, objective: 400, usualObjective: 440 })
  */
-export function decideStart ({ expected, objective, usualObjective }: AdmissionInput): AdmissionDecision {
+export function decideAdmission ({ expected, objective, usualObjective }: AdmissionInput): AdmissionDecision {
   if (expected <= Math.min(objective, ADMISSION_SHARE * usualObjective)) return { type: 'start' }
   return { type: 'refuse' }
 }
@@ -114,7 +114,7 @@
 function lateRetryWindow (longest: number): RetryWindow { return { earliest: longest * (1 - RETRY_JITTER), latest: longest } }
 
 /** The bounds of the retry delay by the state of the pool; `longest` is the longest delay that the caller accepts. */
-const retryWindows: { readonly [Type in Opening['type']]: (opening: Extract<Opening, { type: Type }>, longest: number, objective: number) => RetryWindow } = {
+const retryWindows: { readonly [Type in PoolOpening['type']]: (opening: Extract<PoolOpening, { type: Type }>, longest: number, objective: number) => RetryWindow } = {
   open: (_opening, longest, objective) => objective > 0 ? { earliest: MIN_RETRY_SHARE_OF_OBJECTIVE * objective, latest: MAX_RETRY_SHARE_OF_OBJECTIVE * objective } : lateRetryWindow(longest),
   expected: (opening, longest) => ({ earliest: opening.in, latest: longest }),
   unknown: (_opening, longest) => lateRetryWindow(longest),
@@ -130,7 +130,7 @@
  * @example
  * const milliseconds = retryAfter({ patience: 6_000, objective: 600 }, Math.random(), { type: 'open' }) // 120 to 210
  */
-export function retryAfter ({ patience, objective }: CallerTime, draw: number, opening: Opening): number {
+export function retryAfter ({ patience, objective }: CallerTime, draw: number, opening: PoolOpening): number {
   const longest = patience * MAX_RETRY_SHARE_OF_PATIENCE
   const { earliest, latest } = retryWindows[opening.type](opening as never, longest, objective)
   const last = Math.min(latest, longest)
@@ -145,7 +145,7 @@
  * Distinguishes retries by callers from first tries: a caller's deadline counts from its first try, so a retry has less patience
  * left than other requests of its route.
  */
-export class FirstTries {
+export class FirstTryEstimator {
   private readonly _longestPatience = new Map<string, number>()
 
   /**
--- a/packages/core/src/lib/routing/attempts/fleet-size.ts
+++ b/packages/core/src/lib/routing/attempts/fleet-size.ts
@@ -20,7 +20,7 @@
 const COUNT_LIFETIME = 60_000
 
 /** The agents of one availability zone, as an entry sees them. */
-export interface ZoneOfAgents {
+export interface AgentZone {
   readonly availabilityZone: string
   /** The number of listed agents. */
   readonly listed: number
@@ -43,7 +43,7 @@
   /**
    * @param _zones Returns the availability zones that have agents.
    */
-  constructor (private readonly _zones: () => readonly ZoneOfAgents[]) {}
+  constructor (private readonly _zones: () => readonly AgentZone[]) {}
 
   /**
    * Records the number of entries that an agent counts.
@@ -96,7 +96,7 @@
   }
 }
 
-function followedOf (zones: readonly ZoneOfAgents[]): number { return zones.reduce((sum, { followed }) => sum + followed, 0) }
+function followedOf (zones: readonly AgentZone[]): number { return zones.reduce((sum, { followed }) => sum + followed, 0) }
 
 /** Tolerance for the floating-point error of the summed shares. */
 const ROUNDING_TOLERANCE = 1e-6
--- a/packages/core/src/lib/routing/attempts/retry-allowance.ts
+++ b/packages/core/src/lib/routing/attempts/retry-allowance.ts
@@ -12,11 +12,11 @@
  * bucket starts empty, since each restart would grant an initial balance again: nine entries that started with 10 retries each made
  * 433 in 10 s, with 413 allowed, when eight of them were killed while endpoints rejected 45% of the requests.
  */
-import type { RetryPurpose } from './attempt-course.js'
+import type { RetryPurpose } from './attempt-tracker.js'
 import { ASSUMED_ENTRIES } from './fleet-size.js'
 
 /** The retry limits that operators set. */
-export interface RetryTerms {
+export interface RetryLimits {
   /** Allowed retries as a share of requests. */
   readonly ratio: number
   /** Allowed retries beyond the ratio, of all entries together, in one window. */
@@ -53,7 +53,7 @@
    * @param _entries Returns the number of entries that share the limits, or `undefined` if it is unknown.
    * @param _updatedAt The creation time.
    */
-  constructor (private readonly _terms: RetryTerms, private readonly _entries: (now: number) => number | undefined, private _updatedAt: number) {}
+  constructor (private readonly _terms: RetryLimits, private readonly _entries: (now: number) => number | undefined, private _updatedAt: number) {}
 
   /** The most retries that can be saved up. */
   capacity (now: number): number {
--- a/packages/core/src/lib/routing/attempts/suspect-requests.ts
+++ b/packages/core/src/lib/routing/attempts/suspect-requests.ts
@@ -16,7 +16,7 @@
 /** An endpoint that was lost while it ran a request, as sent to other processes. */
 export interface LossReport {
   readonly fingerprint: string
-  /** The incarnation of the endpoint: see `startOf`. */
+  /** The incarnation of the endpoint: see `startKeyOf`. */
   readonly start: string
   /** Milliseconds since the loss. */
   readonly age: number
@@ -36,7 +36,7 @@
 }
 
 /** How a request may be handled: without restriction, with a single attempt and no retry, or not at all. */
-export type Standing = 'clear' | 'no-further-attempt' | 'held-back'
+export type SuspectStatus = 'clear' | 'no-further-attempt' | 'held-back'
 
 /**
  * The number of lost endpoints from which a request is no longer retried, and from which it is no longer started. A single loss proves
@@ -120,7 +120,7 @@
    * @example
    * if (suspects.standing(fingerprint, now) === 'held-back') refuse()
    */
-  standing (fingerprint: string, now: number): Standing {
+  standing (fingerprint: string, now: number): SuspectStatus {
     const losses = this.lossesOf(fingerprint, now).length
     if (losses < NO_RETRY_LOSSES) return 'clear'
     if (now - (this._answeredAt.get(fingerprint) ?? -Infinity) <= ANSWERED_LIFETIME) return 'clear'
--- a/packages/core/src/lib/routing/choice/choice-price.ts
+++ b/packages/core/src/lib/routing/choice/choice-price.ts
@@ -8,7 +8,7 @@
  * version switch, and for missing load reports. All are in milliseconds, so that they can be added to the expected time.
  */
 import type { ServiceDescription } from '../published/routing-configuration.js'
-import type { EndpointCandidate, Need, Place } from './endpoint-choice.js'
+import type { EndpointCandidate, EndpointRequirements, EntryLocation } from './endpoint-choice.js'
 import { REPORT_LIFETIME, type EndpointLoad } from './endpoint-load.js'
 import { stepTime } from './engine-model.js'
 
@@ -45,9 +45,9 @@
 
 /** The inputs of a cost, besides the candidate. */
 export interface CostInput {
-  readonly place: Place
+  readonly place: EntryLocation
   readonly service: ServiceDescription
-  readonly need: Need
+  readonly need: EndpointRequirements
   /** The multiplier of the distance penalty, see `distanceFactor`. */
   readonly distanceFactor: number
   readonly now: number
@@ -72,7 +72,7 @@
  * @example
  * const factor = distanceFactor(candidates, place, need)
  */
-export function distanceFactor (candidates: readonly EndpointCandidate[], place: Place, { usualObjective }: Need): number {
+export function distanceFactor (candidates: readonly EndpointCandidate[], place: EntryLocation, { usualObjective }: EndpointRequirements): number {
   const soonEnough = candidates.some(({ record, expected }) => record.availabilityZone === place.availabilityZone && expected < SOON_ENOUGH_SHARE * usualObjective)
   return soonEnough ? SOON_ENOUGH_DISTANCE_FACTOR : 1
 }
@@ -84,19 +84,19 @@
  * @example
  * const candidates = expected.filter(candidate => !mayStartTooLate(candidate, need, now))
  */
-export function mayStartTooLate ({ expected, version, roundTrip, reportAge }: EndpointCandidate, { mustBeginBy }: Need, now: number): boolean {
+export function mayStartTooLate ({ expected, version, roundTrip, reportAge }: EndpointCandidate, { mustBeginBy }: EndpointRequirements, now: number): boolean {
   const bound = mustBeginBy(version)
   if (bound === undefined) return false
   return reportAge > REPORT_LIFETIME || now + EXPECTED_TIME_FACTOR * expected + ROUND_TRIP_FACTOR * roundTrip > bound
 }
 
-function distancePenalty ({ record: { availabilityZone } }: EndpointCandidate, place: Place): number {
+function distancePenalty ({ record: { availabilityZone } }: EndpointCandidate, place: EntryLocation): number {
   if (availabilityZone === place.availabilityZone) return 0
   return place.regionOf(availabilityZone) === place.regionOf(place.availabilityZone) ? ZONE_PENALTY : REGION_PENALTY
 }
 
 /** The penalty for work that would delay a planned version switch. */
-function closingPenalty ({ expected }: EndpointCandidate, load: EndpointLoad, { pool }: ServiceDescription, { answerTokens }: Need, now: number): number {
+function closingPenalty ({ expected }: EndpointCandidate, load: EndpointLoad, { pool }: ServiceDescription, { answerTokens }: EndpointRequirements, now: number): number {
   const closesAt = load.closesAt(now)
   if (closesAt === undefined || pool === undefined) return 0
   const tokens = answerTokens > 0 ? answerTokens : pool.usualAnswerTokens
--- a/packages/core/src/lib/routing/choice/endpoint-choice.ts
+++ b/packages/core/src/lib/routing/choice/endpoint-choice.ts
@@ -9,13 +9,13 @@
 import type { EndpointRecord } from '../published/endpoint-record.js'
 
 /** The location of an entry, and the mapping of availability zones to regions. */
-export interface Place {
+export interface EntryLocation {
   readonly availabilityZone: string
   readonly regionOf: (availabilityZone: string) => string
 }
 
 /** The requirements of a request on its endpoint. */
-export interface Need {
+export interface EndpointRequirements {
   readonly promptTokens: number
   /** The expected number of tokens of the answer; 0 if unknown. */
   readonly answerTokens: number
@@ -32,7 +32,7 @@
 }
 
 /** A chosen endpoint. */
-export interface Choice {
+export interface ChosenEndpoint {
   readonly record: EndpointRecord
   /** The expected time to the first event, or to the complete answer, in milliseconds. */
   readonly expected: number
@@ -52,4 +52,4 @@
 }
 
 /** An endpoint that may be chosen. */
-export type EndpointCandidate = Omit<Choice, 'expectedOfUsual'>
+export type EndpointCandidate = Omit<ChosenEndpoint, 'expectedOfUsual'>
--- a/packages/core/src/lib/routing/choice/endpoint-chooser.ts
+++ b/packages/core/src/lib/routing/choice/endpoint-chooser.ts
@@ -8,17 +8,17 @@
  * penalty in milliseconds for leaving the availability zone and the region.
  */
 import { Ejection } from '../../ejection.js'
-import type { EndpointCandidate, Choice, Need, Place } from './endpoint-choice.js'
+import type { EndpointCandidate, ChosenEndpoint, EndpointRequirements, EntryLocation } from './endpoint-choice.js'
 import { SOON_ENOUGH_SHARE, costOf, distanceFactor, mayStartTooLate } from './choice-price.js'
 import { prefillTime } from './engine-model.js'
 import { openGate, type EndpointGate, type SparedFor } from './endpoint-gate.js'
 import { EndpointLoad, type LoadReport } from './endpoint-load.js'
-import type { Opening } from '../attempts/early-refusal.js'
+import type { PoolOpening } from '../attempts/early-refusal.js'
 import { chooseEvenly, levelOf } from './even-choice.js'
-import { startOf, type EndpointRecord } from '../published/endpoint-record.js'
+import { startKeyOf, type EndpointRecord } from '../published/endpoint-record.js'
 import type { ServiceDescription } from '../published/routing-configuration.js'
 import { RequestRate } from './request-rate.js'
-import { UsualTime } from './usual-time.js'
+import { MeanResponseTime } from './mean-response-time.js'
 
 /** The picked candidate, and the estimated extra wait from requests that other entries have sent there since, in milliseconds. */
 interface PickedCandidate {
@@ -30,13 +30,13 @@
 export type EndpointHealth = 'good' | 'bad' | 'unclear'
 
 /** Why an endpoint is skipped temporarily. */
-export type Avoidance = 'refused' | 'unreachable' | 'wrong-instance' | 'wrong-version'
+export type SkipReason = 'refused' | 'unreachable' | 'wrong-instance' | 'wrong-version'
 
 /**
  * How long an endpoint is skipped, in milliseconds. A full or switching endpoint is retried soon; an unreachable one is skipped
  * for the time that a process takes to restart.
  */
-const skipTimes: Record<Avoidance, number> = { refused: 100, unreachable: 2_000, 'wrong-instance': 3_000, 'wrong-version': 150 }
+const skipTimes: Record<SkipReason, number> = { refused: 100, unreachable: 2_000, 'wrong-instance': 3_000, 'wrong-version': 150 }
 /**
  * The mean age of an entry's view of an engine, in milliseconds: its agent polls it twenty times a second, and requests that are in
  * flight or were sent just before a poll are not reported yet.
@@ -52,7 +52,7 @@
 
 /** Chooses among the endpoints of one service, for one entry. */
 export class EndpointChooser {
-  /** The state of each incarnation of an endpoint: see `startOf`. */
+  /** The state of each incarnation of an endpoint: see `startKeyOf`. */
   private readonly _states = new Map<string, EndpointState>()
   private readonly _ejection = new Ejection()
   private readonly _sentRate = new RequestRate()
@@ -60,13 +60,13 @@
   private _listed: ReadonlySet<string> = new Set()
   private _followed: readonly EndpointRecord[] = []
   private _others: readonly EndpointRecord[] = []
-  private readonly _plainTime = new UsualTime()
+  private readonly _plainTime = new MeanResponseTime()
 
   /**
    * @param _random Returns random numbers in [0, 1).
    * @param _gate The restrictions that endpoints place on requests to them.
    */
-  constructor (private readonly _place: Place, private readonly _random: () => number, private readonly _gate: EndpointGate = openGate) {}
+  constructor (private readonly _place: EntryLocation, private readonly _random: () => number, private readonly _gate: EndpointGate = openGate) {}
 
   get records (): readonly EndpointRecord[] { return this._records }
 
@@ -79,7 +79,7 @@
     this._records = records
     this._followed = records.filter(isFollowed)
     this._others = records.filter(record => !isFollowed(record))
-    this._listed = new Set(records.map(startOf))
+    this._listed = new Set(records.map(startKeyOf))
     this._ejection.retain(this._listed)
     for (const [start, { load }] of this._states) if (!this._listed.has(start) && load.outstanding === 0) this._states.delete(start)
   }
@@ -103,21 +103,21 @@
   }
 
   /** Skips an endpoint temporarily. */
-  avoid (start: string, why: Avoidance, now: number): void {
+  skip (start: string, why: SkipReason, now: number): void {
     this._stateOfStart(start).skippedUntil = now + skipTimes[why]
   }
 
   /** Records a request that was sent to the chosen endpoint. */
-  sent (choice: Choice, request: string, promptTokens: number, now: number): void {
+  sent (choice: ChosenEndpoint, request: string, promptTokens: number, now: number): void {
     this._sentRate.sent(now)
-    const start = startOf(choice.record)
+    const start = startKeyOf(choice.record)
     this._stateOfStart(start).load.sent(request, promptTokens, now)
     this._ejection.chosen(start)
     this._gate.sent(start, now)
   }
 
   /** Records the response time of a plain request, in milliseconds. */
-  plainTook (start: string, milliseconds: number, now: number): void {
+  recordPlainAnswer (start: string, milliseconds: number, now: number): void {
     this._stateOfStart(start).load.recordPlainAnswer(milliseconds, this._plainTime.value(now), now)
     this._plainTime.took(milliseconds, now)
   }
@@ -136,14 +136,14 @@
    * @example
    * const choice = chooser.choose(service, { promptTokens: 1_290, model: 'drafting', leastVersion: 2, tried: new Set() }, now)
    */
-  choose (service: ServiceDescription, need: Need, now: number): Choice | undefined {
+  choose (service: ServiceDescription, need: EndpointRequirements, now: number): ChosenEndpoint | undefined {
     return this._chooseAmong(this._followed, service, need, now) ?? this._chooseAmong(this._others, service, need, now)
   }
 
-  private _chooseAmong (records: readonly EndpointRecord[], service: ServiceDescription, need: Need, now: number): Choice | undefined {
+  private _chooseAmong (records: readonly EndpointRecord[], service: ServiceDescription, need: EndpointRequirements, now: number): ChosenEndpoint | undefined {
     const open = records.filter(record => this._isOpen(record, service, need, now))
-    const usable = new Set(this._ejection.usable(open.map(startOf), now))
-    const inTime = open.filter(record => usable.has(startOf(record)))
+    const usable = new Set(this._ejection.usable(open.map(startKeyOf), now))
+    const inTime = open.filter(record => usable.has(startKeyOf(record)))
       .map(record => this._candidateOf(record, service, need, now, open.length))
       .filter(choice => !mayStartTooLate(choice, need, now))
     const choices = this._preferDue(inTime, need, now)
@@ -154,9 +154,9 @@
   }
 
   /** Prefers rate-limited endpoints for which this entry holds a permit that would lapse, if they are expected to answer soon enough. */
-  private _preferDue (choices: readonly EndpointCandidate[], { usualObjective }: Need, now: number): readonly EndpointCandidate[] {
+  private _preferDue (choices: readonly EndpointCandidate[], { usualObjective }: EndpointRequirements, now: number): readonly EndpointCandidate[] {
     if (this._gate.quiet) return choices
-    const due = choices.filter(({ record, expected }) => this._gate.isDue(startOf(record), now) && expected < SOON_ENOUGH_SHARE * usualObjective)
+    const due = choices.filter(({ record, expected }) => this._gate.isDue(startKeyOf(record), now) && expected < SOON_ENOUGH_SHARE * usualObjective)
     return due.length > 0 ? due : choices
   }
 
@@ -166,7 +166,7 @@
    * @example
    * const milliseconds = retryAfter({ patience, objective }, Math.random(), chooser.opening(service, need, now))
    */
-  opening (service: ServiceDescription, need: Need, now: number): Opening {
+  opening (service: ServiceDescription, need: EndpointRequirements, now: number): PoolOpening {
     const capable = this._records.filter(record => this._canTake(record, service, { ...need, tried: new Set() }, now))
     if (service.pool === undefined) return this._openingOf(capable, now) ?? { type: 'open' }
     const reporting = this._records.filter(record => this._stateOf(record).load.report(now) !== undefined)
@@ -178,9 +178,9 @@
   }
 
   /** When the gate next allows a request to one of the given endpoints; `undefined` if the list is empty. */
-  private _openingOf (capable: readonly EndpointRecord[], now: number): Opening | undefined {
+  private _openingOf (capable: readonly EndpointRecord[], now: number): PoolOpening | undefined {
     if (capable.length === 0) return undefined
-    const soonest = Math.min(...capable.map(record => this._gate.opensIn(startOf(record), now)))
+    const soonest = Math.min(...capable.map(record => this._gate.opensIn(startKeyOf(record), now)))
     if (soonest === 0) return { type: 'open' }
     return soonest === Infinity ? { type: 'unknown' } : { type: 'expected', in: soonest }
   }
@@ -190,7 +190,7 @@
     const counts = new Map<SparedFor, number>()
     if (this._gate.quiet) return counts
     for (const record of this._records) {
-      const reason = this._gate.sparedFor(startOf(record), now)
+      const reason = this._gate.sparedFor(startKeyOf(record), now)
       if (reason !== undefined) counts.set(reason, (counts.get(reason) ?? 0) + 1)
     }
     return counts
@@ -207,7 +207,7 @@
     return pickAt(choices, index, Math.max(0, levelOf(even) - (costs[index] ?? 0)))
   }
 
-  private _choiceOf ({ candidate, waitFromOthers }: PickedCandidate, { pool }: ServiceDescription, { promptTokens }: Need, now: number): Choice {
+  private _choiceOf ({ candidate, waitFromOthers }: PickedCandidate, { pool }: ServiceDescription, { promptTokens }: EndpointRequirements, now: number): ChosenEndpoint {
     const expected = candidate.expected + waitFromOthers
     if (pool === undefined || promptTokens <= pool.usualPromptTokens) return { ...candidate, expected, expectedOfUsual: expected }
     const usual = this._stateOf(candidate.record).load.expectedFirstEvent(pool, pool.usualPromptTokens, now)
@@ -226,7 +226,7 @@
   }
 
   /** The number of followed engines that have a current load report. */
-  heardCount (now: number): number { return this._followed.filter(record => this._stateOf(record).load.report(now) !== undefined).length }
+  reportingCount (now: number): number { return this._followed.filter(record => this._stateOf(record).load.report(now) !== undefined).length }
 
   /** The version that an endpoint serves, from its current load report or else from its record. */
   versionOf (record: EndpointRecord, model: string, now: number): number {
@@ -234,13 +234,13 @@
     return this._stateOf(record).load.report(now)?.version ?? listed
   }
 
-  private _isOpen (record: EndpointRecord, service: ServiceDescription, need: Need, now: number): boolean {
-    return this._canTake(record, service, need, now) && (this._gate.quiet || this._gate.sparedFor(startOf(record), now) === undefined)
+  private _isOpen (record: EndpointRecord, service: ServiceDescription, need: EndpointRequirements, now: number): boolean {
+    return this._canTake(record, service, need, now) && (this._gate.quiet || this._gate.sparedFor(startKeyOf(record), now) === undefined)
   }
 
   /** Whether an endpoint could take a request, regardless of the gate. */
-  private _canTake (record: EndpointRecord, service: ServiceDescription, need: Need, now: number): boolean {
-    if (record.draining || need.tried.has(startOf(record))) return false
+  private _canTake (record: EndpointRecord, service: ServiceDescription, need: EndpointRequirements, now: number): boolean {
+    if (record.draining || need.tried.has(startKeyOf(record))) return false
     const known = this._stateOf(record)
     if (known.skippedUntil > now || known.load.outstanding >= service.maxConnections) return false
     if (service.pool === undefined || need.model === '') return true
@@ -249,7 +249,7 @@
     return known.load.report(now)?.accepting !== false
   }
 
-  private _candidateOf (record: EndpointRecord, service: ServiceDescription, need: Need, now: number, candidates: number): EndpointCandidate {
+  private _candidateOf (record: EndpointRecord, service: ServiceDescription, need: EndpointRequirements, now: number, candidates: number): EndpointCandidate {
     const { load } = this._stateOf(record)
     const slots = record.slots > 0 ? record.slots : ASSUMED_SLOTS
     const expected = service.pool === undefined ? load.expectedPlainAnswer(slots, this._plainTime.value(now), now) : load.expectedFirstEvent(service.pool, need.promptTokens, now)
@@ -257,7 +257,7 @@
     return { record, expected, version, reportAge: load.reportAge(now), roundTrip: load.longestRoundTrip(now), candidates }
   }
 
-  private _stateOf (record: EndpointRecord): EndpointState { return this._stateOfStart(startOf(record)) }
+  private _stateOf (record: EndpointRecord): EndpointState { return this._stateOfStart(startKeyOf(record)) }
 
   private _stateOfStart (start: string): EndpointState {
     const known = this._states.get(start) ?? { load: new EndpointLoad(), skippedUntil: -Infinity }
--- a/packages/core/src/lib/routing/choice/endpoint-load.ts
+++ b/packages/core/src/lib/routing/choice/endpoint-load.ts
@@ -8,7 +8,7 @@
  * requests that this entry has sent and seen end since.
  */
 import { decay } from '../decay.js'
-import { firstTokenTime, readRate } from './engine-model.js'
+import { firstTokenTime, prefillRate } from './engine-model.js'
 import type { PoolDescription } from '../published/routing-configuration.js'
 
 /** The load of an engine, as reported by its agent. */
@@ -216,7 +216,7 @@
 
   /** The unread prompt tokens in the report, less those that the engine has read since. */
   private _unreadTokens ({ unreadTokens = 0 }: LoadReport, pool: PoolDescription, now: number): number {
-    return Math.max(0, unreadTokens - this.reportAge(now) * readRate(pool))
+    return Math.max(0, unreadTokens - this.reportAge(now) * prefillRate(pool))
   }
 
   private _correctedWork (report: LoadReport, pool: PoolDescription, now: number): { running: number, waiting: number, waitingTokens: number } {
--- a/packages/core/src/lib/routing/choice/engine-model.ts
+++ b/packages/core/src/lib/routing/choice/engine-model.ts
@@ -34,18 +34,18 @@
 }
 
 /** The time from the first to the last token of a request of typical size, in milliseconds. */
-export function usualWriteTime (pool: PoolDescription, running: number): number {
+export function typicalGenerationTime (pool: PoolDescription, running: number): number {
   const prompts = running * prefillTime(pool, pool.usualPromptTokens)
   return pool.usualAnswerTokens * stepTime(pool, running) + prompts
 }
 
 /** The prefill rate of an engine, in prompt tokens per millisecond; an assumed rate if its pool is unknown. */
-export function readRate (pool: PoolDescription | undefined): number {
+export function prefillRate (pool: PoolDescription | undefined): number {
   return pool !== undefined && pool.promptTokensPerMillisecond > 0 ? pool.promptTokensPerMillisecond : ASSUMED_PREFILL_RATE
 }
 
 /** The time to prefill the given number of prompt tokens, in milliseconds. */
-export function prefillTime (pool: PoolDescription, tokens: number): number { return tokens / readRate(pool) }
+export function prefillTime (pool: PoolDescription, tokens: number): number { return tokens / prefillRate(pool) }
 
 /**
  * The time to first token of a request that is sent now, in milliseconds, at the speed that the pool describes.
@@ -66,5 +66,5 @@
 function slotWait (pool: PoolDescription, work: EngineWork): number {
   const over = work.running + work.waiting + 1 - pool.slots
   if (over <= 0) return 0
-  return over * usualWriteTime(pool, pool.slots) / pool.slots
+  return over * typicalGenerationTime(pool, pool.slots) / pool.slots
 }
--- a/packages/core/src/lib/routing/choice/load-news.ts
+++ b/packages/core/src/lib/routing/choice/load-report-threshold.ts
@@ -38,9 +38,9 @@
  * Whether a new report must be sent, compared with what receivers expect from the last one.
  *
  * @example
- * if (isLoadNews(load, { told, age: 100, readRate: 20, slots: 16 })) send(load)
+ * if (shouldSendReport(load, { told, age: 100, readRate: 20, slots: 16 })) send(load)
  */
-export function isLoadNews (load: LoadReport, { told, age, readRate, slots }: LoadComparison): boolean {
+export function shouldSendReport (load: LoadReport, { told, age, readRate, slots }: LoadComparison): boolean {
   if (load.born !== told.born || load.version !== told.version || load.accepting !== told.accepting || load.waiting !== told.waiting) return true
   if ((load.closesIn === undefined) !== (told.closesIn === undefined)) return true
   if ((load.opensIn === undefined) !== (told.opensIn === undefined)) return true
--- a/packages/core/src/lib/routing/choice/usual-time.ts
+++ b/packages/core/src/lib/routing/choice/mean-response-time.ts
@@ -15,7 +15,7 @@
 const HALF_LIFE = 1_500
 
 /** A moving average that decays while there are no measurements. */
-export class UsualTime {
+export class MeanResponseTime {
   private _mean = 0
   private _updatedAt = 0
 
--- a/packages/core/src/lib/routing/choice/unread-tokens.ts
+++ b/packages/core/src/lib/routing/choice/unread-tokens.ts
@@ -17,7 +17,7 @@
 }
 
 /** Estimates the unread tokens of one engine. */
-export class UnreadTokens {
+export class UnreadTokenEstimator {
   private _previous: ContextReading = { running: 0, contextTokens: 0 }
   private _readAt: number | undefined
   private _unread = 0
--- a/packages/core/src/lib/routing/limits/endpoint-limits.ts
+++ b/packages/core/src/lib/routing/limits/endpoint-limits.ts
@@ -5,7 +5,7 @@
  */
 /** Applies the rate limits that endpoints announce: tracks the limit of each incarnation of an endpoint, and this entry's share of it. */
 import type { EndpointGate, SparedFor } from '../choice/endpoint-gate.js'
-import { LimitBook, type LimitNews, type LimitStatement } from './limit-book.js'
+import { LimitStatements, type LimitNews, type LimitStatement } from './limit-statements.js'
 import { LimitShare } from './limit-share.js'
 
 /** A rate limit that started, changed or ended. */
@@ -21,7 +21,7 @@
 
 /** The rate limits of all endpoints. */
 export class EndpointLimits implements EndpointGate {
-  private readonly _book = new LimitBook()
+  private readonly _book = new LimitStatements()
   private readonly _shares = new Map<string, LimitShare>()
 
   /**
--- a/packages/core/src/lib/routing/limits/endpoint-notices.ts
+++ b/packages/core/src/lib/routing/limits/endpoint-notices.ts
@@ -10,7 +10,7 @@
 import type { EndpointGate, SparedFor } from '../choice/endpoint-gate.js'
 import { EndpointAbsences, isPlausibleRest } from './endpoint-absences.js'
 import type { EndpointLimits, LimitChange } from './endpoint-limits.js'
-import { isPlausibleLimit } from './limit-book.js'
+import { isPlausibleLimit } from './limit-statements.js'
 
 /** The notice that an endpoint attaches to an answer of any kind. */
 export interface EndpointNotice {
--- a/packages/core/src/lib/routing/limits/limit-book.ts
+++ b/packages/core/src/lib/routing/limits/limit-statements.ts
@@ -20,7 +20,7 @@
 
 /** A statement as sent to other processes; it carries ages in milliseconds, since clocks differ. */
 export interface LimitReport {
-  /** The incarnation of the endpoint: see `startOf`. */
+  /** The incarnation of the endpoint: see `startKeyOf`. */
   readonly start: string
   /** The limit in requests per second; `null` if there is none any more. */
   readonly limit: number | null
@@ -53,7 +53,7 @@
 export function isPlausibleLimit (limit: number): boolean { return limit >= 0 && limit <= MAX_LIMIT }
 
 /** The rate limit statements known to one process. */
-export class LimitBook {
+export class LimitStatements {
   private readonly _statements = new Map<string, LimitStatement>()
 
   /** The limit of an endpoint, in requests per second; `undefined` if none is known. */
--- a/packages/core/src/lib/routing/published/endpoint-record.ts
+++ b/packages/core/src/lib/routing/published/endpoint-record.ts
@@ -37,9 +37,9 @@
  * attempts) is kept under this key rather than under its id.
  *
  * @example
- * startOf({ ...record, id: 'engine-7', born: 1_700_000_000_000 }) // 'engine-7@1700000000000'
+ * startKeyOf({ ...record, id: 'engine-7', born: 1_700_000_000_000 }) // 'engine-7@1700000000000'
  */
-export function startOf ({ id, born }: Pick<EndpointRecord, 'id' | 'born'>): string {
+export function startKeyOf ({ id, born }: Pick<EndpointRecord, 'id' | 'born'>): string {
   return born === undefined ? id : `${id}@${born}`
 }
 
@@ -47,9 +47,9 @@
  * Returns the endpoint id that a start's key contains.
  *
  * @example
- * endpointOf('engine-7@1700000000000') // 'engine-7'
+ * endpointIdOf('engine-7@1700000000000') // 'engine-7'
  */
-export function endpointOf (start: string): string { return start.replace(/@\d+$/, '') }
+export function endpointIdOf (start: string): string { return start.replace(/@\d+$/, '') }
 
 /**
  * Whether one start time of an endpoint is earlier than another. Returns false if either is unknown.
--- a/packages/core/src/lib/routing/published/published-change.ts
+++ b/packages/core/src/lib/routing/published/published-change.ts
@@ -21,16 +21,16 @@
   | { readonly type: 'endpoint-gone', readonly revision: number, readonly id: string, readonly certain?: boolean | undefined }
 
 /** The store's revision, by topic, up to which a process has received every change. */
-export interface PublishedNote extends Readonly<Record<PublishedTopic, number>> {
+export interface PublishedRevisions extends Readonly<Record<PublishedTopic, number>> {
   /** A store that is restored from an older copy begins a new epoch. Revisions are comparable only within an epoch. */
   readonly epoch: number
 }
 
 /** Changes that are sent to a peer. */
 export interface PublishedDelta {
-  readonly upTo: PublishedNote
+  readonly upTo: PublishedRevisions
   /** The newest revision that the sender holds of each topic; 0 for topics that were not requested. */
-  readonly held: PublishedNote
+  readonly held: PublishedRevisions
   readonly changes: readonly PublishedChange[]
   /** Topics of which `changes` is a complete snapshot: items that are missing from it have been removed. */
   readonly whole: readonly PublishedTopic[]
--- a/packages/core/src/lib/routing/published/published-state.ts
+++ b/packages/core/src/lib/routing/published/published-state.ts
@@ -15,8 +15,8 @@
 import { isEarlierStart, isSameListing, writingsBetween, type EndpointRecord } from './endpoint-record.js'
 import { HeldEndpoints, type HeldEndpoint } from './held-endpoints.js'
 import { LapseGrace } from './lapse-grace.js'
-import { NamedVersions, type WantedVersion } from './named-versions.js'
-import { publishedTopics, topicOf, type PublishedChange, type PublishedDelta, type PublishedNote, type PublishedTopic } from './published-change.js'
+import { WantedVersions, type WantedVersion } from './wanted-versions.js'
+import { publishedTopics, topicOf, type PublishedChange, type PublishedDelta, type PublishedRevisions, type PublishedTopic } from './published-change.js'
 import { Removals } from './removals.js'
 import type { RoutingConfiguration } from './routing-configuration.js'
 
@@ -31,7 +31,7 @@
 /** The replica of the published state in one process. */
 export class PublishedState {
   private _configuration: { readonly revision: number, readonly configuration: RoutingConfiguration } | undefined
-  private readonly _versions = new NamedVersions()
+  private readonly _versions = new WantedVersions()
   private readonly _grace = new LapseGrace()
   private readonly _endpoints = new HeldEndpoints()
   private readonly _removals = new Removals()
@@ -45,25 +45,25 @@
   get configuration (): RoutingConfiguration | undefined { return this._configuration?.configuration }
   get configurationRevision (): number { return this._configuration?.revision ?? 0 }
   /** Whether both a configuration and the endpoints are known. */
-  get complete (): boolean { return this._configuration !== undefined && this.knows('endpoints') }
+  get complete (): boolean { return this._configuration !== undefined && this.hasFollowed('endpoints') }
   /** The epoch of the store that is followed; 0 before the first one. */
   get epoch (): number { return this._epoch }
   /** The revision up to which each topic has been followed in this epoch. */
-  get note (): PublishedNote { return { epoch: this._epoch, ...this._followed } }
+  get note (): PublishedRevisions { return { epoch: this._epoch, ...this._followed } }
   /**
    * The newest revision that is held of each topic. It is equal in two processes that hold the same items, even if one has followed the
    * store further.
    */
-  get held (): PublishedNote {
+  get held (): PublishedRevisions {
     const versions = Math.max(0, ...this._versions.newestOfAll().map(({ revision }) => revision))
     return { epoch: this._epoch, configuration: this.configurationRevision, versions, endpoints: this._newestEndpointRevision }
   }
 
   /** Whether a topic has been followed in any epoch. */
-  knows (topic: PublishedTopic): boolean { return this._knownTopics.has(topic) }
+  hasFollowed (topic: PublishedTopic): boolean { return this._knownTopics.has(topic) }
 
   /** Increases with every change that may affect the deltas sent to peers. */
-  get edition (): number { return this._changeCount }
+  get changeCount (): number { return this._changeCount }
 
   /** Returns the wanted version of a model, which is the newest one published. */
   wanted (model: string): WantedVersion | undefined { return this._versions.newest(model) }
@@ -113,7 +113,7 @@
    * @param upTo The store's revision of the snapshot.
    * @returns The effective changes.
    */
-  takeWhole (topic: PublishedTopic, changes: readonly PublishedChange[], upTo: number, now: number): PublishedChange[] {
+  takeSnapshot (topic: PublishedTopic, changes: readonly PublishedChange[], upTo: number, now: number): PublishedChange[] {
     const applied = changes.flatMap(change => this.take(change, now))
     if (topic === 'endpoints') {
       applied.push(...this._removeMissing(changes, upTo, now))
@@ -139,9 +139,9 @@
    *
    * @returns Whether the epoch is later than the current one; otherwise the call has no effect.
    * @example
-   * if (state.enter(answer.epoch, now)) log.warn('epoch-began', { epoch: state.epoch })
+   * if (state.enterEpoch(answer.epoch, now)) log.warn('epoch-began', { epoch: state.epoch })
    */
-  enter (epoch: number, now: number): boolean {
+  enterEpoch (epoch: number, now: number): boolean {
     if (epoch <= this._epoch) return false
     this._epoch = epoch
     this._changeCount += 1
@@ -183,26 +183,26 @@
    *
    * @param topics The requested topics; the delta contains no others.
    * @example
-   * const delta = state.since(note, performance.now(), ['versions'])
+   * const delta = state.deltaSince(note, performance.now(), ['versions'])
    */
-  since (note: PublishedNote, now: number, topics: readonly PublishedTopic[] = publishedTopics): PublishedDelta {
-    const noRevisions: PublishedNote = { ...NO_REVISIONS, epoch: this._epoch }
+  deltaSince (note: PublishedRevisions, now: number, topics: readonly PublishedTopic[] = publishedTopics): PublishedDelta {
+    const noRevisions: PublishedRevisions = { ...NO_REVISIONS, epoch: this._epoch }
     if (note.epoch > this._epoch) return { upTo: noRevisions, held: noRevisions, changes: [], whole: [] }
     const from = note.epoch === this._epoch ? note : noRevisions
-    const requested = (revisions: PublishedNote, defaults: PublishedNote): PublishedNote => ({ ...defaults, ...Object.fromEntries(topics.map(topic => [topic, revisions[topic]])) })
+    const requested = (revisions: PublishedRevisions, defaults: PublishedRevisions): PublishedRevisions => ({ ...defaults, ...Object.fromEntries(topics.map(topic => [topic, revisions[topic]])) })
     const delta = this._changesSince(from, now)
     return { upTo: requested(this.note, from), held: requested(this.held, noRevisions), changes: delta.changes.filter(change => topics.includes(topicOf(change))), whole: delta.whole.filter(topic => topics.includes(topic)) }
   }
 
-  private _changesSince (note: PublishedNote, now: number): Pick<PublishedDelta, 'changes' | 'whole'> {
+  private _changesSince (note: PublishedRevisions, now: number): Pick<PublishedDelta, 'changes' | 'whole'> {
     const whole = publishedTopics.filter(topic => note[topic] < this._followed[topic] && this._needsSnapshot(topic, note))
     const changes: PublishedChange[] = []
     // Items carried over from an earlier epoch are at revision 0 and belong to a complete snapshot.
     const from = (topic: PublishedTopic): number => whole.includes(topic) ? -1 : note[topic]
     const held = this._configuration
     if (held !== undefined && held.revision > from('configuration')) changes.push({ type: 'configuration', ...held })
-    for (const { revision, model, version, heardAt } of this._versions.newestOfAll()) {
-      const age = heardAt === undefined ? undefined : now - heardAt
+    for (const { revision, model, version, receivedAt } of this._versions.newestOfAll()) {
+      const age = receivedAt === undefined ? undefined : now - receivedAt
       if (revision > from('versions')) changes.push({ type: 'wanted-version', revision, wanted: { model, version }, age })
     }
     for (const { record, revision } of this._endpoints.values()) if (revision > from('endpoints')) changes.push({ type: 'endpoint', revision, record })
@@ -213,11 +213,11 @@
   /** Applies a peer's delta, unless the peer follows an earlier epoch. Returns the effective changes. */
   takeDelta (delta: PublishedDelta, now: number): PublishedChange[] {
     if (delta.upTo.epoch < this._epoch) return []
-    this.enter(delta.upTo.epoch, now)
+    this.enterEpoch(delta.upTo.epoch, now)
     const applied: PublishedChange[] = []
     for (const topic of publishedTopics) {
       const changes = delta.changes.filter(change => topicOf(change) === topic)
-      if (delta.whole.includes(topic) && delta.upTo[topic] > this._followed[topic]) applied.push(...this.takeWhole(topic, changes, delta.upTo[topic], now))
+      if (delta.whole.includes(topic) && delta.upTo[topic] > this._followed[topic]) applied.push(...this.takeSnapshot(topic, changes, delta.upTo[topic], now))
       else {
         applied.push(...changes.flatMap(change => this.take(change, now)))
         this.followed(topic, delta.upTo[topic])
@@ -236,8 +236,8 @@
       return isNewer
     },
     'wanted-version': ({ revision, wanted, age = 0 }, now) => {
-      const heardAt = !this.knows('versions') ? undefined : now - (age <= MAX_VERSION_AGE ? age : 0)
-      return this._versions.add(wanted, revision, heardAt)
+      const receivedAt = !this.hasFollowed('versions') ? undefined : now - (age <= MAX_VERSION_AGE ? age : 0)
+      return this._versions.add(wanted, revision, receivedAt)
     },
     endpoint: change => {
       const { revision, record } = change
@@ -305,7 +305,7 @@
   }
 
   /** Whether a peer needs a complete snapshot: it has nothing of the topic, or is behind the oldest removal that is kept. */
-  private _needsSnapshot (topic: PublishedTopic, note: PublishedNote): boolean {
+  private _needsSnapshot (topic: PublishedTopic, note: PublishedRevisions): boolean {
     return note[topic] === 0 || (topic === 'endpoints' && note.endpoints < this._removals.incompleteUpTo)
   }
 
--- a/packages/core/src/lib/routing/published/relay-book.ts
+++ b/packages/core/src/lib/routing/published/relay-registry.ts
@@ -8,8 +8,8 @@
  * processes do not each fetch a copy over a link that their region shares.
  */
 import type { RelayNote } from '../../messages.js'
-import type { Place } from '../choice/endpoint-choice.js'
-import type { PublishedNote, PublishedTopic } from './published-change.js'
+import type { EntryLocation } from '../choice/endpoint-choice.js'
+import type { PublishedRevisions, PublishedTopic } from './published-change.js'
 
 /** A relay from which no note was received for this long is ignored, in milliseconds: it has missed three heartbeats. */
 const NOTE_LIFETIME = 1_500
@@ -27,19 +27,19 @@
 }
 
 /** The relays known to one process, with the latest note of each. */
-export class RelayBook {
+export class RelayRegistry {
   private readonly _relays = new Map<string, Relay>()
   /** Time since which some relay has been ahead of this process. */
   private _aheadSince: number | undefined
 
   /**
    * @example
-   * const book = new RelayBook(placeOf(settings))
+   * const relays = new RelayRegistry(placeOf(settings))
    */
-  constructor (private readonly _place: Place) {}
+  constructor (private readonly _place: EntryLocation) {}
 
   /** Records a note in which a relay reports the revisions that it holds. */
-  heard (address: string, note: RelayNote, now: number): void {
+  recordNote (address: string, note: RelayNote, now: number): void {
     this._relays.set(address, { address, note, receivedAt: now })
   }
 
@@ -47,7 +47,7 @@
   lost (address: string): void { this._relays.delete(address) }
 
   /** Whether some relay currently follows the store, in the epoch that this process follows or a later one. */
-  confirmed (epoch: number, now: number): boolean { return this._liveRelays(now).some(({ note }) => note.fresh && note.held.epoch >= epoch) }
+  followsStore (epoch: number, now: number): boolean { return this._liveRelays(now).some(({ note }) => note.fresh && note.held.epoch >= epoch) }
 
   /**
    * Returns the nearest relay that is ahead of this process in one of some topics. Returns `undefined` if there is none, and, for
@@ -56,9 +56,9 @@
    * @param held The revisions that this process holds.
    * @param excluded Relays that failed recently.
    * @example
-   * const address = book.ahead(state.held, ['versions'], new Set(), now)
+   * const address = relays.relayAhead(state.held, ['versions'], new Set(), now)
    */
-  ahead (held: PublishedNote, topics: readonly PublishedTopic[], excluded: ReadonlySet<string>, now: number): string | undefined {
+  relayAhead (held: PublishedRevisions, topics: readonly PublishedTopic[], excluded: ReadonlySet<string>, now: number): string | undefined {
     const candidates = this._candidates(held.epoch, excluded, now)
     const nearest = candidates[0]
     const aheadRelay = candidates.find(({ note }) => note.held.epoch > held.epoch || topics.some(topic => note.held[topic] > held[topic]))
@@ -72,12 +72,12 @@
   }
 
   /** Returns the nearest relay that currently follows the store, or `undefined` if there is none. */
-  nearest (epoch: number, excluded: ReadonlySet<string>, now: number): string | undefined {
+  nearestRelay (epoch: number, excluded: ReadonlySet<string>, now: number): string | undefined {
     return this._candidates(epoch, excluded, now).find(({ note }) => note.fresh)?.address
   }
 
   /** Returns the revision up to which a topic counts as followed, by the relays that hold the same revision as this process. */
-  followedBy (held: PublishedNote, topic: PublishedTopic, now: number): number {
+  followedRevision (held: PublishedRevisions, topic: PublishedTopic, now: number): number {
     const equalRelays = this._liveRelays(now).filter(({ note }) => note.fresh && note.held.epoch === held.epoch && note.held[topic] === held[topic])
     return Math.max(0, ...equalRelays.map(({ note }) => note.followed[topic]))
   }
--- a/packages/core/src/lib/routing/published/routing-configuration.ts
+++ b/packages/core/src/lib/routing/published/routing-configuration.ts
@@ -171,9 +171,9 @@
  *
  * @param draw A number in [0, 1).
  * @example
- * const service = targetOf(route, random())
+ * const service = pickService(route, random())
  */
-export function targetOf (route: Route, draw: number): string {
+export function pickService (route: Route, draw: number): string {
   const total = route.targets.reduce((sum, { weight }) => sum + weight, 0)
   let remaining = draw * total
   for (const { service, weight } of route.targets) {
--- a/packages/core/src/lib/routing/published/store-cursor.ts
+++ b/packages/core/src/lib/routing/published/store-cursor.ts
@@ -62,5 +62,5 @@
   }
 
   /** Records that peers have supplied every change up to the followed revision. */
-  caughtUp (): void { this._historyLost = false }
+  markCaughtUp (): void { this._historyLost = false }
 }
--- a/packages/core/src/lib/routing/published/named-versions.ts
+++ b/packages/core/src/lib/routing/published/wanted-versions.ts
@@ -11,14 +11,14 @@
   /** Revision up to which the store has no newer version; 0 if it was received in an earlier epoch, or without a revision. */
   readonly revision: number
   /** `undefined` if the version was already wanted when this process began to follow the store. */
-  readonly heardAt: number | undefined
+  readonly receivedAt: number | undefined
 }
 
 /** Versions kept per model: those whose adoption deadline may still be ahead. */
 const MAX_VERSIONS_PER_MODEL = 8
 
 /** Wanted versions of all models. */
-export class NamedVersions {
+export class WantedVersions {
   /** By model, in ascending order of version. */
   private readonly _versions = new Map<string, WantedVersion[]>()
 
@@ -29,14 +29,14 @@
    * @example
    * versions.add({ model: 'drafting', version: 2 }, 7, now)
    */
-  add (wanted: ModelVersion, revision: number, heardAt: number | undefined): boolean {
+  add (wanted: ModelVersion, revision: number, receivedAt: number | undefined): boolean {
     const known = this._versions.get(wanted.model) ?? []
     const newest = known.at(-1)
     if (newest !== undefined && wanted.version <= newest.version) {
       this._versions.set(wanted.model, [...known.slice(0, -1), { ...newest, revision: Math.max(revision, newest.revision) }])
       return false
     }
-    this._versions.set(wanted.model, [...known.slice(1 - MAX_VERSIONS_PER_MODEL), { ...wanted, revision: Math.max(revision, newest?.revision ?? 0), heardAt }])
+    this._versions.set(wanted.model, [...known.slice(1 - MAX_VERSIONS_PER_MODEL), { ...wanted, revision: Math.max(revision, newest?.revision ?? 0), receivedAt }])
     return true
   }
 
@@ -53,12 +53,12 @@
 
   /** See `PublishedState.firstNewerAt`. */
   firstNewerAt (model: string, version: number): number | undefined {
-    return this._versions.get(model)?.find(named => named.version > version)?.heardAt
+    return this._versions.get(model)?.find(named => named.version > version)?.receivedAt
   }
 
   /** See `PublishedState.dueVersion`. */
   dueVersion (model: string, bound: number, now: number): number {
-    const due = this._versions.get(model)?.filter(({ heardAt }) => heardAt === undefined || now - heardAt >= bound)
+    const due = this._versions.get(model)?.filter(({ receivedAt }) => receivedAt === undefined || now - receivedAt >= bound)
     return due?.at(-1)?.version ?? 0
   }
 }
--- a/packages/core/src/lib/routing/weights/chunk-places.ts
+++ b/packages/core/src/lib/routing/weights/chunk-assignment.ts
@@ -22,7 +22,7 @@
 }
 
 /** The ranks of one member for all chunks, over a member list. */
-export class ChunkPlaces {
+export class ChunkAssignment {
   /** The members of each zone, in rendezvous order. */
   private readonly _rings: readonly (readonly string[])[]
   private readonly _zoneIndex: number
@@ -55,9 +55,9 @@
    * Returns the member's ranks for a chunk. Zones and members rotate from chunk to chunk, so that all get an equal share.
    *
    * @example
-   * if (places.turn(7).overall === 0) readFromOrigin(7)
+   * if (places.ranks(7).overall === 0) readFromOrigin(7)
    */
-  turn (chunk: number): ChunkRanks {
+  ranks (chunk: number): ChunkRanks {
     const zoneCount = this._rings.length
     const zoneSize = this._rings[this._zoneIndex]?.length ?? 1
     const ofZone = (this._zoneIndex + chunk) % zoneCount
@@ -66,7 +66,7 @@
   }
 
   /** Returns the member that reads a chunk from the origin: the one with overall rank 0. */
-  reader (chunk: number): string {
+  originReader (chunk: number): string {
     const zoneCount = this._rings.length
     const ring = this._rings[(zoneCount - chunk % zoneCount) % zoneCount] ?? []
     return ring[(ring.length - Math.floor(chunk / zoneCount) % ring.length) % ring.length] ?? ''
--- a/packages/core/src/lib/routing/weights/chunk-swarm.ts
+++ b/packages/core/src/lib/routing/weights/chunk-swarm.ts
@@ -10,8 +10,8 @@
  */
 import type { ChunkMember } from '../../chunk-tree.js'
 import type { Manifest } from '../../documents.js'
-import type { FetchProblem, TransferCourse, TransferEffect } from '../../transfer.js'
-import { ChunkPlaces } from './chunk-places.js'
+import type { FetchProblem, ChunkTransfer, TransferEffect } from '../../transfer.js'
+import { ChunkAssignment } from './chunk-assignment.js'
 import { OriginSchedule, type OriginView } from './origin-schedule.js'
 import { PullWindow } from './pull-window.js'
 import { SwarmPeers } from './swarm-peers.js'
@@ -33,7 +33,7 @@
 const HEDGE_MAX_MISSING = 8
 
 /** The transfer of one version to one member. */
-export class ChunkSwarm implements TransferCourse {
+export class ChunkSwarm implements ChunkTransfer {
   private readonly _missing = new Set<number>()
   private readonly _peers: SwarmPeers
   private readonly _pulls = new Map<number, Pull>()
@@ -44,7 +44,7 @@
   private readonly _unreachable = new Set<string>()
   private _members: readonly ChunkMember[] = []
   private readonly _originSchedule: OriginSchedule
-  private _assignment: ChunkPlaces
+  private _assignment: ChunkAssignment
   private readonly _window: PullWindow
   private _nextAttempt = 1
   private _startedAt: number | undefined
@@ -68,7 +68,7 @@
     private readonly _draw: () => number,
     private readonly _policy: SwarmPolicy = defaultSwarmPolicy
   ) {
-    this._assignment = new ChunkPlaces(_self, members)
+    this._assignment = new ChunkAssignment(_self, members)
     this._peers = new SwarmPeers(_self, _draw)
     this._originSchedule = new OriginSchedule(_manifest.chunks.length, _policy)
     this._window = new PullWindow(_policy.peerWindow)
@@ -81,7 +81,7 @@
   get progress (): number { return 1 - this._missing.size / this._manifest.chunks.length }
 
   /** The share of chunks that this member or a peer holds, 0 to 1. */
-  get known (): number {
+  get availableShare (): number {
     const unavailable = [...this._missing].filter(index => !this._peers.isHeld(index))
     return 1 - unavailable.length / this._manifest.chunks.length
   }
@@ -97,12 +97,12 @@
   }
 
   /** Peers that hold every chunk. */
-  get wholePeers (): string[] {
+  get completePeers (): string[] {
     return this._peers.peersWithChunkCount(this._manifest.chunks.length)
   }
 
   /** Time at which the last chunk was received; -Infinity if none was. */
-  get arrivedAt (): number { return this._lastChunkAt }
+  get lastChunkAt (): number { return this._lastChunkAt }
 
   /** Limits the concurrent requests further than the policy does; `undefined` restores the policy's own bounds. */
   limit (limit: SwarmLimit | undefined): void {
@@ -111,7 +111,7 @@
   }
 
   /** Sets the time at which the version was published. The default is the start of the transfer. */
-  namedAt (time: number): void { this._publishedAt = time }
+  setPublishedAt (time: number): void { this._publishedAt = time }
 
   /** Replaces the member list. */
   setMembers (members: readonly ChunkMember[]): void {
@@ -129,7 +129,7 @@
   }
 
   /** Records a peer's report of chunks that another member holds. */
-  heardOf (chunks: Iterable<number>, now: number): void { this._peers.addReport(chunks, now) }
+  peerReports (chunks: Iterable<number>, now: number): void { this._peers.addReport(chunks, now) }
 
   /** Records the loss of a peer: its chunks are unknown until it announces them again. */
   peerLost (instance: string): void {
@@ -163,7 +163,7 @@
   }
 
   /** Records that a chunk was received, verified and stored. */
-  arrived (attempt: number, now: number): TransferEffect[] {
+  chunkReceived (attempt: number, now: number): TransferEffect[] {
     const pull = this._removePull(attempt)
     if (pull === undefined) return []
     this._missing.delete(pull.index)
@@ -178,7 +178,7 @@
   }
 
   /** Ignores progress within a pull: pulls are small and have a fixed timeout. */
-  coming (): void {}
+  chunkPending (): void {}
 
   /** Records that an attempt failed. */
   failed (attempt: number, problem: FetchProblem, now: number): TransferEffect[] {
@@ -198,7 +198,7 @@
   }
 
   private _reassign (): void {
-    this._assignment = new ChunkPlaces(this._self, this._members.filter(({ instance }) => !this._unreachable.has(instance)))
+    this._assignment = new ChunkAssignment(this._self, this._members.filter(({ instance }) => !this._unreachable.has(instance)))
   }
 
   /**
@@ -209,8 +209,8 @@
     const missing = [...this._missing]
     const start = Math.floor(this._draw() * missing.length)
     const rotated = [...missing.slice(start), ...missing.slice(0, start)]
-    const own = rotated.filter(index => this._assignment.turn(index).inZone === 0)
-    return [...own, ...rotated.filter(index => this._assignment.turn(index).inZone > 0)]
+    const own = rotated.filter(index => this._assignment.ranks(index).inZone === 0)
+    return [...own, ...rotated.filter(index => this._assignment.ranks(index).inZone > 0)]
   }
 
   private _hasCapacity (): boolean {
@@ -246,13 +246,13 @@
     if (holders.length === 0) return undefined
     const seenAt = this._seenInOtherZoneAt.get(index) ?? now
     this._seenInOtherZoneAt.set(index, seenAt)
-    const { inZone } = this._assignment.turn(index)
+    const { inZone } = this._assignment.ranks(index)
     return now - seenAt >= inZone * this._policy.zoneStagger ? this._peers.fastest(holders, this._assignment.predecessor) : undefined
   }
 
   private _mayReadOrigin (index: number, view: OriginView): boolean {
     if (this._countPulls(true) >= this._limit.origin || view.now < (this._originRetryAt.get(index) ?? -Infinity)) return false
-    return this._originSchedule.mayRead(index, this._assignment.turn(index).overall, view)
+    return this._originSchedule.mayRead(index, this._assignment.ranks(index).overall, view)
   }
 
   private _countPulls (origin: boolean): number {
--- a/packages/core/src/lib/routing/weights/origin-schedule.ts
+++ b/packages/core/src/lib/routing/weights/origin-schedule.ts
@@ -43,7 +43,7 @@
    *
    * @param rank The member's overall rank for the chunk; 0 is first.
    * @example
-   * if (schedule.mayRead(7, places.turn(7).overall, view)) readFromOrigin(7)
+   * if (schedule.mayRead(7, places.ranks(7).overall, view)) readFromOrigin(7)
    */
   mayRead (index: number, rank: number, view: OriginView): boolean {
     const position = view.unheld.indexOf(index)
--- a/packages/core/src/lib/routing/weights/version-overlap.ts
+++ b/packages/core/src/lib/routing/weights/version-overlap.ts
@@ -17,14 +17,14 @@
   /** The share of its chunks that this instance holds, 0 to 1. */
   readonly progress: number
   /** The share of its chunks that this instance or a peer holds, 0 to 1. */
-  readonly known: number
+  readonly availableShare: number
 }
 
 /** The state on which the instance's decision is based. */
 export interface OverlapView {
   readonly staged: StagedVersion
   /** The newer version, and whether it has been collected completely. */
-  readonly ahead: { readonly version: number, readonly whole: boolean }
+  readonly newer: { readonly version: number, readonly whole: boolean }
   /** The version that the engine serves; 0 if none. */
   readonly served: number
   /** Whether the engine is executing an order, which reads the staging memory. */
@@ -49,9 +49,9 @@
  * Whether the transfer of an older version should be completed although a newer one is published.
  *
  * @example
- * if (worthFinishing({ version: 2, whole: false, progress: 0.9, known: 1 })) collectBeside()
+ * if (shouldFinish({ version: 2, whole: false, progress: 0.9, availableShare: 1 })) collectBeside()
  */
-export function worthFinishing ({ whole, progress }: StagedVersion): boolean {
+export function shouldFinish ({ whole, progress }: StagedVersion): boolean {
   return whole || progress >= MIN_PROGRESS
 }
 
@@ -61,11 +61,11 @@
  * @example
  * if (overlapStep(view).type === 'take-over') await stageNewer()
  */
-export function overlapStep ({ staged, ahead, served, ordering, mayBegin }: OverlapView): OverlapStep {
+export function overlapStep ({ staged, newer, served, ordering, mayBegin }: OverlapView): OverlapStep {
   if (ordering) return { type: 'wait' }
   if (served >= staged.version) return { type: 'take-over', why: 'older-served' }
-  if (ahead.whole) return { type: 'take-over', why: 'newer-whole' }
+  if (newer.whole) return { type: 'take-over', why: 'newer-whole' }
   if (!mayBegin) return { type: 'take-over', why: 'older-late' }
-  if (staged.known === 0 && !staged.whole) return { type: 'take-over', why: 'older-lost' }
+  if (staged.availableShare === 0 && !staged.whole) return { type: 'take-over', why: 'older-lost' }
   return { type: 'wait' }
 }
--- a/packages/core/src/lib/routing/weights/version-switch.ts
+++ b/packages/core/src/lib/routing/weights/version-switch.ts
@@ -20,7 +20,7 @@
 }
 
 /** The position of one engine in the switch order of its zone. */
-export interface SwitchTurn {
+export interface SwitchPosition {
   /** Position among the engines that hold the complete version, including this one; 0 is first. */
   readonly index: number
   /** Position once all engines of the zone hold it. */
@@ -28,7 +28,7 @@
   /** Number of engines in the zone. */
   readonly of: number
   /** Time at which the first engine of the zone held the complete version, by this process's clock. */
-  readonly since: number
+  readonly firstCompleteAt: number
 }
 
 /** The state on which the agent's decision is based; times by its own clock, in milliseconds. */
@@ -36,14 +36,14 @@
   /** The wanted version; 0 if none. */
   readonly wanted: number
   /** Time at which the agent first received it; `undefined` if it was already wanted when the agent started. */
-  readonly heardAt: number | undefined
+  readonly receivedAt: number | undefined
   /** The version that is staged completely; 0 if none. */
   readonly whole: number
   /** Estimated milliseconds until the wanted version is staged completely, from the rate of the link; `undefined` if unknown. */
   readonly wholeIn: number | undefined
   readonly engine: EngineState | undefined
   /** Read only if the decision depends on it, so that it may be a computed property. */
-  readonly turn: SwitchTurn
+  readonly turn: SwitchPosition
 }
 
 /** The next step of a switch. */
@@ -86,13 +86,13 @@
    * if (versionSwitch.step(view, now).type === 'order') await orderLoad()
    */
   step (view: SwitchView, now: number): SwitchStep {
-    const { wanted, heardAt, whole, engine } = view
+    const { wanted, receivedAt, whole, engine } = view
     this._recordComplete(whole, now)
     if (wanted === 0 || whole !== wanted || engine === undefined || engine.busy || now < this._retryAt) return { type: 'wait' }
     if (engine.version >= wanted) return { type: 'wait' }
     if (engine.version === 0) return { type: 'order', version: wanted, why: 'empty' }
-    if (heardAt === undefined || now >= heardAt + this._bound) return { type: 'order', version: wanted, why: 'late' }
-    return now >= this._switchAt(heardAt, view.turn, this._completeAt) ? { type: 'order', version: wanted, why: 'turn' } : { type: 'wait' }
+    if (receivedAt === undefined || now >= receivedAt + this._bound) return { type: 'order', version: wanted, why: 'late' }
+    return now >= this._switchAt(receivedAt, view.turn, this._completeAt) ? { type: 'order', version: wanted, why: 'turn' } : { type: 'wait' }
   }
 
   /**
@@ -100,18 +100,18 @@
    * time is estimated from the position that the engine will have once all engines hold the version.
    */
   plannedAt (view: SwitchView, now: number): number | undefined {
-    const { wanted, heardAt, whole, wholeIn, engine } = view
-    if (wanted === 0 || heardAt === undefined || engine === undefined || engine.version === 0 || engine.version >= wanted) return undefined
-    if (whole === wanted && this._completeVersion === wanted) return this._switchAt(heardAt, view.turn, this._completeAt)
+    const { wanted, receivedAt, whole, wholeIn, engine } = view
+    if (wanted === 0 || receivedAt === undefined || engine === undefined || engine.version === 0 || engine.version >= wanted) return undefined
+    if (whole === wanted && this._completeVersion === wanted) return this._switchAt(receivedAt, view.turn, this._completeAt)
     if (wholeIn === undefined || wholeIn > MAX_NOTICE) return undefined
     const { turn } = view
-    return this._switchAt(heardAt, { ...turn, index: turn.finalIndex }, now + wholeIn)
+    return this._switchAt(receivedAt, { ...turn, index: turn.finalIndex }, now + wholeIn)
   }
 
   /** Spreads the switches evenly from the time at which the first engine holds the complete version to the latest start of a switch. */
-  private _switchAt (heardAt: number, { index, of, since }: SwitchTurn, completeAt: number): number {
-    const interval = Math.max(0, heardAt + this._bound - this._lead - since) / Math.max(1, of - 1)
-    return Math.max(completeAt + ANNOUNCE_DELAY, since + index * interval)
+  private _switchAt (receivedAt: number, { index, of, firstCompleteAt }: SwitchPosition, completeAt: number): number {
+    const interval = Math.max(0, receivedAt + this._bound - this._lead - firstCompleteAt) / Math.max(1, of - 1)
+    return Math.max(completeAt + ANNOUNCE_DELAY, firstCompleteAt + index * interval)
   }
 
   /** Records the result of an order. */
@@ -135,9 +135,9 @@
  * @param whole Members that hold the complete version.
  * @param identity Varies the order from version to version.
  * @example
- * const { index, of } = switchPlace(self, ['10.0.0.7:7700'], members, 'drafting@2')
+ * const { index, of } = switchPosition(self, ['10.0.0.7:7700'], members, 'drafting@2')
  */
-export function switchPlace (self: ChunkMember, whole: readonly string[], members: readonly ChunkMember[], identity: string): Pick<SwitchTurn, 'index' | 'finalIndex' | 'of'> {
+export function switchPosition (self: ChunkMember, whole: readonly string[], members: readonly ChunkMember[], identity: string): Pick<SwitchPosition, 'index' | 'finalIndex' | 'of'> {
   const zone = new Set([self.instance, ...members.filter(({ availabilityZone }) => availabilityZone === self.availabilityZone).map(({ instance }) => instance)])
   const completed = whole.filter(instance => zone.has(instance))
   const positionAmong = (instances: Iterable<string>): number => rendezvousOrder([...instances], identity).indexOf(self.instance)
--- a/packages/core/src/lib/transfer.ts
+++ b/packages/core/src/lib/transfer.ts
@@ -99,19 +99,19 @@
 const MAX_HEDGES_PER_TICK = 4
 
 /** The transfer of one version to one member, driven by the caller. */
-export interface TransferCourse {
+export interface ChunkTransfer {
   /** The fraction of chunks that are held, from 0 to 1. */
   readonly progress: number
   setMembers (members: readonly ChunkMember[]): void
   tick (now: number): TransferEffect[]
-  arrived (attempt: number, now: number): TransferEffect[]
-  coming (attempt: number, now: number): void
+  chunkReceived (attempt: number, now: number): TransferEffect[]
+  chunkPending (attempt: number, now: number): void
   failed (attempt: number, problem: FetchProblem, now: number): TransferEffect[]
   cancel (): TransferEffect[]
 }
 
 /** A transfer that requests chunks from ancestors in a tree, which forward them as they receive them. */
-export class Transfer implements TransferCourse {
+export class Transfer implements ChunkTransfer {
   private readonly _manifest: Manifest
   private readonly _digest: string
   private readonly _policy: TransferPolicy
@@ -176,7 +176,7 @@
   }
 
   /** Records that a verified chunk has been stored. Several indexes may share its digest. */
-  arrived (attempt: number, now: number): TransferEffect[] {
+  chunkReceived (attempt: number, now: number): TransferEffect[] {
     const pending = this._pending.get(attempt)
     if (pending === undefined) return []
     this._recordDuration(now - pending.startedAt)
@@ -195,7 +195,7 @@
   }
 
   /** Extends the deadline of an attempt whose source signals that it holds or is fetching the chunk and will send it. */
-  coming (attempt: number, now: number): void {
+  chunkPending (attempt: number, now: number): void {
     const pending = this._pending.get(attempt)
     if (pending !== undefined) pending.deadline = Math.max(pending.deadline, now + this._timeout(pending.source))
   }
--- a/packages/core/src/test/lib/admission_test.ts
+++ b/packages/core/src/test/lib/admission_test.ts
@@ -5,21 +5,21 @@
  */
 import assert from 'node:assert/strict'
 import { describe, it } from 'node:test'
-import { AdmissionDoor, TICKET_LIFETIME_MILLISECONDS } from '../../lib/admission.js'
+import { AdmissionController, TICKET_LIFETIME_MILLISECONDS } from '../../lib/admission.js'
 
-function openAdmission (slots = 2): AdmissionDoor {
-  const admission = new AdmissionDoor('agent-1.aa', slots)
+function openAdmission (slots = 2): AdmissionController {
+  const admission = new AdmissionController('agent-1.aa', slots)
   admission.setServing(true)
   return admission
 }
 
-function ticketOf (admission: AdmissionDoor, now = 0): string {
+function ticketOf (admission: AdmissionController, now = 0): string {
   const reply = admission.offer(now)
   return reply.type === 'ready' ? reply.ticket : assert.fail(reply.reason)
 }
 
-describe('AdmissionDoor', () => {
-  const states: [name: string, close: (admission: AdmissionDoor) => void, reason: string][] = [
+describe('AdmissionController', () => {
+  const states: [name: string, close: (admission: AdmissionController) => void, reason: string][] = [
     ['no version is served', admission => admission.setServing(false), 'not-serving'],
     ['the engine is switching', admission => admission.setSwitching(true), 'switching'],
     ['draining', admission => { admission.leave('draining') }, 'leaving'],
--- a/packages/core/src/test/lib/choice_test.ts
+++ b/packages/core/src/test/lib/choice_test.ts
@@ -19,7 +19,7 @@
 function choiceWith (reports: Record<string, EndpointStatus>): EndpointChoice {
   let turn = 0
   const choice = new EndpointChoice(self, () => (turn++ * 0.37) % 1)
-  for (const [instance, report] of Object.entries(reports)) choice.heard(instance, report)
+  for (const [instance, report] of Object.entries(reports)) choice.updateStatus(instance, report)
   return choice
 }
 
--- a/packages/core/src/test/lib/engine-switch_test.ts
+++ b/packages/core/src/test/lib/engine-switch_test.ts
@@ -5,9 +5,9 @@
  */
 import assert from 'node:assert/strict'
 import { describe, it } from 'node:test'
-import { AdmissionDoor } from '../../lib/admission.js'
+import { AdmissionController } from '../../lib/admission.js'
 import type { InstanceRecord } from '../../lib/documents.js'
-import { EngineSwitch, type EngineReport, type SwitchEffect, type SwitchSituation } from '../../lib/engine-switch.js'
+import { EngineSwitch, type EngineReport, type SwitchEffect, type SwitchInputs } from '../../lib/engine-switch.js'
 
 const members: InstanceRecord[] = ['a', 'b'].map(instance => ({ instance, availabilityZone: 'koshi', role: 'agent', address: '10.0.0.1:1', endpoint: 'p', state: 'live' }))
 const alone = members.filter(member => member.instance === 'a')
@@ -17,16 +17,16 @@
   return { version: 'v1', loading: '', failed: '', fence: 1, running: 0, ...change }
 }
 
-function situation (change: Partial<SwitchSituation> = {}): SwitchSituation {
-  return { target: { manifestDigest: 'v2', switchFraction: 0.5 }, wholeDigest: 'v2', members: alone, knownDigests: new Set(['v1', 'v2']), ...change }
+function situation (change: Partial<SwitchInputs> = {}): SwitchInputs {
+  return { target: { manifestDigest: 'v2', switchFraction: 0.5 }, wholeDigest: 'v2', members: alone, configuredDigests: new Set(['v1', 'v2']), ...change }
 }
 
 /** Returns a switch whose agent took its engine over at time 0. */
-function takenOverSwitch (): { engineSwitch: EngineSwitch, admission: AdmissionDoor } {
-  const admission = new AdmissionDoor('a.1', 4)
+function takenOverSwitch (): { engineSwitch: EngineSwitch, admission: AdmissionController } {
+  const admission = new AdmissionController('a.1', 4)
   const engineSwitch = new EngineSwitch('a', admission, 0)
   engineSwitch.step(report({ fence: 0 }), situation(), 0)
-  engineSwitch.tookOver(1, 'taken', 0)
+  engineSwitch.takeOverAnswered(1, 'taken', 0)
   return { engineSwitch, admission }
 }
 
@@ -34,21 +34,21 @@
 
 describe('EngineSwitch', () => {
   it('first takes the engine over with a fence above its last one', () => {
-    const engineSwitch = new EngineSwitch('a', new AdmissionDoor('a.1', 4), 0)
+    const engineSwitch = new EngineSwitch('a', new AdmissionController('a.1', 4), 0)
     assert.deepEqual(engineSwitch.step(report({ fence: 6 }), situation(), 100), [{ type: 'take-over', fence: 7 }])
   })
 
   const replacements: [name: string, act: (engineSwitch: EngineSwitch) => SwitchEffect[]][] = [
-    ['another agent took over first', engineSwitch => engineSwitch.tookOver(7, 'stale-fence', 200)],
+    ['another agent took over first', engineSwitch => engineSwitch.takeOverAnswered(7, 'stale-fence', 200)],
     ['it was paused before the take-over', engineSwitch => engineSwitch.step(report(), situation(), 9_000)],
     ['a newer agent has taken the engine over', engineSwitch => {
-      engineSwitch.tookOver(7, 'taken', 200)
+      engineSwitch.takeOverAnswered(7, 'taken', 200)
       return engineSwitch.step(report({ fence: 8 }), situation(), 300)
     }]
   ]
   for (const [name, act] of replacements) {
     it(`stops when ${name}`, () => {
-      const admission = new AdmissionDoor('a.1', 4)
+      const admission = new AdmissionController('a.1', 4)
       const engineSwitch = new EngineSwitch('a', admission, 0)
       engineSwitch.step(report({ fence: 6 }), situation(), 100)
       assert.deepEqual(types(act(engineSwitch)), ['replaced'])
@@ -57,7 +57,7 @@
     })
   }
 
-  const steps: [name: string, engine: EngineReport | undefined, at: SwitchSituation, effects: string[], serving: boolean][] = [
+  const steps: [name: string, engine: EngineReport | undefined, at: SwitchInputs, effects: string[], serving: boolean][] = [
     ['loads a complete version', report(), situation(), ['began', 'order-load'], true],
     ['waits until the version is complete', report(), situation({ wholeDigest: '' }), [], true],
     ['waits while another load is in progress', report({ loading: 'v1' }), situation(), [], false],
@@ -77,15 +77,15 @@
 
   it('queries the previous wave and halts when it failed', () => {
     const pair = ['a', 'b'].map(self => {
-      const admission = new AdmissionDoor(`${self}.1`, 4)
+      const admission = new AdmissionController(`${self}.1`, 4)
       const engineSwitch = new EngineSwitch(self, admission, 0)
       engineSwitch.step(report({ fence: 0 }), situation({ members }), 0)
-      engineSwitch.tookOver(1, 'taken', 0)
+      engineSwitch.takeOverAnswered(1, 'taken', 0)
       return { engineSwitch, first: types(engineSwitch.step(report(), situation({ members }), SETTLED_AT)) }
     })
     const second = pair.find(({ first }) => first.includes('ask-progress'))
     assert.equal(pair.filter(({ first }) => first.includes('began')).length, 1, 'exactly one engine starts first')
-    for (const name of ['a', 'b']) second?.engineSwitch.heard(name, 'failed', SETTLED_AT)
+    for (const name of ['a', 'b']) second?.engineSwitch.progressReported(name, 'failed', SETTLED_AT)
     assert.deepEqual(types(second?.engineSwitch.step(report(), situation({ members }), SETTLED_AT + 200) ?? []), ['halted', 'ask-progress'])
     assert.equal(second?.engineSwitch.halted, true)
   })
@@ -93,14 +93,14 @@
   it('limits the rate at which it queries a large wave', () => {
     const many: InstanceRecord[] = Array.from({ length: 200 }, (_, index) => ({ ...(members[0] as InstanceRecord), instance: `m-${index}` }))
     const last = many.map(({ instance }) => instance).find(self => {
-      const engineSwitch = new EngineSwitch(self, new AdmissionDoor(`${self}.1`, 4), 0)
+      const engineSwitch = new EngineSwitch(self, new AdmissionController(`${self}.1`, 4), 0)
       engineSwitch.step(report({ fence: 0 }), situation({ members: many }), 0)
-      engineSwitch.tookOver(1, 'taken', 0)
+      engineSwitch.takeOverAnswered(1, 'taken', 0)
       return types(engineSwitch.step(report(), situation({ members: many }), SETTLED_AT)).includes('ask-progress')
     }) ?? ''
-    const engineSwitch = new EngineSwitch(last, new AdmissionDoor(`${last}.1`, 4), 0)
+    const engineSwitch = new EngineSwitch(last, new AdmissionController(`${last}.1`, 4), 0)
     engineSwitch.step(report({ fence: 0 }), situation({ members: many }), 0)
-    engineSwitch.tookOver(1, 'taken', 0)
+    engineSwitch.takeOverAnswered(1, 'taken', 0)
     let asked = 0
     for (let now = SETTLED_AT; now < SETTLED_AT + 10_000; now += 200) {
       for (const effect of engineSwitch.step(report(), situation({ members: many }), now)) if (effect.type === 'ask-progress') asked += effect.instances.length
--- a/packages/core/src/test/lib/routing/attempts/attempt-course_test.ts
+++ b/packages/core/src/test/lib/routing/attempts/attempt-tracker_test.ts
@@ -5,7 +5,7 @@
  */
 import assert from 'node:assert/strict'
 import { describe, it } from 'node:test'
-import { AttemptCourse, type AttemptEnd } from '../../../../lib/routing/attempts/attempt-course.js'
+import { AttemptTracker, type AttemptEnd } from '../../../../lib/routing/attempts/attempt-tracker.js'
 import type { Route } from '../../../../lib/routing/published/routing-configuration.js'
 
 type Bounds = Pick<Route, 'kind' | 'maxAttempts' | 'resumable'>
@@ -24,7 +24,7 @@
 
 /** The step, or the outcome of a failure, after the last of some attempts. */
 function last (route: Bounds, ends: readonly AttemptEnd[], options: { begun?: boolean, timeLeft?: boolean, suspect?: boolean, elsewhere?: boolean, budget?: number } = {}): string {
-  const course = new AttemptCourse(route)
+  const course = new AttemptTracker(route)
   let budget = options.budget ?? 10
   let step = ''
   for (const end of ends) {
@@ -35,7 +35,7 @@
   return step
 }
 
-describe('AttemptCourse', () => {
+describe('AttemptTracker', () => {
   const cases: [name: string, step: string, expected: string][] = [
     ['forwards a complete answer', last(safe, [answered(200)]), 'pass-on'],
     ['forwards a client error', last(safe, [answered(404)]), 'pass-on'],
@@ -65,7 +65,7 @@
 
   it('does not spend the retry budget if no other endpoint can take the request', () => {
     let spent = 0
-    new AttemptCourse(safe).ended(full, { timeLeft: true, suspect: false, elsewhere: () => false, spendRetry: () => { spent += 1; return true } })
+    new AttemptTracker(safe).ended(full, { timeLeft: true, suspect: false, elsewhere: () => false, spendRetry: () => { spent += 1; return true } })
     assert.equal(spent, 0)
   })
 })
@@ -74,7 +74,7 @@
  * All combinations of what was forwarded to the caller, the result of the attempt, and the conditions for a retry: attempts, budget,
  * time and another endpoint, either all of them or all but one.
  */
-describe('AttemptCourse, all combinations for a resumable stream', () => {
+describe('AttemptTracker, all combinations for a resumable stream', () => {
   type Left = 'all' | 'no attempt' | 'no budget' | 'no time' | 'no endpoint'
   const lefts: readonly Left[] = ['all', 'no attempt', 'no budget', 'no time', 'no endpoint']
   type Expected = readonly [all: string, noAttempt: string, noBudget: string, noTime: string, noEndpoint: string]
--- a/packages/core/src/test/lib/routing/attempts/early-refusal_test.ts
+++ b/packages/core/src/test/lib/routing/attempts/early-refusal_test.ts
@@ -5,9 +5,9 @@
  */
 import assert from 'node:assert/strict'
 import { describe, it } from 'node:test'
-import { decideStart, FirstTries, retryAfter, UsualObjective, type CallerTime, type Opening } from '../../../../lib/routing/attempts/early-refusal.js'
+import { decideAdmission, FirstTryEstimator, retryAfter, UsualObjective, type CallerTime, type PoolOpening } from '../../../../lib/routing/attempts/early-refusal.js'
 
-describe('decideStart', () => {
+describe('decideAdmission', () => {
   const cases: [name: string, expected: number, objective: number, usualObjective: number, type: string][] = [
     ['admits a request that is expected in time', 300, 400, 400, 'start'],
     ['admits a request that is expected at four fifths of the objective', 320, 400, 400, 'start'],
@@ -17,7 +17,7 @@
     ['applies the mean objective to a request with a shorter one', 350, 400, 440, 'start'],
     ['rejects a request that is expected after its own objective', 260, 250, 440, 'refuse']
   ]
-  for (const [name, expected, objective, usualObjective, type] of cases) it(name, () => assert.equal(decideStart({ expected, objective, usualObjective }).type, type))
+  for (const [name, expected, objective, usualObjective, type] of cases) it(name, () => assert.equal(decideAdmission({ expected, objective, usualObjective }).type, type))
 })
 
 describe('UsualObjective', () => {
@@ -38,8 +38,8 @@
 })
 
 describe('retryAfter', () => {
-  const open: Opening = { type: 'open' }
-  const cases: [name: string, time: CallerTime, opening: Opening, latest: number, earliest: number][] = [
+  const open: PoolOpening = { type: 'open' }
+  const cases: [name: string, time: CallerTime, opening: PoolOpening, latest: number, earliest: number][] = [
     ['a busy pool, for a caller that can still be in time', { patience: 6_000, objective: 600 }, open, 210, 120],
     ['a busy pool, for a caller that retries', { patience: 5_800, objective: 400 }, open, 140, 80],
     ['a busy pool, for a caller that will be late: a third of its patience, less up to two fifths of that', { patience: 6_000, objective: 0 }, open, 2_000, 1_200],
@@ -63,7 +63,7 @@
   }
 })
 
-describe('FirstTries', () => {
+describe('FirstTryEstimator', () => {
   const cases: [name: string, patiences: readonly number[], elapsed: number][] = [
     ['a first try', [6_000], 0],
     ['a retry after a second', [6_000, 5_000], 994],
@@ -72,13 +72,13 @@
   ]
   for (const [name, patiences, expected] of cases) {
     it(`estimates the time since the first try of ${name}`, () => {
-      const tries = new FirstTries()
+      const tries = new FirstTryEstimator()
       assert.equal(patiences.map(patience => tries.elapsed('plans', patience)).at(-1), expected)
     })
   }
 
   it('tracks each route separately', () => {
-    const tries = new FirstTries()
+    const tries = new FirstTryEstimator()
     tries.elapsed('plans', 6_000)
     assert.equal(tries.elapsed('look-ups', 1_500), 0)
   })
--- a/packages/core/src/test/lib/routing/attempts/retry-allowance_test.ts
+++ b/packages/core/src/test/lib/routing/attempts/retry-allowance_test.ts
@@ -5,7 +5,7 @@
  */
 import assert from 'node:assert/strict'
 import { describe, it } from 'node:test'
-import type { RetryPurpose } from '../../../../lib/routing/attempts/attempt-course.js'
+import type { RetryPurpose } from '../../../../lib/routing/attempts/attempt-tracker.js'
 import { RetryAllowance } from '../../../../lib/routing/attempts/retry-allowance.js'
 
 const terms = { ratio: 0.2, slack: 100, window: 10_000 }
--- a/packages/core/src/test/lib/routing/attempts/suspect-requests_test.ts
+++ b/packages/core/src/test/lib/routing/attempts/suspect-requests_test.ts
@@ -8,7 +8,7 @@
 // row, and one was the cause. The tests replay the events at one entry: losses, heartbeats, answers, and reports from other processes.
 import assert from 'node:assert/strict'
 import { describe, it } from 'node:test'
-import { readSuspectNews, SuspectRequests, type Standing } from '../../../../lib/routing/attempts/suspect-requests.js'
+import { readSuspectNews, SuspectRequests, type SuspectStatus } from '../../../../lib/routing/attempts/suspect-requests.js'
 
 const fatal = '00000000000000fa'
 const other = '0000000000000001'
@@ -39,7 +39,7 @@
 
 describe('SuspectRequests', () => {
   const losses = (...starts: string[]): Step[] => starts.map((start, index) => ['lost', 500 * index, start] as const)
-  const cases: [name: string, steps: readonly Step[], at: number, expected: Standing][] = [
+  const cases: [name: string, steps: readonly Step[], at: number, expected: SuspectStatus][] = [
     ['does not restrict a request after one loss', losses('a'), 10, 'clear'],
     ['does not retry a request after two losses', losses('a', 'b'), 1_000, 'no-further-attempt'],
     ['holds a request back after three losses', losses('a', 'b', 'c'), 1_000, 'held-back'],
--- a/packages/core/src/test/lib/routing/choice/endpoint-chooser_test.ts
+++ b/packages/core/src/test/lib/routing/choice/endpoint-chooser_test.ts
@@ -5,12 +5,12 @@
  */
 import assert from 'node:assert/strict'
 import { describe, it } from 'node:test'
-import type { Need } from '../../../../lib/routing/choice/endpoint-choice.js'
+import type { EndpointRequirements } from '../../../../lib/routing/choice/endpoint-choice.js'
 import { EndpointChooser } from '../../../../lib/routing/choice/endpoint-chooser.js'
 import type { EndpointGate, SparedFor } from '../../../../lib/routing/choice/endpoint-gate.js'
-import type { Opening } from '../../../../lib/routing/attempts/early-refusal.js'
+import type { PoolOpening } from '../../../../lib/routing/attempts/early-refusal.js'
 import type { LoadReport } from '../../../../lib/routing/choice/endpoint-load.js'
-import { startOf, type EndpointRecord } from '../../../../lib/routing/published/endpoint-record.js'
+import { startKeyOf, type EndpointRecord } from '../../../../lib/routing/published/endpoint-record.js'
 import type { PoolDescription, ServiceDescription } from '../../../../lib/routing/published/routing-configuration.js'
 
 const pool: PoolDescription = {
@@ -18,7 +18,7 @@
 }
 const drafting: ServiceDescription = { name: 'drafting', maxConnections: 100, pool }
 const desk: ServiceDescription = { name: 'desk', maxConnections: 4 }
-const need: Need = { promptTokens: 500, answerTokens: 0, model: 'm', leastVersion: 0, mustBeginBy: () => undefined, usualObjective: 0, tried: new Set() }
+const need: EndpointRequirements = { promptTokens: 500, answerTokens: 0, model: 'm', leastVersion: 0, mustBeginBy: () => undefined, usualObjective: 0, tried: new Set() }
 const idle: LoadReport = { running: 0, waiting: 0, version: 1, accepting: true, pace: 1 }
 const busy: LoadReport = { ...idle, running: 14, waiting: 3 }
 
@@ -34,7 +34,7 @@
 }
 
 /** The id of the chosen endpoint; `undefined` if there is none. */
-function chosen (chooser: EndpointChooser, part: Partial<Need> = {}, service = drafting, now = 1_050): string | undefined {
+function chosen (chooser: EndpointChooser, part: Partial<EndpointRequirements> = {}, service = drafting, now = 1_050): string | undefined {
   return chooser.choose(service, { ...need, ...part }, now)?.record.id
 }
 
@@ -106,7 +106,7 @@
 
   it('decays the expected time of a plain service that was slow', () => {
     const chooser = createChooser([record('a')])
-    chooser.plainTook('a', 9_000, 1_000)
+    chooser.recordPlainAnswer('a', 9_000, 1_000)
     const slow = chooser.choose(desk, { ...need, model: '' }, 1_000)?.expected ?? 0
     const later = chooser.choose(desk, { ...need, model: '' }, 15_000)?.expected ?? 0
     assert.ok(slow > 2_000 && later < 110, `${slow} and ${later}`)
@@ -121,7 +121,7 @@
   for (const [name, took, outstanding, expected] of plain) {
     it(`expects of a plain service ${name}`, () => {
       const chooser = createChooser([record('a', 'koshi', { slots: 8 })])
-      for (const milliseconds of took) chooser.plainTook('a', milliseconds, 1_000)
+      for (const milliseconds of took) chooser.recordPlainAnswer('a', milliseconds, 1_000)
       const roomy = { ...desk, maxConnections: 99 }
       const choice = chooser.choose(roomy, { ...need, model: '' }, 1_000)
       assert.ok(choice !== undefined)
@@ -132,7 +132,7 @@
 
   it('expects the response time of the other endpoints from a plain endpoint that was not tried yet', () => {
     const chooser = createChooser([record('a'), record('b')])
-    chooser.plainTook('a', 30, 1_000)
+    chooser.recordPlainAnswer('a', 30, 1_000)
     assert.equal(chooser.choose(desk, { ...need, model: '', tried: new Set(['a']) }, 1_000)?.expected, 30)
   })
 
@@ -172,7 +172,7 @@
 
   it('skips an unreachable endpoint temporarily', () => {
     const chooser = createChooser([record('a')])
-    chooser.avoid('a', 'unreachable', 1_000)
+    chooser.skip('a', 'unreachable', 1_000)
     assert.equal(chosen(chooser, {}, drafting, 2_999), undefined)
     assert.equal(chosen(chooser, {}, drafting, 3_000), 'a')
   })
@@ -206,7 +206,7 @@
 
 describe('EndpointChooser.opening', () => {
   const closed: LoadReport = { ...idle, accepting: false }
-  const cases: [name: string, chooser: EndpointChooser, part: Partial<Need>, service: ServiceDescription, expected: Opening][] = [
+  const cases: [name: string, chooser: EndpointChooser, part: Partial<EndpointRequirements>, service: ServiceDescription, expected: PoolOpening][] = [
     ['a plain service is open', createChooser([]), {}, desk, { type: 'open' }],
     ['a pool is open if an engine that reports accepts requests', createChooser([record('a'), record('b')], { a: closed, b: idle }), {}, drafting, { type: 'open' }],
     ['a pool is open also if the request was already tried there', createChooser([record('a')], { a: idle }), { tried: new Set(['a']) }, drafting, { type: 'open' }],
@@ -227,9 +227,9 @@
 
   type Learn = (chooser: EndpointChooser) => void
   const state: [name: string, learn: Learn][] = [
-    ['an earlier load report', chooser => chooser.heard(startOf(first), { ...idle, version: 0 }, 1_000)],
-    ['an earlier version switch', chooser => chooser.heard(startOf(first), { ...idle, accepting: false }, 1_000)],
-    ['an earlier connection failure', chooser => chooser.avoid(startOf(first), 'unreachable', 1_000)]
+    ['an earlier load report', chooser => chooser.heard(startKeyOf(first), { ...idle, version: 0 }, 1_000)],
+    ['an earlier version switch', chooser => chooser.heard(startKeyOf(first), { ...idle, accepting: false }, 1_000)],
+    ['an earlier connection failure', chooser => chooser.skip(startKeyOf(first), 'unreachable', 1_000)]
   ]
   for (const [name, learn] of state) {
     it(`is not affected by ${name}`, () => {
@@ -243,29 +243,29 @@
 
   it('is not affected by earlier failures', () => {
     const others = [record('b', 'next'), record('c', 'next')]
-    const chooser = createChooser([first, ...others], { [startOf(first)]: idle, b: idle, c: idle })
-    for (let count = 0; count < 3; count += 1) chooser.ended(startOf(first), `request-${count}`, 'bad', 1_000)
+    const chooser = createChooser([first, ...others], { [startKeyOf(first)]: idle, b: idle, c: idle })
+    for (let count = 0; count < 3; count += 1) chooser.ended(startKeyOf(first), `request-${count}`, 'bad', 1_000)
     const before = chosen(chooser)
     chooser.setRecords([second, ...others])
-    chooser.heard(startOf(second), idle, 1_000)
+    chooser.heard(startKeyOf(second), idle, 1_000)
     assert.deepEqual([before, chosen(chooser)], ['b', 'a'])
   })
 
   it('can take a request that was sent to its earlier incarnation', () => {
-    assert.equal(chosen(createChooser([second]), { tried: new Set([startOf(first)]) }), 'a')
+    assert.equal(chosen(createChooser([second]), { tried: new Set([startKeyOf(first)]) }), 'a')
   })
 
   it('is not affected by the load of its earlier incarnation', () => {
-    const chooser = createChooser([first, record('b', 'next')], { [startOf(first)]: busy, b: { ...idle, running: 6 } })
+    const chooser = createChooser([first, record('b', 'next')], { [startKeyOf(first)]: busy, b: { ...idle, running: 6 } })
     assert.equal(chosen(chooser), 'b')
     chooser.setRecords([second, record('b', 'next')])
-    chooser.heard(startOf(second), idle, 1_020)
+    chooser.heard(startKeyOf(second), idle, 1_020)
     assert.equal(chosen(chooser), 'a')
   })
 
   it('ignores a late load report of its earlier incarnation', () => {
     const chooser = createChooser([second])
-    chooser.heard(startOf(first), { ...idle, version: 0 }, 1_000)
+    chooser.heard(startKeyOf(first), { ...idle, version: 0 }, 1_000)
     assert.equal(chosen(chooser), 'a')
   })
 })
@@ -313,7 +313,7 @@
   ]
   for (const [name, id, expected] of cases) it(name, () => assert.equal(id, expected))
 
-  const openings: [name: string, service: ServiceDescription, closed: Record<string, number>, expected: Opening][] = [
+  const openings: [name: string, service: ServiceDescription, closed: Record<string, number>, expected: PoolOpening][] = [
     ['a pool', drafting, { a: 500, b: 700 }, { type: 'expected', in: 500 }],
     ['a plain service', desk, { a: 500, b: 700 }, { type: 'expected', in: 500 }],
     ['a plain service with an open endpoint', desk, { a: 500 }, { type: 'open' }],
--- a/packages/core/src/test/lib/routing/choice/load-news_test.ts
+++ b/packages/core/src/test/lib/routing/choice/load-report-threshold_test.ts
@@ -6,11 +6,11 @@
 import assert from 'node:assert/strict'
 import { describe, it } from 'node:test'
 import type { LoadReport } from '../../../../lib/routing/choice/endpoint-load.js'
-import { isLoadNews } from '../../../../lib/routing/choice/load-news.js'
+import { shouldSendReport } from '../../../../lib/routing/choice/load-report-threshold.js'
 
 const told: LoadReport = { running: 8, waiting: 0, unreadTokens: 3_000, version: 1, accepting: true, pace: 1 }
 
-describe('isLoadNews', () => {
+describe('shouldSendReport', () => {
   const cases: [name: string, load: Partial<LoadReport>, age: number, news: boolean][] = [
     ['an unchanged report', {}, 0, false],
     ['prompts read as fast as expected', { unreadTokens: 1_000 }, 100, false],
@@ -28,12 +28,12 @@
   ]
   for (const [name, part, age, news] of cases) {
     it(`${news ? 'reports' : 'does not report'} ${name}`, () => {
-      assert.equal(isLoadNews({ ...told, ...part }, { told, age, readRate: 20, slots: 16 }), news)
+      assert.equal(shouldSendReport({ ...told, ...part }, { told, age, readRate: 20, slots: 16 }), news)
     })
   }
 
   it('does not report a planned switch that shifts within the tolerance', () => {
-    assert.equal(isLoadNews({ ...told, closesIn: 400 }, { told: { ...told, closesIn: 500 }, age: 0, readRate: 20, slots: 16 }), false)
+    assert.equal(shouldSendReport({ ...told, closesIn: 400 }, { told: { ...told, closesIn: 500 }, age: 0, readRate: 20, slots: 16 }), false)
   })
   const closings: [name: string, before: number, closesIn: number, age: number, news: boolean][] = [
     ['a planned switch that approaches as expected', 500, 400, 100, false],
@@ -44,7 +44,7 @@
   for (const [name, before, closesIn, age, news] of closings) {
     it(`${news ? 'reports' : 'does not report'} ${name}`, () => {
       const earlier = { ...told, closesIn: before }
-      assert.equal(isLoadNews({ ...earlier, closesIn }, { told: earlier, age, readRate: 0, slots: 16 }), news)
+      assert.equal(shouldSendReport({ ...earlier, closesIn }, { told: earlier, age, readRate: 0, slots: 16 }), news)
     })
   }
 
@@ -57,11 +57,11 @@
   for (const [name, before, opensIn, age, news] of openings) {
     it(`${news ? 'reports' : 'does not report'} ${name}`, () => {
       const earlier = { ...told, accepting: false, opensIn: before }
-      assert.equal(isLoadNews({ ...earlier, opensIn }, { told: earlier, age, readRate: 0, slots: 16 }), news)
+      assert.equal(shouldSendReport({ ...earlier, opensIn }, { told: earlier, age, readRate: 0, slots: 16 }), news)
     })
   }
 
   it('reports one more running request if few slots are free', () => {
-    assert.equal(isLoadNews({ ...told, running: 14 }, { told: { ...told, running: 13 }, age: 0, readRate: 20, slots: 16 }), true)
+    assert.equal(shouldSendReport({ ...told, running: 14 }, { told: { ...told, running: 13 }, age: 0, readRate: 20, slots: 16 }), true)
   })
 })
--- a/packages/core/src/test/lib/routing/choice/unread-tokens_test.ts
+++ b/packages/core/src/test/lib/routing/choice/unread-tokens_test.ts
@@ -5,7 +5,7 @@
  */
 import assert from 'node:assert/strict'
 import { describe, it } from 'node:test'
-import { UnreadTokens, type ContextReading } from '../../../../lib/routing/choice/unread-tokens.js'
+import { UnreadTokenEstimator, type ContextReading } from '../../../../lib/routing/choice/unread-tokens.js'
 
 /** The prefill rate of the engine, in tokens per millisecond. */
 const READ_RATE = 20
@@ -13,7 +13,7 @@
 
 function reading (running: number, contextTokens: number): ContextReading { return { running, contextTokens } }
 
-describe('UnreadTokens', () => {
+describe('UnreadTokenEstimator', () => {
   const cases: [name: string, readings: readonly ContextReading[], unread: number][] = [
     ['no tokens for an idle engine', [reading(0, 0)], 0],
     ['all prompts of an engine that has just started', [reading(0, 0), reading(8, 8_000)], 8_000],
@@ -25,7 +25,7 @@
   ]
   for (const [name, readings, unread] of cases) {
     it(`estimates ${name}`, () => {
-      const estimate = new UnreadTokens()
+      const estimate = new UnreadTokenEstimator()
       let seen = 0
       readings.forEach((each, index) => { seen = estimate.observe(each, READ_RATE, index * LOOK_PAUSE) })
       assert.equal(seen, unread)
--- a/packages/core/src/test/lib/routing/decay_test.ts
+++ b/packages/core/src/test/lib/routing/decay_test.ts
@@ -6,7 +6,7 @@
 import assert from 'node:assert/strict'
 import { describe, it } from 'node:test'
 import { decay } from '../../../lib/routing/decay.js'
-import { UsualTime } from '../../../lib/routing/choice/usual-time.js'
+import { MeanResponseTime } from '../../../lib/routing/choice/mean-response-time.js'
 
 describe('decay', () => {
   const cases: [name: string, elapsed: number, expected: number][] = [
@@ -18,9 +18,9 @@
   for (const [name, elapsed, expected] of cases) it(`returns ${name}`, () => assert.equal(decay(elapsed, 100), expected))
 })
 
-describe('UsualTime', () => {
+describe('MeanResponseTime', () => {
   it('starts at the first value, then changes slowly', () => {
-    const usual = new UsualTime()
+    const usual = new MeanResponseTime()
     assert.equal(usual.value(0), 0)
     usual.took(20, 0)
     assert.equal(usual.value(0), 20)
@@ -29,7 +29,7 @@
   })
 
   it('decays without new values, so that a slow service is tried again', () => {
-    const usual = new UsualTime()
+    const usual = new MeanResponseTime()
     usual.took(9_000, 0)
     assert.ok(usual.value(15_000) < 20)
   })
--- a/packages/core/src/test/lib/routing/limits/limit-book_test.ts
+++ b/packages/core/src/test/lib/routing/limits/limit-statements_test.ts
@@ -5,19 +5,19 @@
  */
 import assert from 'node:assert/strict'
 import { describe, it } from 'node:test'
-import { isPlausibleLimit, LimitBook, readLimitNews, type LimitStatement } from '../../../../lib/routing/limits/limit-book.js'
+import { isPlausibleLimit, LimitStatements, readLimitNews, type LimitStatement } from '../../../../lib/routing/limits/limit-statements.js'
 
 const start = 'engine-7@1700'
 const announced: LimitStatement = { limit: 1.1, askedAt: 100, heardAt: 200 }
 
 /** The limit after some statements, each added when it is received. */
 function limitAfter (...statements: LimitStatement[]): number | undefined {
-  const book = new LimitBook()
+  const book = new LimitStatements()
   for (const statement of statements) book.heard(start, statement, statement.heardAt)
   return book.limitOf(start, 10_000)
 }
 
-describe('LimitBook', () => {
+describe('LimitStatements', () => {
   const cases: [name: string, limit: number | undefined, expected: number | undefined][] = [
     ['no limit for an endpoint that announces none', limitAfter({ limit: undefined, askedAt: 0, heardAt: 10 }), undefined],
     ['the announced limit', limitAfter(announced), 1.1],
@@ -33,7 +33,7 @@
   for (const [name, limit, expected] of cases) it(`holds ${name}`, () => assert.equal(limit, expected))
 
   it('shares limits and their end with other processes, as ages instead of times', () => {
-    const [first, second] = [new LimitBook(), new LimitBook()]
+    const [first, second] = [new LimitStatements(), new LimitStatements()]
     first.heard(start, announced, 200)
     assert.equal(second.told(first.known(700), 90_700).length, 1)
     assert.deepEqual([second.limitOf(start, 90_700), second.told(first.known(800), 90_800)], [1.1, []])
@@ -43,7 +43,7 @@
   })
 
   it('is corrected by a process with a later statement', () => {
-    const [first, second] = [new LimitBook(), new LimitBook()]
+    const [first, second] = [new LimitStatements(), new LimitStatements()]
     first.heard(start, announced, 200)
     second.heard(start, announced, 200)
     second.heard(start, { limit: undefined, askedAt: 1_250, heardAt: 1_300 }, 1_300)
@@ -52,12 +52,12 @@
   })
 
   it('does not treat a statement forwarded many times as later than it is', () => {
-    const books = Array.from({ length: 20 }, () => new LimitBook())
+    const books = Array.from({ length: 20 }, () => new LimitStatements())
     let now = 1_000
     books[0]?.heard(start, { limit: undefined, askedAt: 990, heardAt: 1_000 }, now)
     books[0]?.heard(start, { limit: 1.1, askedAt: 0, heardAt: 100 }, 100)
     books[0]?.heard(start, { limit: undefined, askedAt: 990, heardAt: 1_000 }, now)
-    const later = new LimitBook()
+    const later = new LimitStatements()
     later.heard(start, { limit: 2, askedAt: 1_100, heardAt: 1_150 }, 1_150)
     for (let hop = 1; hop < books.length; hop += 1) {
       now += 400
@@ -68,13 +68,13 @@
   })
 
   it('drops statements after ten minutes', () => {
-    const book = new LimitBook()
+    const book = new LimitStatements()
     book.heard(start, announced, 200)
     assert.deepEqual([book.limitOf(start, 700_000), book.known(700_000)], [undefined, []])
   })
 
   it('stores statements of a bounded number of endpoints', () => {
-    const book = new LimitBook()
+    const book = new LimitStatements()
     for (let index = 0; index < 2_000; index += 1) book.heard(`engine-${index}`, announced, 200)
     assert.equal(book.known(300).length, 1_024)
   })
--- a/packages/core/src/test/lib/routing/published/lapsed-endpoints_test.ts
+++ b/packages/core/src/test/lib/routing/published/lapsed-endpoints_test.ts
@@ -30,10 +30,10 @@
   for (const [name, missing, after, expected] of cases) {
     it(name, () => {
       const state = new PublishedState()
-      state.takeWhole('endpoints', ALL.map((id, index) => listed(id, index + 1)), 5, 0)
+      state.takeSnapshot('endpoints', ALL.map((id, index) => listed(id, index + 1)), 5, 0)
       state.storeLost()
       state.storeRegained(10_000, 9)
-      state.takeWhole('endpoints', ALL.filter(id => !missing.includes(id)).map(id => listed(id, ALL.indexOf(id) + 1)), 9, 10_000)
+      state.takeSnapshot('endpoints', ALL.filter(id => !missing.includes(id)).map(id => listed(id, ALL.indexOf(id) + 1)), 9, 10_000)
       state.expire(10_000 + after)
       assert.deepEqual(state.endpoints().map(({ id }) => id), expected)
     })
@@ -41,10 +41,10 @@
 
   it('are kept for the long grace period even if most of the expired entries are back before it ends', () => {
     const state = new PublishedState()
-    state.takeWhole('endpoints', ALL.map((id, index) => listed(id, index + 1)), 5, 0)
+    state.takeSnapshot('endpoints', ALL.map((id, index) => listed(id, index + 1)), 5, 0)
     state.storeLost()
     state.storeRegained(10_000, 9)
-    state.takeWhole('endpoints', [], 9, 10_000)
+    state.takeSnapshot('endpoints', [], 9, 10_000)
     state.expire(10_600)
     for (const id of ['a', 'b', 'c', 'd']) state.take(listed(id, 12), 11_000)
     state.expire(12_400)
--- a/packages/core/src/test/lib/routing/published/published-state_test.ts
+++ b/packages/core/src/test/lib/routing/published/published-state_test.ts
@@ -73,11 +73,11 @@
     state.take(listed('a', 1), 0)
     state.take(listed('b', 2), 0)
     const peer = new PublishedState()
-    peer.takeDelta(state.since(peer.note, 0), 0)
+    peer.takeDelta(state.deltaSince(peer.note, 0), 0)
     for (const one of [state, peer]) one.storeLost()
     state.take({ type: 'endpoint-gone', revision: 3, id: 'a', certain: true }, 10)
     state.take(gone('b', 4), 10)
-    peer.takeDelta(state.since({ ...peer.note, endpoints: 2 }, 10), 10)
+    peer.takeDelta(state.deltaSince({ ...peer.note, endpoints: 2 }, 10), 10)
     assert.deepEqual([ids(state), ids(peer)], [['b'], ['b']])
   })
 
@@ -94,16 +94,16 @@
 
   it('neither restores nor removes an endpoint by a snapshot that is older than its own state', () => {
     const state = new PublishedState()
-    state.takeWhole('endpoints', [listed('a', 1), listed('b', 2)], 2, 0)
-    state.takeWhole('endpoints', [listed('b', 2), listed('c', 4)], 5, 0)
-    state.takeWhole('endpoints', [listed('a', 1), listed('b', 2)], 3, 0)
+    state.takeSnapshot('endpoints', [listed('a', 1), listed('b', 2)], 2, 0)
+    state.takeSnapshot('endpoints', [listed('b', 2), listed('c', 4)], 5, 0)
+    state.takeSnapshot('endpoints', [listed('a', 1), listed('b', 2)], 3, 0)
     assert.deepEqual([ids(state), state.note.endpoints], [['b', 'c'], 5])
   })
 
   it('adds no unknown endpoint from a snapshot that is older than the followed revision', () => {
     const state = new PublishedState()
-    state.takeWhole('endpoints', [listed('b', 2)], 5, 0)
-    state.takeWhole('endpoints', [listed('a', 1), listed('b', 2)], 3, 0)
+    state.takeSnapshot('endpoints', [listed('b', 2)], 5, 0)
+    state.takeSnapshot('endpoints', [listed('a', 1), listed('b', 2)], 3, 0)
     assert.deepEqual(ids(state), ['b'])
   })
 
@@ -125,7 +125,7 @@
     const state = new PublishedState()
     state.take(listed('old', 1), 0)
     state.take(listed('new', 9), 0)
-    state.takeWhole('endpoints', [listed('a', 2)], 5, 0)
+    state.takeSnapshot('endpoints', [listed('a', 2)], 5, 0)
     assert.deepEqual(ids(state), ['a', 'new'])
   })
 
@@ -162,45 +162,45 @@
   it('sends a peer the changes that it lacks, including removals', () => {
     const [sender, receiver] = [new PublishedState(), new PublishedState()]
     for (const state of [sender, receiver]) {
-      state.takeWhole('endpoints', [listed('a', 1), listed('b', 2)], 2, 0)
-      state.takeWhole('configuration', [configuration(1, 1)], 2, 0)
-      state.takeWhole('versions', [], 2, 0)
+      state.takeSnapshot('endpoints', [listed('a', 1), listed('b', 2)], 2, 0)
+      state.takeSnapshot('configuration', [configuration(1, 1)], 2, 0)
+      state.takeSnapshot('versions', [], 2, 0)
     }
     for (const change of [gone('a', 3), listed('c', 4), configuration(2, 5), wanted(2, 6)]) sender.take(change, 0)
     sender.followed('endpoints', 6)
     sender.followed('configuration', 6)
     sender.followed('versions', 6)
-    const applied = receiver.takeDelta(sender.since(receiver.note, 0), 100)
+    const applied = receiver.takeDelta(sender.deltaSince(receiver.note, 0), 100)
     assert.equal(applied.length, 4)
     assert.deepEqual(ids(receiver), ['b', 'c'])
     assert.equal(receiver.configuration?.version, 2)
     assert.equal(receiver.wanted('m')?.version, 2)
-    assert.deepEqual(receiver.takeDelta(sender.since(receiver.note, 0), 100), [])
+    assert.deepEqual(receiver.takeDelta(sender.deltaSince(receiver.note, 0), 100), [])
   })
 
   it('informs a peer that an endpoint was removed before the first snapshot of the sender', () => {
     const [sender, receiver] = [new PublishedState(), new PublishedState()]
-    receiver.takeWhole('endpoints', [listed('a', 1), listed('b', 2)], 7, 0)
-    sender.takeWhole('endpoints', [listed('b', 2)], 8, 0)
+    receiver.takeSnapshot('endpoints', [listed('a', 1), listed('b', 2)], 7, 0)
+    sender.takeSnapshot('endpoints', [listed('b', 2)], 8, 0)
     assert.ok(sender.held.endpoints > receiver.held.endpoints)
-    receiver.takeDelta(sender.since(receiver.note, 0), 0)
+    receiver.takeDelta(sender.deltaSince(receiver.note, 0), 0)
     assert.deepEqual([ids(receiver), receiver.held], [['b'], sender.held])
   })
 
   it('holds the same revisions as a peer that has followed the store equally far', () => {
     const [sender, receiver] = [new PublishedState(), new PublishedState()]
-    receiver.takeWhole('endpoints', [listed('a', 1)], 6, 0)
-    sender.takeWhole('endpoints', [listed('a', 1)], 8, 0)
+    receiver.takeSnapshot('endpoints', [listed('a', 1)], 6, 0)
+    sender.takeSnapshot('endpoints', [listed('a', 1)], 8, 0)
     for (const state of [sender, receiver]) state.followed('endpoints', 9)
-    receiver.takeDelta(sender.since(receiver.note, 0), 0)
+    receiver.takeDelta(sender.deltaSince(receiver.note, 0), 0)
     assert.deepEqual(receiver.held, sender.held)
   })
 
   it('sends a complete snapshot to a peer that has no state', () => {
     const [sender, receiver] = [new PublishedState(), new PublishedState()]
-    sender.takeWhole('endpoints', [listed('a', 1)], 3, 0)
-    sender.takeWhole('configuration', [configuration(1, 2)], 3, 0)
-    receiver.takeDelta(sender.since(receiver.note, 0), 0)
+    sender.takeSnapshot('endpoints', [listed('a', 1)], 3, 0)
+    sender.takeSnapshot('configuration', [configuration(1, 2)], 3, 0)
+    receiver.takeDelta(sender.deltaSince(receiver.note, 0), 0)
     assert.equal(receiver.complete, true)
   })
 })
@@ -225,11 +225,11 @@
 
   it('reports the removal as an effective change and sends it to peers', () => {
     const [state, peer] = [new PublishedState(), new PublishedState()]
-    state.takeWhole('endpoints', [first], 2, 0)
-    peer.takeDelta(state.since(peer.note, 0), 0)
+    state.takeSnapshot('endpoints', [first], 2, 0)
+    peer.takeDelta(state.deltaSince(peer.note, 0), 0)
     assert.deepEqual(state.take(again, 0), [again, gone('first', 5)])
     state.followed('endpoints', 5)
-    peer.takeDelta(state.since(peer.note, 0), 0)
+    peer.takeDelta(state.deltaSince(peer.note, 0), 0)
     assert.deepEqual(ids(peer), ['again'])
   })
 
@@ -263,7 +263,7 @@
 
   it('treats a version that was published before it began to follow the store as due', () => {
     const state = new PublishedState()
-    state.takeWhole('versions', [wanted(4, 9)], 9, 500)
+    state.takeSnapshot('versions', [wanted(4, 9)], 9, 500)
     assert.equal(state.dueVersion('m', bound, 501), 4)
   })
 })
--- a/packages/core/src/test/lib/routing/published/relay-book_test.ts
+++ b/packages/core/src/test/lib/routing/published/relay-registry_test.ts
@@ -6,13 +6,13 @@
 import assert from 'node:assert/strict'
 import { describe, it } from 'node:test'
 import type { RelayNote } from '../../../../lib/messages.js'
-import type { PublishedNote } from '../../../../lib/routing/published/published-change.js'
-import { RelayBook } from '../../../../lib/routing/published/relay-book.js'
+import type { PublishedRevisions } from '../../../../lib/routing/published/published-change.js'
+import { RelayRegistry } from '../../../../lib/routing/published/relay-registry.js'
 
 const place = { availabilityZone: 'koshi-a', regionOf: (zone: string) => zone.split('-')[0] ?? zone }
 const noRelays = new Set<string>()
 
-function held (configuration: number, epoch = 1): PublishedNote { return { epoch, configuration, versions: 1, endpoints: 1 } }
+function held (configuration: number, epoch = 1): PublishedRevisions { return { epoch, configuration, versions: 1, endpoints: 1 } }
 
 function note (availabilityZone: string, configuration: number, fresh = true, epoch = 1): RelayNote {
   return { availabilityZone, followed: held(100 + configuration, epoch), held: held(configuration, epoch), fresh }
@@ -21,7 +21,7 @@
 const earlier = note('koshi-a', 9, true, 0)
 const later = note('koshi-a', 1, true, 2)
 
-describe('RelayBook', () => {
+describe('RelayRegistry', () => {
   const sources: [name: string, relays: readonly [string, RelayNote][], excluded: readonly string[], after: number, expected: string | undefined][] = [
     ['its availability zone rather than its region', [['b', note('koshi-b', 2)], ['a', note('koshi-a', 2)]], [], 0, 'a'],
     ['its region rather than another', [['c', note('bagmati-c', 2)], ['b', note('koshi-b', 2)]], [], 0, 'b'],
@@ -35,41 +35,41 @@
   ]
   for (const [name, relays, excluded, after, expected] of sources) {
     it(`fetches changes from ${name}`, () => {
-      const book = new RelayBook(place)
-      for (const [address, relayNote] of relays) book.heard(address, relayNote, 0)
-      book.ahead(held(1), ['configuration'], new Set(excluded), 0)
-      assert.equal(book.ahead(held(1), ['configuration'], new Set(excluded), after), expected)
+      const book = new RelayRegistry(place)
+      for (const [address, relayNote] of relays) book.recordNote(address, relayNote, 0)
+      book.relayAhead(held(1), ['configuration'], new Set(excluded), 0)
+      assert.equal(book.relayAhead(held(1), ['configuration'], new Set(excluded), after), expected)
     })
   }
 
-  const confirmations: [name: string, change: (book: RelayBook) => void, at: number, expected: boolean][] = [
-    ['a relay that follows the store', book => book.heard('a', note('koshi-a', 1), 0), 100, true],
-    ['a relay of a later epoch', book => book.heard('a', later, 0), 100, true],
-    ['no relay of an earlier epoch', book => book.heard('a', earlier, 0), 100, false],
-    ['no relay that has lost the store', book => book.heard('a', note('koshi-a', 1, false), 0), 100, false],
-    ['no relay whose last note is too old', book => book.heard('a', note('koshi-a', 1), 0), 1_501, false],
+  const confirmations: [name: string, change: (book: RelayRegistry) => void, at: number, expected: boolean][] = [
+    ['a relay that follows the store', book => book.recordNote('a', note('koshi-a', 1), 0), 100, true],
+    ['a relay of a later epoch', book => book.recordNote('a', later, 0), 100, true],
+    ['no relay of an earlier epoch', book => book.recordNote('a', earlier, 0), 100, false],
+    ['no relay that has lost the store', book => book.recordNote('a', note('koshi-a', 1, false), 0), 100, false],
+    ['no relay whose last note is too old', book => book.recordNote('a', note('koshi-a', 1), 0), 1_501, false],
     ['no relay whose connection ended', book => {
-      book.heard('a', note('koshi-a', 1), 0)
+      book.recordNote('a', note('koshi-a', 1), 0)
       book.lost('a')
     }, 100, false]
   ]
   for (const [name, change, at, expected] of confirmations) {
     it(`relies on ${name}`, () => {
-      const book = new RelayBook(place)
+      const book = new RelayRegistry(place)
       change(book)
-      assert.deepEqual([book.confirmed(1, at), book.nearest(1, noRelays, at) !== undefined], [expected, expected])
+      assert.deepEqual([book.followsStore(1, at), book.nearestRelay(1, noRelays, at) !== undefined], [expected, expected])
     })
   }
 
   it('takes over the followed revision of a relay that holds the same revision, and not of one that is ahead', () => {
-    const book = new RelayBook(place)
-    book.heard('a', note('koshi-a', 5), 0)
-    assert.deepEqual([book.followedBy(held(5), 'configuration', 0), book.followedBy(held(4), 'configuration', 0)], [105, 0])
+    const book = new RelayRegistry(place)
+    book.recordNote('a', note('koshi-a', 5), 0)
+    assert.deepEqual([book.followedRevision(held(5), 'configuration', 0), book.followedRevision(held(4), 'configuration', 0)], [105, 0])
   })
 
   it('does not take over the followed revision of a relay of another epoch', () => {
-    const book = new RelayBook(place)
-    for (const [address, relayNote] of [['a', earlier], ['b', later]] as const) book.heard(address, relayNote, 0)
-    assert.deepEqual([book.followedBy(held(9), 'configuration', 0), book.followedBy(held(1), 'configuration', 0)], [0, 0])
+    const book = new RelayRegistry(place)
+    for (const [address, relayNote] of [['a', earlier], ['b', later]] as const) book.recordNote(address, relayNote, 0)
+    assert.deepEqual([book.followedRevision(held(9), 'configuration', 0), book.followedRevision(held(1), 'configuration', 0)], [0, 0])
   })
 })
--- a/packages/core/src/test/lib/routing/published/routing-configuration_test.ts
+++ b/packages/core/src/test/lib/routing/published/routing-configuration_test.ts
@@ -5,7 +5,7 @@
  */
 import assert from 'node:assert/strict'
 import { describe, it } from 'node:test'
-import { RouteTable, targetOf, type Route, type RoutingConfiguration } from '../../../../lib/routing/published/routing-configuration.js'
+import { RouteTable, pickService, type Route, type RoutingConfiguration } from '../../../../lib/routing/published/routing-configuration.js'
 
 /** Returns a route with defaults for the properties that are not given. */
 function route (part: Partial<Route>): Route {
@@ -52,9 +52,9 @@
   })
 })
 
-describe('targetOf', () => {
+describe('pickService', () => {
   const shared = route({ targets: [{ service: 'a', weight: 90 }, { service: 'b', weight: 10 }] })
   const cases: [draw: number, expected: string][] = [[0, 'a'], [0.899, 'a'], [0.9, 'b'], [0.999, 'b']]
-  for (const [draw, expected] of cases) it(`picks ${expected} for ${draw}`, () => assert.equal(targetOf(shared, draw), expected))
-  it('returns an empty name for a route without targets', () => assert.equal(targetOf(route({ targets: [] }), 0.5), ''))
+  for (const [draw, expected] of cases) it(`picks ${expected} for ${draw}`, () => assert.equal(pickService(shared, draw), expected))
+  it('returns an empty name for a route without targets', () => assert.equal(pickService(route({ targets: [] }), 0.5), ''))
 })
--- a/packages/core/src/test/lib/routing/published/store-cursor_test.ts
+++ b/packages/core/src/test/lib/routing/published/store-cursor_test.ts
@@ -35,7 +35,7 @@
   const afterLoss: [name: string, act: (cursor: StoreCursor) => unknown, next: StoreCall][] = [
     ['a failed read is retried', cursor => cursor.judge('read', { type: 'store-failure' }), 'read'],
     ['watches resume after a successful read', cursor => cursor.judge('read', { type: 'changes', epoch: 2 }), 'watch'],
-    ['watches resume once peers have supplied the changes', cursor => cursor.caughtUp(), 'watch']
+    ['watches resume once peers have supplied the changes', cursor => cursor.markCaughtUp(), 'watch']
   ]
   for (const [name, act, next] of afterLoss) {
     it(`after lost history, ${name}`, () => {
--- a/packages/core/src/test/lib/routing/published/store-epochs_test.ts
+++ b/packages/core/src/test/lib/routing/published/store-epochs_test.ts
@@ -24,18 +24,18 @@
 /** Returns the state of a process in epoch 1 that has followed all topics up to revision 30. */
 function newFollower (changes: readonly PublishedChange[]): PublishedState {
   const state = new PublishedState()
-  state.enter(1, 0)
-  state.takeWhole('configuration', [configuration(20, 25)], 30, 0)
-  state.takeWhole('versions', [wanted(2, 26)], 30, 0)
-  state.takeWhole('endpoints', [listed('a', 5), listed('b', 6)], 30, 0)
+  state.enterEpoch(1, 0)
+  state.takeSnapshot('configuration', [configuration(20, 25)], 30, 0)
+  state.takeSnapshot('versions', [wanted(2, 26)], 30, 0)
+  state.takeSnapshot('endpoints', [listed('a', 5), listed('b', 6)], 30, 0)
   for (const change of changes) state.take(change, 0)
   return state
 }
 
 /** Applies a snapshot of the endpoints in epoch 2, at revision 22. */
 function applyRestoredEndpoints (state: PublishedState, endpoints: readonly PublishedChange[]): void {
-  state.enter(2, 1_000)
-  state.takeWhole('endpoints', endpoints, 22, 1_000)
+  state.enterEpoch(2, 1_000)
+  state.takeSnapshot('endpoints', endpoints, 22, 1_000)
 }
 
 /** Summarises the held state: the versions, and each endpoint with its draining state. */
@@ -64,7 +64,7 @@
   for (const [name, before, after, expected] of cases) {
     it(name, () => {
       const state = newFollower(before)
-      state.enter(2, 1_000)
+      state.enterEpoch(2, 1_000)
       for (const change of after) state.take(change, 1_000)
       assert.equal(summary(state), expected)
     })
@@ -80,15 +80,15 @@
 
   it('reports no change for items that are written again unchanged', () => {
     const state = newFollower([])
-    state.enter(2, 1_000)
+    state.enterEpoch(2, 1_000)
     const rewritten = [configuration(20, 3), wanted(2, 4), listed('a', 5, { writings: 2 })]
     assert.deepEqual(rewritten.flatMap(change => state.take(change, 1_000)), [])
   })
 
   it('resets the followed revisions and keeps the known topics', () => {
     const state = newFollower([])
-    state.enter(2, 1_000)
-    assert.deepEqual([state.note, state.held, state.complete, state.knows('versions')], [
+    state.enterEpoch(2, 1_000)
+    assert.deepEqual([state.note, state.held, state.complete, state.hasFollowed('versions')], [
       { epoch: 2, configuration: 0, versions: 0, endpoints: 0 }, { epoch: 2, configuration: 0, versions: 0, endpoints: 0 }, true, true
     ])
   })
@@ -123,7 +123,7 @@
   for (const [name, epochs, expected] of orders) {
     it(`enters ${name}`, () => {
       const state = new PublishedState()
-      assert.deepEqual(epochs.map(epoch => state.enter(epoch, 0)), expected)
+      assert.deepEqual(epochs.map(epoch => state.enterEpoch(epoch, 0)), expected)
     })
   }
 })
@@ -131,12 +131,12 @@
 describe('PublishedState and peers of other epochs', () => {
   function empty (epoch: number): PublishedState {
     const state = new PublishedState()
-    state.enter(epoch, 0)
+    state.enterEpoch(epoch, 0)
     return state
   }
 
   function synchronise (sender: PublishedState, receiver: PublishedState): PublishedDelta {
-    const delta = sender.since(receiver.note, 1_000)
+    const delta = sender.deltaSince(receiver.note, 1_000)
     receiver.takeDelta(delta, 1_000)
     return delta
   }
@@ -144,7 +144,7 @@
   it('adopt the later epoch with its whole state', () => {
     const [sender, receiver] = [newFollower([]), newFollower([])]
     applyRestoredEndpoints(sender, [listed('a', 5, { draining: true, writings: 2 }), listed('b', 6)])
-    sender.takeWhole('configuration', [configuration(24, 21)], 22, 1_000)
+    sender.takeSnapshot('configuration', [configuration(24, 21)], 22, 1_000)
     synchronise(sender, receiver)
     assert.deepEqual([summary(receiver), receiver.note], ['24, 2, a drains, b', { epoch: 2, configuration: 22, versions: 0, endpoints: 22 }])
   })
@@ -158,7 +158,7 @@
 
   it('ignore a delta in flight from an earlier epoch', () => {
     const [sender, receiver] = [newFollower([listed('c', 31), configuration(19, 40)]), newFollower([])]
-    const delta = sender.since(receiver.note, 0)
+    const delta = sender.deltaSince(receiver.note, 0)
     applyRestoredEndpoints(receiver, [listed('a', 5), listed('b', 6)])
     assert.deepEqual([receiver.takeDelta(delta, 1_000), summary(receiver)], [[], '20, 2, a, b'])
   })
@@ -166,8 +166,8 @@
   it('receive the state that a sender carried over and that the copy lacks, even if they have no state yet', () => {
     const [sender, receiver] = [newFollower([listed('a', 31, { draining: true, writings: 2 })]), empty(2)]
     applyRestoredEndpoints(sender, [listed('a', 5), listed('b', 6)])
-    sender.takeWhole('configuration', [configuration(18, 21)], 22, 1_000)
-    sender.takeWhole('versions', [], 22, 1_000)
+    sender.takeSnapshot('configuration', [configuration(18, 21)], 22, 1_000)
+    sender.takeSnapshot('versions', [], 22, 1_000)
     synchronise(sender, receiver)
     assert.equal(summary(receiver), '20, 2, a drains, b')
   })
@@ -175,8 +175,8 @@
   it('hold the same state after a delta, whatever the copy lacked', () => {
     const [sender, receiver] = [newFollower([]), newFollower([])]
     applyRestoredEndpoints(sender, [listed('a', 5), listed('b', 6)])
-    sender.takeWhole('configuration', [configuration(18, 21)], 22, 1_000)
-    sender.takeWhole('versions', [wanted(1, 20)], 22, 1_000)
+    sender.takeSnapshot('configuration', [configuration(18, 21)], 22, 1_000)
+    sender.takeSnapshot('versions', [wanted(1, 20)], 22, 1_000)
     synchronise(sender, receiver)
     assert.deepEqual([receiver.held, summary(receiver)], [sender.held, '20, 2, a, b'])
   })
--- a/packages/core/src/test/lib/routing/weights/chunk-swarm_test.ts
+++ b/packages/core/src/test/lib/routing/weights/chunk-swarm_test.ts
@@ -7,7 +7,7 @@
 import { describe, it } from 'node:test'
 import type { ChunkMember } from '../../../../lib/chunk-tree.js'
 import type { Manifest } from '../../../../lib/documents.js'
-import { ChunkPlaces } from '../../../../lib/routing/weights/chunk-places.js'
+import { ChunkAssignment } from '../../../../lib/routing/weights/chunk-assignment.js'
 import { ChunkSwarm } from '../../../../lib/routing/weights/chunk-swarm.js'
 import { defaultSwarmPolicy, type SwarmLimit } from '../../../../lib/routing/weights/swarm-policy.js'
 import type { TransferEffect } from '../../../../lib/transfer.js'
@@ -35,19 +35,19 @@
 /** Completes the given fetches and all that follow from them, until the member requests no more chunks. */
 function completeAll (swarm: ChunkSwarm, first: readonly Fetch[], now: number): void {
   let pending = [...first]
-  while (pending.length > 0) pending = pending.flatMap(({ attempt }) => fetches(swarm.arrived(attempt, now)))
+  while (pending.length > 0) pending = pending.flatMap(({ attempt }) => fetches(swarm.chunkReceived(attempt, now)))
 }
 
 /** Chunks that the member pulls into its zone (`own`), and the others. */
-const places = new ChunkPlaces(self, members)
+const places = new ChunkAssignment(self, members)
 const all = Array.from({ length: CHUNKS }, (_, index) => index)
-const own = all.filter(index => places.turn(index).inZone === 0)
-const others = all.filter(index => places.turn(index).inZone > 0)
+const own = all.filter(index => places.ranks(index).inZone === 0)
+const others = all.filter(index => places.ranks(index).inZone > 0)
 
-describe('ChunkPlaces', () => {
+describe('ChunkAssignment', () => {
   it('assigns each chunk to one member of the fleet and to one of each zone', () => {
     for (const chunk of all) {
-      const turns = members.map(member => new ChunkPlaces(member, members).turn(chunk))
+      const turns = members.map(member => new ChunkAssignment(member, members).ranks(chunk))
       assert.equal(turns.filter(({ overall }) => overall === 0).length, 1)
       assert.equal(turns.filter(({ inZone }) => inZone === 0).length, 2)
       assert.deepEqual(turns.map(({ overall }) => overall).sort(), [0, 1, 2, 3, 4, 5])
@@ -56,23 +56,23 @@
 
   it('returns the member with overall rank 0 as the reader of each chunk', () => {
     for (const chunk of all) {
-      const [reader] = members.filter(member => new ChunkPlaces(member, members).turn(chunk).overall === 0)
-      assert.equal(places.reader(chunk), reader?.instance)
+      const [reader] = members.filter(member => new ChunkAssignment(member, members).ranks(chunk).overall === 0)
+      assert.equal(places.originReader(chunk), reader?.instance)
     }
   })
 
   it('makes each member the predecessor of one other member of its zone', () => {
     for (const zone of ['koshi', 'bagmati']) {
       const ring = members.filter(({ availabilityZone }) => availabilityZone === zone)
-      const predecessors = ring.map(member => new ChunkPlaces(member, members).predecessor)
+      const predecessors = ring.map(member => new ChunkAssignment(member, members).predecessor)
       assert.deepEqual(predecessors.sort(), ring.map(({ instance }) => instance).sort())
     }
-    assert.equal(new ChunkPlaces(self, [self]).predecessor, self.instance)
+    assert.equal(new ChunkAssignment(self, [self]).predecessor, self.instance)
   })
 
   it('assigns the same number of chunks to all members', () => {
     for (const member of members) {
-      const assigned = all.filter(chunk => new ChunkPlaces(member, members).turn(chunk).overall === 0)
+      const assigned = all.filter(chunk => new ChunkAssignment(member, members).ranks(chunk).overall === 0)
       assert.equal(assigned.length, CHUNKS / members.length)
     }
   })
@@ -85,7 +85,7 @@
     assert.ok(started.length > 0)
     for (const { index, source } of started) {
       assert.equal(source.kind, 'origin')
-      assert.equal(places.turn(index).overall, 0)
+      assert.equal(places.ranks(index).overall, 0)
     }
   })
 
@@ -96,7 +96,7 @@
     let pending = fetches(swarm.tick(0))
     while (pending.length > 0) {
       for (const { index } of pending) read.add(index)
-      pending = fetches(pending.flatMap(({ attempt }) => swarm.arrived(attempt, 1)))
+      pending = fetches(pending.flatMap(({ attempt }) => swarm.chunkReceived(attempt, 1)))
     }
     assert.equal(read.size, CHUNKS)
   })
@@ -106,13 +106,13 @@
     completeAll(swarm, fetches(swarm.tick(0)), 0)
     const now = LONGEST_TAKEOVER_DELAY
     const late = fetches(swarm.tick(now))
-    assert.ok(late.some(({ index }) => places.turn(index).overall > 0))
+    assert.ok(late.some(({ index }) => places.ranks(index).overall > 0))
   })
 
   it('does not take over a chunk that is reported at another member until the report expires', () => {
     const swarm = newSwarm()
-    const ofOthers = all.filter(index => places.turn(index).overall > 0)
-    swarm.heardOf(ofOthers, LONGEST_TAKEOVER_DELAY - 100)
+    const ofOthers = all.filter(index => places.ranks(index).overall > 0)
+    swarm.peerReports(ofOthers, LONGEST_TAKEOVER_DELAY - 100)
     completeAll(swarm, fetches(swarm.tick(0)), 0)
     assert.deepEqual(fetches(swarm.tick(LONGEST_TAKEOVER_DELAY)), [])
     assert.deepEqual(swarm.elsewhere(LONGEST_TAKEOVER_DELAY), ofOthers)
@@ -126,9 +126,9 @@
     while (failing.length > 0) failing = failing.flatMap(({ attempt }) => fetches(swarm.failed(attempt, 'not-held', delay)))
     const afterRecovery = fetches(swarm.tick(delay + 200))
     assert.ok(afterRecovery.length > 0)
-    for (const { index } of afterRecovery) assert.equal(places.turn(index).overall, 0)
+    for (const { index } of afterRecovery) assert.equal(places.ranks(index).overall, 0)
     completeAll(swarm, afterRecovery, delay + 300)
-    assert.ok(fetches(swarm.tick(2 * delay)).some(({ index }) => places.turn(index).overall > 0))
+    assert.ok(fetches(swarm.tick(2 * delay)).some(({ index }) => places.ranks(index).overall > 0))
   })
 
   it('pulls from its own zone if both zones hold a chunk', () => {
@@ -162,7 +162,7 @@
     const started = fetches(swarm.tick(0)).filter(effect => effect.source.kind === 'peer')
     assert.ok(started.length > 0)
     for (const { index } of started) assert.ok(own.includes(index))
-    for (const { attempt } of started) swarm.arrived(attempt, 10)
+    for (const { attempt } of started) swarm.chunkReceived(attempt, 10)
     const later = fetches(swarm.tick(10 + 2 * defaultSwarmPolicy.zoneStagger))
     assert.ok([...later].some(({ index }) => others.includes(index)))
   })
@@ -211,7 +211,7 @@
     it(`reports the share of chunks that any member holds: ${name}`, () => {
       const swarm = newSwarm(new Set(held.map(index => manifest.chunks[index]?.digest ?? '')))
       swarm.peerHolds(near, peers)
-      assert.equal(swarm.known, expected)
+      assert.equal(swarm.availableShare, expected)
     })
   }
 
@@ -219,10 +219,10 @@
     const swarm = newSwarm()
     swarm.peerHolds(near, all)
     swarm.peerHolds(far, all.slice(1))
-    assert.deepEqual(swarm.wholePeers, [near])
+    assert.deepEqual(swarm.completePeers, [near])
     swarm.peerHolds(far, all)
     swarm.peerLost(near)
-    assert.deepEqual(swarm.wholePeers, [far])
+    assert.deepEqual(swarm.completePeers, [far])
   })
 
   const limits: [name: string, limit: SwarmLimit | undefined, peers: number, origin: number][] = [
@@ -249,7 +249,7 @@
     let pending = swarm.tick(0)
     for (let now = 1; now < 100 && pending.length > 0; now += 1) {
       seen.push(...pending)
-      pending = fetches(pending).flatMap(({ attempt }) => swarm.arrived(attempt, now))
+      pending = fetches(pending).flatMap(({ attempt }) => swarm.chunkReceived(attempt, now))
     }
     assert.equal(seen.filter(effect => effect.type === 'whole').length, 1)
     assert.equal(swarm.progress, 1)
--- a/packages/core/src/test/lib/routing/weights/version-switch_test.ts
+++ b/packages/core/src/test/lib/routing/weights/version-switch_test.ts
@@ -5,7 +5,7 @@
  */
 import assert from 'node:assert/strict'
 import { describe, it } from 'node:test'
-import { switchPlace, VersionSwitch, type SwitchTurn, type SwitchView } from '../../../../lib/routing/weights/version-switch.js'
+import { switchPosition, VersionSwitch, type SwitchPosition, type SwitchView } from '../../../../lib/routing/weights/version-switch.js'
 
 const BOUND = 8_000
 const LEAD = 600
@@ -14,9 +14,9 @@
 const COMPLETE_AT = PUBLISHED_AT + 5_000
 
 /** Returns the position of one of three engines (by default), all of which will hold the version. */
-function turnOf (index: number, since = COMPLETE_AT, of = 3): SwitchTurn { return { index, finalIndex: index, of, since } }
+function turnOf (index: number, firstCompleteAt = COMPLETE_AT, of = 3): SwitchPosition { return { index, finalIndex: index, of, firstCompleteAt } }
 
-const view: SwitchView = { wanted: 2, heardAt: PUBLISHED_AT, whole: 2, wholeIn: 0, engine: { version: 1, busy: false }, turn: turnOf(1) }
+const view: SwitchView = { wanted: 2, receivedAt: PUBLISHED_AT, whole: 2, wholeIn: 0, engine: { version: 1, busy: false }, turn: turnOf(1) }
 
 const last = turnOf(2)
 
@@ -41,7 +41,7 @@
     ['an immediate switch of the only engine of a zone', { turn: turnOf(0, COMPLETE_AT, 1) }, COMPLETE_AT + 150, 'turn'],
     ['an immediate switch of an empty engine', { engine: { version: 0, busy: false }, turn: last }, COMPLETE_AT, 'empty'],
     ['a switch of any engine after the deadline', { turn: last }, PUBLISHED_AT + BOUND, 'late'],
-    ['a switch of any engine if the time of publication is unknown', { heardAt: undefined, turn: last }, COMPLETE_AT, 'late'],
+    ['a switch of any engine if the time of publication is unknown', { receivedAt: undefined, turn: last }, COMPLETE_AT, 'late'],
     ['no switch while the version is incomplete', { whole: 0 }, PUBLISHED_AT + BOUND, 'wait'],
     ['no switch while another version is complete', { whole: 1 }, PUBLISHED_AT + BOUND, 'wait'],
     ['no switch while the engine is busy', { engine: { version: 1, busy: true } }, PUBLISHED_AT + BOUND, 'wait'],
@@ -71,7 +71,7 @@
     ['no time if the engine serves the version', { engine: { version: 2, busy: false } }, COMPLETE_AT, undefined],
     ['no time if the engine is empty', { engine: { version: 0, busy: false } }, COMPLETE_AT, undefined],
     ['no time if the engine does not respond', { engine: undefined }, COMPLETE_AT, undefined],
-    ['no time if the time of publication is unknown', { heardAt: undefined }, COMPLETE_AT, undefined]
+    ['no time if the time of publication is unknown', { receivedAt: undefined }, COMPLETE_AT, undefined]
   ]
   for (const [name, part, now, expected] of plans) {
     it(`plans ${name}`, () => {
@@ -82,10 +82,10 @@
   }
 })
 
-describe('switchPlace', () => {
+describe('switchPosition', () => {
   const names = ['a', 'b', 'c', 'd']
   const members = names.map(instance => ({ instance, availabilityZone: 'koshi' }))
-  const positionOf = (instance: string, whole: readonly string[]): number => switchPlace({ instance, availabilityZone: 'koshi' }, whole, members, 'm@2').index
+  const positionOf = (instance: string, whole: readonly string[]): number => switchPosition({ instance, availabilityZone: 'koshi' }, whole, members, 'm@2').index
 
   it('gives each engine of a zone a distinct position once all hold the version', () => {
     assert.deepEqual(names.map(name => positionOf(name, names)).sort(), [0, 1, 2, 3])
@@ -103,7 +103,7 @@
   })
 
   it('returns the final position that an engine will have once all hold the version', () => {
-    const finalIndexOf = (instance: string): number => switchPlace({ instance, availabilityZone: 'koshi' }, [], members, 'm@2').finalIndex
+    const finalIndexOf = (instance: string): number => switchPosition({ instance, availabilityZone: 'koshi' }, [], members, 'm@2').finalIndex
     for (const name of names) assert.equal(finalIndexOf(name), positionOf(name, names))
   })
 
@@ -114,7 +114,7 @@
   for (const [name, instance, expected] of zones) {
     it(name, () => {
       const others = [...members, { instance: 'x', availabilityZone: 'bagmati' }]
-      const { index, of } = switchPlace({ instance, availabilityZone: 'koshi' }, ['x'], others, 'm@2')
+      const { index, of } = switchPosition({ instance, availabilityZone: 'koshi' }, ['x'], others, 'm@2')
       assert.deepEqual({ index, of }, { index: 0, of: expected })
     })
   }
--- a/packages/core/src/test/lib/sharing_test.ts
+++ b/packages/core/src/test/lib/sharing_test.ts
@@ -91,10 +91,10 @@
   it('allows all visible slots until an endpoint refuses as busy', () => {
     const limit = new ConcurrencyLimit(1, 8)
     assert.equal(limit.limit, 8)
-    limit.setMost(100)
+    limit.setMaximum(100)
     assert.equal(limit.limit, 100)
     limit.refused(0)
-    limit.setMost(200)
+    limit.setMaximum(200)
     assert.equal(limit.limit, 85)
   })
   it('decreases once per burst of refusals and increases while it is used', () => {
@@ -103,7 +103,7 @@
     assert.equal(limit.limit, 85)
     for (let index = 0; index < 500; index += 1) limit.succeeded(85)
     assert.ok(limit.limit > 88)
-    limit.setMost(10)
+    limit.setMaximum(10)
     assert.equal(limit.limit, 10)
   })
   it('does not increase while idle and never falls below its minimum', () => {
--- a/packages/core/src/test/lib/transfer_test.ts
+++ b/packages/core/src/test/lib/transfer_test.ts
@@ -41,7 +41,7 @@
       if (result === 'silence') continue
       fetched.push(fetch)
       open = open.filter(other => other !== fetch)
-      take(result === 'good' ? transfer.arrived(fetch.attempt, now) : transfer.failed(fetch.attempt, result, now))
+      take(result === 'good' ? transfer.chunkReceived(fetch.attempt, now) : transfer.failed(fetch.attempt, result, now))
     }
     now += 50
   }
@@ -98,7 +98,7 @@
       const transfer = start([], 1)
       const [fetch] = fetches(transfer.tick(0))
       for (let now = 100; now < 4_000; now += 100) {
-        if (signals) transfer.coming(fetch?.attempt ?? 0, now)
+        if (signals) transfer.chunkPending(fetch?.attempt ?? 0, now)
         if (transfer.tick(now).some(effect => effect.type === 'abandon' && effect.attempt === fetch?.attempt)) return 'abandoned'
       }
       return 'waiting'
@@ -120,6 +120,6 @@
     const effects = transfer.cancel()
     assert.deepEqual(effects.map(effect => effect.type), asked.map(() => 'abandon'))
     assert.deepEqual(transfer.tick(100), [])
-    assert.deepEqual(transfer.arrived(asked[0]?.attempt ?? 0, 100), [], 'a late chunk is ignored')
+    assert.deepEqual(transfer.chunkReceived(asked[0]?.attempt ?? 0, 100), [], 'a late chunk is ignored')
   })
 })
--- a/packages/fuzz/src/lib/published-world.ts
+++ b/packages/fuzz/src/lib/published-world.ts
@@ -9,7 +9,7 @@
  * they check that each connected process has them in time and that no process reverts. Fleets have 6 or 24 processes unless a number
  * is given.
  */
-import { publishedTopics, RelayBook, topicOf, type EndpointRecord, type PublishedChange, type PublishedState, type StoreAnswerKind, type StoreCall } from '@drumdrift/core'
+import { publishedTopics, RelayRegistry, topicOf, type EndpointRecord, type PublishedChange, type PublishedState, type StoreAnswerKind, type StoreCall } from '@drumdrift/core'
 import { realPublishedParts, type PublishedParts } from './published-parts.js'
 import { RestorableStore } from './restorable-store.js'
 import { Process, World } from './world.js'
@@ -26,7 +26,7 @@
   readonly process: Process
   state: PublishedState
   cursor: ReturnType<PublishedParts['cursor']>
-  readonly relayBook: RelayBook
+  readonly relayBook: RelayRegistry
   /** The process must hold acknowledged changes from then on, unless it is disturbed again. */
   exemptUntil: number
   /** The highest versions that it has held, and the endpoints that it has seen draining. */
@@ -239,7 +239,7 @@
     const state = this._parts.state()
     const location = { availabilityZone: process.availabilityZone, regionOf: (zone: string) => zone }
     const inFlight = { relay: false, store: false }
-    const member: Member = { index, process, state, cursor: this._parts.cursor(state), relayBook: new RelayBook(location), exemptUntil: this.world.now + UNDISTURBED_TIME, configuration: 0, version: 0, leaving: new Set(), inFlight }
+    const member: Member = { index, process, state, cursor: this._parts.cursor(state), relayBook: new RelayRegistry(location), exemptUntil: this.world.now + UNDISTURBED_TIME, configuration: 0, version: 0, leaving: new Set(), inFlight }
     this.world.after(this.world.uniform(0, STEP_INTERVAL), process, () => this._step(member))
     return member
   }
@@ -252,24 +252,24 @@
     member.state.expire(world.now)
     if (this._isRelay(member)) this._sendNote(member)
     else this._followRelays(member)
-    if (this._isRelay(member) || !member.relayBook.confirmed(member.state.epoch, world.now)) this._queryStore(member)
+    if (this._isRelay(member) || !member.relayBook.followsStore(member.state.epoch, world.now)) this._queryStore(member)
   }
 
   private _sendNote (relay: Member): void {
     const { state, process } = relay
     const note = { availabilityZone: process.availabilityZone, followed: state.note, held: state.held, fresh: this._reachesStore(relay) && state.complete }
-    for (const follower of this._members.slice(RELAY_COUNT)) this.world.send(process, follower.process, () => follower.relayBook.heard(process.name, note, this.world.now))
+    for (const follower of this._members.slice(RELAY_COUNT)) this.world.send(process, follower.process, () => follower.relayBook.recordNote(process.name, note, this.world.now))
   }
 
   private _followRelays (member: Member): void {
     const { state, relayBook, process } = member
-    for (const topic of publishedTopics) state.followed(topic, relayBook.followedBy(state.held, topic, this.world.now))
-    const address = relayBook.ahead(state.held, publishedTopics, new Set(), this.world.now)
+    for (const topic of publishedTopics) state.followed(topic, relayBook.followedRevision(state.held, topic, this.world.now))
+    const address = relayBook.relayAhead(state.held, publishedTopics, new Set(), this.world.now)
     const relay = this._members.find(other => other.process.name === address)
     if (relay === undefined || member.inFlight.relay) return
     member.inFlight.relay = true
     const { note } = state
-    this.world.call(process, relay.process, () => relay.state.since(note, this.world.now), DELTA_TIMEOUT, delta => {
+    this.world.call(process, relay.process, () => relay.state.deltaSince(note, this.world.now), DELTA_TIMEOUT, delta => {
       member.inFlight.relay = false
       if (delta === 'unreachable') return
       this._enterEpoch(member, delta.upTo.epoch)
@@ -304,7 +304,7 @@
     const { now } = this.world
     for (const topic of publishedTopics) {
       const changes = answer.changes.filter(change => topicOf(change) === topic)
-      if (call === 'read') state.takeWhole(topic, changes, answer.upTo, now)
+      if (call === 'read') state.takeSnapshot(topic, changes, answer.upTo, now)
       else for (const change of changes) state.take(change, now)
       state.followed(topic, answer.upTo)
     }
@@ -316,7 +316,7 @@
       member.state = this._parts.state()
       member.cursor = this._parts.cursor(member.state)
     }
-    member.state.enter(epoch, this.world.now)
+    member.state.enterEpoch(epoch, this.world.now)
   }
 
   /** Checks that a process has not reverted to an older state than it has held before. */
--- a/packages/fuzz/src/lib/request-actors.ts
+++ b/packages/fuzz/src/lib/request-actors.ts
@@ -4,13 +4,13 @@
  * SPDX-License-Identifier: BSD-3-Clause
  */
 /** The participants of the request world, and the record of each request that the oracles check. */
-import type { AdmissionDoor, ClaimKeeper, Outcome } from '@drumdrift/core'
+import type { AdmissionController, ClaimKeeper, Outcome } from '@drumdrift/core'
 import type { Process } from './world.js'
 
 /** An agent with the state that the oracles need. */
 export interface Agent {
   process: Process
-  admissionController: AdmissionDoor
+  admissionController: AdmissionController
   keeper: ClaimKeeper
   stopping: boolean
   /** When the agent first received the notice that it drains; Infinity if it does not drain. */
--- a/packages/fuzz/src/lib/request-parts.ts
+++ b/packages/fuzz/src/lib/request-parts.ts
@@ -4,11 +4,11 @@
  * SPDX-License-Identifier: BSD-3-Clause
  */
 /** The parts of the request world that a variant may replace by one that lacks a protection. */
-import { AdmissionDoor, AnswerStream, ClaimKeeper, keepersOf, OnceAttempt, type KeeperPolicy, type Keepers } from '@drumdrift/core'
+import { AdmissionController, AnswerStream, ClaimKeeper, keepersOf, OnceAttempt, type KeeperPolicy, type Keepers } from '@drumdrift/core'
 
 /** The parts whose protections a variant may remove. */
 export interface RequestParts {
-  readonly admissionController: (incarnation: string, slots: number) => AdmissionDoor
+  readonly admissionController: (incarnation: string, slots: number) => AdmissionController
   readonly keeper: (incarnation: string, policy: KeeperPolicy) => ClaimKeeper
   readonly keepers: (agents: readonly string[], organisation: string, id: string) => Keepers
   readonly attempt: (name: string, agent: string, keepers: Keepers, bodyDigest: string) => OnceAttempt
@@ -25,7 +25,7 @@
 
 /** The product's own parts. */
 export const realRequestParts: RequestParts = {
-  admissionController: (incarnation, slots) => new AdmissionDoor(incarnation, slots),
+  admissionController: (incarnation, slots) => new AdmissionController(incarnation, slots),
   keeper: (incarnation, policy) => new ClaimKeeper(incarnation, policy),
   keepers: keepersOf,
   attempt: (name, agent, keepers, bodyDigest) => new OnceAttempt(name, agent, keepers, bodyDigest),
--- a/packages/fuzz/src/lib/routed-world.ts
+++ b/packages/fuzz/src/lib/routed-world.ts
@@ -7,19 +7,19 @@
  * Route entries that send requests directly to endpoints, with the real decisions after an attempt and the real retry allowance of
  * each entry. The oracles use only what callers receive and what arrives at endpoints.
  */
-import { AttemptCourse, FleetSize, RetryAllowance, type AttemptEnd, type NextStep, type RetryPurpose, type RetryTerms, type Route, type ZoneOfAgents } from '@drumdrift/core'
+import { AttemptTracker, FleetSize, RetryAllowance, type AttemptEnd, type NextAction, type RetryPurpose, type RetryLimits, type Route, type AgentZone } from '@drumdrift/core'
 import { Process, World } from './world.js'
 
 /** The parts whose protections a variant may remove. */
 export interface RoutedParts {
-  readonly course: (route: RoutePolicy) => AttemptCourse
-  readonly allowance: (terms: RetryTerms, entries: (now: number) => number | undefined, now: number) => Pick<RetryAllowance, 'requested' | 'trySpend'>
-  readonly fleet: (zones: readonly ZoneOfAgents[]) => Pick<FleetSize, 'heard' | 'estimate'>
+  readonly course: (route: RoutePolicy) => AttemptTracker
+  readonly allowance: (terms: RetryLimits, entries: (now: number) => number | undefined, now: number) => Pick<RetryAllowance, 'requested' | 'trySpend'>
+  readonly fleet: (zones: readonly AgentZone[]) => Pick<FleetSize, 'heard' | 'estimate'>
 }
 
 /** The product's own parts. */
 export const realRoutedParts: RoutedParts = {
-  course: route => new AttemptCourse(route),
+  course: route => new AttemptTracker(route),
   allowance: (...given) => new RetryAllowance(...given),
   fleet: zones => new FleetSize(() => zones)
 }
@@ -40,7 +40,7 @@
 interface Request {
   readonly entry: Entry
   readonly process: Process
-  readonly course: AttemptCourse
+  readonly course: AttemptTracker
   readonly deadline: number
   arrivals: number
   events: number
@@ -51,7 +51,7 @@
 const EVENTS_PER_STREAM = 6
 /** The window of the operators' bound on retries, in milliseconds. */
 const RETRY_WINDOW = 10_000
-const RETRY_LIMITS: RetryTerms = { ratio: 0.2, slack: 24, window: RETRY_WINDOW }
+const RETRY_LIMITS: RetryLimits = { ratio: 0.2, slack: 24, window: RETRY_WINDOW }
 /** Interval at which agents report how many entries reach them, in milliseconds. */
 const COUNT_REPORT_INTERVAL = 500
 /** Deadline of a request, in milliseconds. */
@@ -185,7 +185,7 @@
     })
   }
 
-  private _applyStep (request: Request, end: AttemptEnd, step: NextStep): void {
+  private _applyStep (request: Request, end: AttemptEnd, step: NextAction): void {
     if (step.type === 'try-next' || step.type === 'resume') return this._send(request)
     if (step.type !== 'pass-on') return
     // Once events are sent, the caller has a success status and can see only whether the end of the stream arrived.
--- a/packages/fuzz/src/lib/variants.ts
+++ b/packages/fuzz/src/lib/variants.ts
@@ -8,8 +8,8 @@
  * protection serves; a variant that survives shows a gap in the scenario.
  */
 import {
-  AdmissionDoor, AnswerStream, AttemptCourse, ClaimKeeper, EndpointLimits, OnceAttempt, PublishedState, publishedTopics, RevisionLedger, StoreCursor, type Acceptance, type Admission, type AnswerPart, type AnswerProgress, type AnswerVerdict, type CancelReply, type ClaimReply,
-  requestFailure, RetryAllowance, SuspectRequests, type Standing, type StoreAnswerKind, type StoreCall, type AttemptBounds, type AttemptEnd, type Configuration, type NextStep, type OnceEffect, type RetryPurpose, type Published, type Checked, type DocumentFailure
+  AdmissionController, AnswerStream, AttemptTracker, ClaimKeeper, EndpointLimits, OnceAttempt, PublishedState, publishedTopics, RevisionLedger, StoreCursor, type Acceptance, type Admission, type AnswerPart, type AnswerProgress, type AnswerVerdict, type CancelReply, type ClaimReply,
+  requestFailure, RetryAllowance, SuspectRequests, type SuspectStatus, type StoreAnswerKind, type StoreCall, type AttemptBounds, type AttemptEnd, type Configuration, type NextAction, type OnceEffect, type RetryPurpose, type Published, type Checked, type DocumentFailure
 } from '@drumdrift/core'
 import { realConfigurationParts, type ConfigurationParts } from './configuration-world.js'
 import { realLimitParts, type LimitParts } from './limit-world.js'
@@ -58,7 +58,7 @@
 
 /** Orders changes by revision alone and ignores epochs. */
 class EpochIgnoringState extends PublishedState {
-  override enter (): false { return false }
+  override enterEpoch (): false { return false }
 }
 
 /** Accepts the changes of a watch from any epoch. */
@@ -78,12 +78,12 @@
 
 /** Holds a request back after its first lost attempt. */
 class FirstLossSuspects extends SuspectRequests {
-  override standing (fingerprint: string, now: number): Standing { return this.lossesOf(fingerprint, now).length > 0 ? 'held-back' : 'clear' }
+  override standing (fingerprint: string, now: number): SuspectStatus { return this.lossesOf(fingerprint, now).length > 0 ? 'held-back' : 'clear' }
 }
 
 /** Forwards any complete answer, even if the caller already has part of a stream. */
-class AnyAnswerTracker extends AttemptCourse {
-  override ended (end: AttemptEnd, bounds: AttemptBounds): NextStep {
+class AnyAnswerTracker extends AttemptTracker {
+  override ended (end: AttemptEnd, bounds: AttemptBounds): NextAction {
     return end.type === 'answered' && this.sent > 0 ? { type: 'pass-on' } : super.ended(end, bounds)
   }
 }
@@ -136,7 +136,7 @@
 }
 
 /** Confirms the cancellation of an unused ticket, but leaves the ticket valid. */
-class NoTombstoneController extends AdmissionDoor {
+class NoTombstoneController extends AdmissionController {
   override cancel (ticket: string): CancelReply {
     return ticket.startsWith(this.incarnation) && this._unused.has(ticket) ? 'never-started' : super.cancel(ticket)
   }
@@ -147,7 +147,7 @@
     return admission
   }
 
-  override offer (now: number): ReturnType<AdmissionDoor['offer']> {
+  override offer (now: number): ReturnType<AdmissionController['offer']> {
     const reply = super.offer(now)
     if (reply.type === 'ready') this._unused.add(reply.ticket)
     return reply
@@ -199,17 +199,17 @@
 }
 
 /** Ignores orders to drain. */
-class NonDrainingController extends AdmissionDoor {
+class NonDrainingController extends AdmissionController {
   override leave (): boolean { return false }
 }
 
 /** Reports no requests in progress. */
-class UncountedController extends AdmissionDoor {
+class UncountedController extends AdmissionController {
   override get running (): number { return 0 }
 }
 
 /** Keeps admitting requests during a switch of versions. */
-class SwitchIgnoringController extends AdmissionDoor {
+class SwitchIgnoringController extends AdmissionController {
   override setSwitching (): void {}
 }
 
--- a/packages/fuzz/src/lib/weights-world.ts
+++ b/packages/fuzz/src/lib/weights-world.ts
@@ -8,13 +8,13 @@
  * whatever they are ordered to. The oracle compares the weights that an engine serves with the correct ones.
  */
 import {
-  AdmissionDoor, defaultTransferPolicy, EngineSwitch, Transfer, type EngineReport, type InstanceRecord, type LoadResult, type Manifest, type SwitchEffect, type TransferEffect
+  AdmissionController, defaultTransferPolicy, EngineSwitch, Transfer, type EngineReport, type InstanceRecord, type LoadResult, type Manifest, type SwitchEffect, type TransferEffect
 } from '@drumdrift/core'
 import { Process, World } from './world.js'
 
 /** The parts whose protections a variant may remove. */
 export interface WeightsParts {
-  readonly admissionController: (incarnation: string, slots: number) => AdmissionDoor
+  readonly admissionController: (incarnation: string, slots: number) => AdmissionController
   /** Returns whether a chunk matches its digest. */
   readonly verify: (content: string, digest: string) => boolean
   /** Whether only a complete version may be loaded. */
@@ -27,7 +27,7 @@
 
 /** The product's own parts. */
 export const realWeightsParts: WeightsParts = {
-  admissionController: (incarnation, slots) => new AdmissionDoor(incarnation, slots),
+  admissionController: (incarnation, slots) => new AdmissionController(incarnation, slots),
   verify: (content, digest) => digestOf(content) === digest,
   waitsForCompleteVersion: true,
   rechecksStaging: true,
@@ -50,7 +50,7 @@
   readonly record: InstanceRecord
   readonly engine: Engine
   process: Process
-  admissionController: AdmissionDoor
+  admissionController: AdmissionController
   engineSwitch: EngineSwitch
   transfer: Transfer | undefined
   revision: number
@@ -217,7 +217,7 @@
       if (content === undefined) return this._executeTransferEffects(member, transfer.failed(effect.attempt, 'not-yet', now))
       if (!this._parts.verify(content, effect.digest)) return this._executeTransferEffects(member, transfer.failed(effect.attempt, 'corrupt', now))
       member.engine.staging.set(effect.digest, content)
-      this._executeTransferEffects(member, transfer.arrived(effect.attempt, now))
+      this._executeTransferEffects(member, transfer.chunkReceived(effect.attempt, now))
     }
     if (source.kind !== 'peer') {
       world.after(CHUNK_TIME, process, () => handleContent(this._originAvailable ? effect.digest.replace('digest of ', '') : undefined))
@@ -243,7 +243,7 @@
       target: target === '' ? undefined : { manifestDigest: target, switchFraction: 0.5 },
       wholeDigest: this._parts.waitsForCompleteVersion ? member.completeDigest : target,
       members: this._records,
-      knownDigests: new Set<string>(VERSIONS)
+      configuredDigests: new Set<string>(VERSIONS)
     }
     for (const effect of member.engineSwitch.step(report, situation, this.world.clock(process))) this._executeSwitchEffect(member, effect)
   }
@@ -253,14 +253,14 @@
     if (effect.type === 'ask-progress') {
       for (const instance of effect.instances) {
         const peer = this.members.find(candidate => candidate.record.instance === instance)
-        world.call(member.process, peer?.process, () => (peer as Member).engineSwitch.progress(effect.digest), 500, answer => member.engineSwitch.heard(instance, answer, world.clock(member.process)))
+        world.call(member.process, peer?.process, () => (peer as Member).engineSwitch.progress(effect.digest), 500, answer => member.engineSwitch.progressReported(instance, answer, world.clock(member.process)))
       }
     }
     if (effect.type === 'take-over') {
       world.after(world.uniform(0, 5), member.process, () => {
         const taken = !this._parts.enforcesFence || effect.fence > member.engine.fence
         if (taken && this._parts.enforcesFence) member.engine.fence = effect.fence
-        for (const next of member.engineSwitch.tookOver(effect.fence, taken ? 'taken' : 'stale-fence', world.clock(member.process))) this._executeSwitchEffect(member, next)
+        for (const next of member.engineSwitch.takeOverAnswered(effect.fence, taken ? 'taken' : 'stale-fence', world.clock(member.process))) this._executeSwitchEffect(member, next)
       })
     }
     if (effect.type === 'replaced') this._endAgent(member)
--- a/packages/fuzz/src/test/starts_test.ts
+++ b/packages/fuzz/src/test/starts_test.ts
@@ -5,7 +5,7 @@
  */
 import assert from 'node:assert/strict'
 import { describe, it } from 'node:test'
-import { EndpointChooser, PublishedState, startOf, type EndpointRecord, type PublishedChange, type ServiceDescription } from '@drumdrift/core'
+import { EndpointChooser, PublishedState, startKeyOf, type EndpointRecord, type PublishedChange, type ServiceDescription } from '@drumdrift/core'
 import fc from 'fast-check'
 
 const SEED = 7
@@ -45,13 +45,13 @@
       hasReport = false
       avoidedUntil = 0
     } else if (step === 'report') {
-      chooser.heard(startOf(record), load, now)
+      chooser.heard(startKeyOf(record), load, now)
       hasReport = true
-    } else if (step === 'late-report') chooser.heard(startOf(createRecord(born - 1)), { ...load, accepting: false }, now)
+    } else if (step === 'late-report') chooser.heard(startKeyOf(createRecord(born - 1)), { ...load, accepting: false }, now)
     else if (step === 'refuse') {
-      chooser.avoid(startOf(record), 'refused', now)
+      chooser.skip(startKeyOf(record), 'refused', now)
       avoidedUntil = now + AVOIDED_TIME
-    } else if (step === 'fail') chooser.ended(startOf(record), 'request', 'bad', now)
+    } else if (step === 'fail') chooser.ended(startKeyOf(record), 'request', 'bad', now)
     else {
       const choice = chooser.choose(service, need, now)
       if ((choice !== undefined) !== (now >= avoidedUntil)) return `chosen: ${choice !== undefined}, avoided until ${avoidedUntil}, now ${now}`
--- a/packages/node/src/lib/agent/agent-requests.ts
+++ b/packages/node/src/lib/agent/agent-requests.ts
@@ -6,7 +6,7 @@
 /**
  * Handles the messages that peers send to an agent: a table with one handler for each message type.
  */
-import type { AdmissionDoor, ClaimKeeper, EndpointStatus, PeerRequest, ProcessStatus } from '@drumdrift/core'
+import type { AdmissionController, ClaimKeeper, EndpointStatus, PeerRequest, ProcessStatus } from '@drumdrift/core'
 import type { Log } from '../observe/log.js'
 import type { Responder } from '../peer/connection.js'
 import type { SpreadRunner } from '../spread-runner.js'
@@ -19,7 +19,7 @@
 export interface AgentRequestsDependencies {
   readonly instance: string
   readonly endpoint: string
-  readonly admissionController: AdmissionDoor
+  readonly admissionController: AdmissionController
   readonly keeper: ClaimKeeper
   readonly spread: SpreadRunner
   readonly chunks: ChunkServer
@@ -56,8 +56,8 @@
     limits: (_request, _payload, responder) => responder.send({ type: 'refused', reason: 'not-supported', detail: 'this agent enforces the limit of its endpoint itself' }),
     ping: (_request, _payload, responder) => responder.send({ type: 'done' }),
     'follow-chunks': (_request, _payload, responder) => responder.send({ type: 'refused', reason: 'not-supported', detail: 'this agent has no subscriptions to chunks; request a chunk with a wait' }),
-    compare: (request, _payload, responder) => this._dependencies.spread.compared(request, responder),
-    push: (request, _payload, responder) => this._dependencies.spread.pushed(request, responder),
+    compare: (request, _payload, responder) => this._dependencies.spread.handleCompare(request, responder),
+    push: (request, _payload, responder) => this._dependencies.spread.handlePush(request, responder),
     chunk: ({ digest, wait }, _payload, responder) => { this._dependencies.chunks.serve(String(digest), Number(wait) || 0, responder) },
     manifest: ({ digest, wait }, _payload, responder) => { this._sendManifest(String(digest), Number(wait) || 0, responder) },
     offer: ({ endpoint }, _payload, responder) => this._offer(endpoint, responder),
--- a/packages/node/src/lib/agent/agent.ts
+++ b/packages/node/src/lib/agent/agent.ts
@@ -9,7 +9,7 @@
  */
 import { randomBytes } from 'node:crypto'
 import {
-  AdmissionDoor, EndpointLimits, EndpointNotices, ClaimKeeper, defaultTransferPolicy, LinkPacer, Transfer, wantedDigest, type ChunkMember, type EndpointStatus, type InstanceRecord,
+  AdmissionController, EndpointLimits, EndpointNotices, ClaimKeeper, defaultTransferPolicy, LinkPacer, Transfer, wantedDigest, type ChunkMember, type EndpointStatus, type InstanceRecord,
   type ProcessStatus, type SpreadStrategy, type SwitchTarget, type TransferPolicy
 } from '@drumdrift/core'
 import type { Log } from '../observe/log.js'
@@ -50,7 +50,7 @@
   private readonly _traffic: Traffic = { sent: 0, received: 0 }
   private readonly _histograms = new Histograms()
   private readonly _pacer: LinkPacer
-  private readonly _admissionController: AdmissionDoor
+  private readonly _admissionController: AdmissionController
   private readonly _claimKeeper: ClaimKeeper
   private readonly _pool: PeerPool
   private readonly _server: PeerServer
@@ -77,7 +77,7 @@
     this._pacer = new LinkPacer(this._number('weights', 'link-megabytes-per-second') * MEBIBYTE, performance.now())
     const readPacer = { received: (bytes: number): number => this._pacer.received(bytes, performance.now()) }
     const notices = new EndpointNotices(new EndpointLimits(() => 1, () => 0))
-    this._admissionController = new AdmissionDoor(this.incarnation, DEFAULT_SLOTS, notices, this._endpoint)
+    this._admissionController = new AdmissionController(this.incarnation, DEFAULT_SLOTS, notices, this._endpoint)
     this._admissionController.setServing(!this._servesModel)
     this._claimKeeper = this._newClaimKeeper()
     this._pool = new PeerPool({ instance: this._name, key: this._text('peers', 'key') }, this._traffic, readPacer)
@@ -177,7 +177,7 @@
     return new WeightsKeeper({
       self: this._self,
       newTransfer: ({ members, identity, manifest, held, originCopies }) => new Transfer(this._self, members, identity, manifest, held, this._transferPolicy(originCopies)),
-      largestBytes: this._number('weights', 'largest-gigabytes') * GIBIBYTE,
+      maxBytes: this._number('weights', 'largest-gigabytes') * GIBIBYTE,
       platform,
       pool: this._pool,
       engine,
@@ -186,7 +186,7 @@
       counters: this._counters,
       members: () => this._members,
       addressOf: instance => this._addresses.get(instance),
-      onWhole: () => {
+      onComplete: () => {
         this._recordElapsed('transfer')
         this._switcher.poll()
       }
@@ -204,9 +204,9 @@
       admissionController: this._admissionController,
       pool: this._pool,
       log: this._log,
-      switchInputs: () => ({ target: this._switchTarget(), wholeDigest: this._weights.wholeDigest, members: this._members, knownDigests: this._configuredDigests() }),
+      switchInputs: () => ({ target: this._switchTarget(), wholeDigest: this._weights.completeDigest, members: this._members, configuredDigests: this._configuredDigests() }),
       onReplaced: () => { this._onReplaced() },
-      confirmComplete: () => this._weights.confirmWhole(),
+      confirmComplete: () => this._weights.confirmComplete(),
       onServing: (_digest, fence) => {
         this._recordElapsed('time-to-serve')
         this._weights.dropUnlisted(fence)
@@ -299,7 +299,7 @@
     if (!this._servesModel) return 'serving'
     const version = this._switcher.engine?.version ?? ''
     if (version !== '' && version === this._weights.wanted) return 'serving'
-    if (this._weights.wholeDigest !== '') return 'whole'
+    if (this._weights.completeDigest !== '') return 'whole'
     return this._weights.wanted === '' ? 'empty' : 'fetching'
   }
 
--- a/packages/node/src/lib/agent/engine-client.ts
+++ b/packages/node/src/lib/agent/engine-client.ts
@@ -8,7 +8,7 @@
  * (docs/PROTOCOLS.md). No other process sends orders to this engine.
  */
 import type { EngineReport, LoadResult, TakeOverResult } from '@drumdrift/core'
-import { askHttp } from '../platform/http-client.js'
+import { requestHttp } from '../platform/http-client.js'
 
 /** The staging memory of an engine, which holds chunks until the engine is ordered to load them. */
 export interface ChunkStaging {
@@ -38,7 +38,7 @@
 
   async state (): Promise<EngineReport | undefined> {
     try {
-      const answer = await askHttp(this._address, { path: '/state', timeout: 1_000 })
+      const answer = await requestHttp(this._address, { path: '/state', timeout: 1_000 })
       const value: unknown = JSON.parse(answer.body.toString('utf8'))
       return isEngineReport(value) ? value : undefined
     } catch {
@@ -48,7 +48,7 @@
 
   async staged (): Promise<ReadonlySet<string>> {
     try {
-      const answer = await askHttp(this._address, { path: '/staging', timeout: TIMEOUT })
+      const answer = await requestHttp(this._address, { path: '/staging', timeout: TIMEOUT })
       const value: unknown = JSON.parse(answer.body.toString('utf8'))
       return new Set(Array.isArray(value) ? value.map(String) : [])
     } catch {
@@ -62,7 +62,7 @@
 
   async readBack (kind: 'chunks' | 'manifests', digest: string): Promise<Buffer | undefined> {
     try {
-      const answer = await askHttp(this._address, { path: `/staging/${kind}/${digest}`, timeout: TIMEOUT })
+      const answer = await requestHttp(this._address, { path: `/staging/${kind}/${digest}`, timeout: TIMEOUT })
       return answer.status === 200 ? answer.body : undefined
     } catch {
       return undefined
@@ -88,7 +88,7 @@
 
   private async _status (request: { method: string, path: string, body?: Buffer | string }): Promise<number | undefined> {
     try {
-      return (await askHttp(this._address, { ...request, timeout: TIMEOUT })).status
+      return (await requestHttp(this._address, { ...request, timeout: TIMEOUT })).status
     } catch {
       return undefined
     }
--- a/packages/node/src/lib/agent/request-runner.ts
+++ b/packages/node/src/lib/agent/request-runner.ts
@@ -8,7 +8,7 @@
  * are split only between events, so that another endpoint can resume an answer after a complete event.
  */
 import type { IncomingMessage } from 'node:http'
-import type { AdmissionDoor, EndpointNotices, EndpointStatus, ForwardedRequest, LinkPacer } from '@drumdrift/core'
+import type { AdmissionController, EndpointNotices, EndpointStatus, ForwardedRequest, LinkPacer } from '@drumdrift/core'
 import { failureOf } from '@drumdrift/core'
 import type { Counters } from '../observe/metrics.js'
 import type { NoticeLog } from '../observe/notice-log.js'
@@ -24,7 +24,7 @@
   /** The limits and rests that the endpoint has announced; admission enforces them. */
   readonly notices: EndpointNotices
   readonly noticeLog: NoticeLog
-  readonly admissionController: AdmissionDoor
+  readonly admissionController: AdmissionController
   readonly pacer: LinkPacer
   readonly counters: Counters
   readonly status: () => EndpointStatus
--- a/packages/node/src/lib/agent/switcher.ts
+++ b/packages/node/src/lib/agent/switcher.ts
@@ -6,7 +6,7 @@
 /**
  * Polls the engine beside this agent several times a second and carries out the effects of the engine switch.
  */
-import { EngineSwitch, type AdmissionDoor, type EngineReport, type SwitchEffect, type SwitchProgress, type SwitchSituation } from '@drumdrift/core'
+import { EngineSwitch, type AdmissionController, type EngineReport, type SwitchEffect, type SwitchProgress, type SwitchInputs } from '@drumdrift/core'
 import type { Log } from '../observe/log.js'
 import type { PeerPool } from '../peer/pool.js'
 import type { Engine } from './engine-client.js'
@@ -15,10 +15,10 @@
 export interface SwitcherDependencies {
   readonly instance: string
   readonly engine: Engine
-  readonly admissionController: AdmissionDoor
+  readonly admissionController: AdmissionController
   readonly pool: PeerPool
   readonly log: Log
-  readonly switchInputs: () => SwitchSituation
+  readonly switchInputs: () => SwitchInputs
   /** Called if another agent has taken the engine over. This process must end; the platform starts a new one if the slot is its own. */
   readonly onReplaced: () => void
   /** Returns whether the engine still holds the complete version; checked right before a load. */
@@ -76,7 +76,7 @@
     'take-over': async ({ fence }) => {
       const result = await this._dependencies.engine.takeOver(fence)
       this._dependencies.log.info('engine-taken-over', { result, fence })
-      for (const effect of this._switch.tookOver(fence, result, performance.now())) await this._applyEffect(effect)
+      for (const effect of this._switch.takeOverAnswered(fence, result, performance.now())) await this._applyEffect(effect)
     },
     replaced: ({ fence }) => {
       this._dependencies.log.error('replaced', { fence })
@@ -102,7 +102,7 @@
   private async _requestProgress (instance: string, digest: string): Promise<void> {
     const address = this._dependencies.switchInputs().members.find(member => member.instance === instance)?.address
     const progress = address === undefined ? 'unreachable' : await this._requestProgressFrom(address, digest)
-    this._switch.heard(instance, progress, performance.now())
+    this._switch.progressReported(instance, progress, performance.now())
   }
 
   private async _requestProgressFrom (address: string, digest: string): Promise<SwitchProgress> {
