--- a/packages/node/src/lib/agent/weights-keeper.ts
+++ b/packages/node/src/lib/agent/weights-keeper.ts
@@ -8,7 +8,7 @@
  * is stored or served to peers, and reports when the version is complete.
  */
 import {
-  checkManifest, type ChunkMember, type Manifest, type TransferCourse, type TransferEffect, type WeightsFailure
+  checkManifest, type ChunkMember, type Manifest, type ChunkTransfer, type TransferEffect, type WeightsFailure
 } from '@drumdrift/core'
 import { setTimeout as pause } from 'node:timers/promises'
 import type { Log } from '../observe/log.js'
@@ -31,7 +31,7 @@
   /** Creates the transfer of a version; `held` are the digests of chunks that are already staged. */
   readonly newTransfer: TransferFactory
   /** The largest total size of a version, in bytes. A larger one is refused. */
-  readonly largestBytes: number
+  readonly maxBytes: number
   readonly platform: WeightsSource
   readonly pool: PeerPool
   readonly engine: ChunkStaging
@@ -41,7 +41,7 @@
   /** The members of the same pool. */
   readonly members: () => readonly ChunkMember[]
   readonly addressOf: (instance: string) => string | undefined
-  readonly onWhole: (manifestDigest: string) => void
+  readonly onComplete: (manifestDigest: string) => void
   /** The hash by which manifests name chunks; `blake2b` by default. */
   readonly chunkDigest?: ChunkDigest
   /**
@@ -58,7 +58,7 @@
   readonly manifest: Manifest
   readonly held: ReadonlySet<string>
   readonly originCopies: number
-}) => TransferCourse
+}) => ChunkTransfer
 
 /** The interval of ticks of a transfer, in milliseconds. */
 const TICK_INTERVAL = 50
@@ -78,7 +78,7 @@
   private _desiredDigest = ''
   private _originCopies = 1
   private _manifest: Manifest | undefined
-  private _transfer: TransferCourse | undefined
+  private _transfer: ChunkTransfer | undefined
   private _completeDigest = ''
   /** The list that the transfer uses; compared by reference, since a new revision creates a new list. */
   private _members: readonly ChunkMember[] = []
@@ -105,7 +105,7 @@
   /** The manifest digest of the desired version; empty for none. */
   get wanted (): string { return this._desiredDigest }
   /** The manifest digest of the desired version once it is complete and verified; empty before. */
-  get wholeDigest (): string { return this._completeDigest }
+  get completeDigest (): string { return this._completeDigest }
   /** The manifest of the desired version; `undefined` until it is held. */
   get currentManifest (): Manifest | undefined { return this._manifest }
   /** The share of the desired version that is held. */
@@ -161,7 +161,7 @@
   }
 
   /** Updates the list of members. Ticks do so during a transfer; once the version is complete, only this call does. */
-  membersChanged (): void {
+  updateMembers (): void {
     const members = this._dependencies.members()
     if (members === this._members) return
     this._transfer?.setMembers(members)
@@ -172,7 +172,7 @@
    * Checks whether the engine still holds the complete version, as it must right before a load. Chunks that are missing are
    * fetched again.
    */
-  async confirmWhole (): Promise<boolean> {
+  async confirmComplete (): Promise<boolean> {
     const manifest = this._manifest
     if (manifest === undefined) return false
     await this._dependencies.store.recover()
@@ -194,7 +194,7 @@
   }
 
   private _adoptManifest (manifestDigest: string, bytes: Buffer): boolean {
-    const checked = checkManifest(tryParseJson(bytes), this._dependencies.largestBytes)
+    const checked = checkManifest(tryParseJson(bytes), this._dependencies.maxBytes)
     if ('failure' in checked) {
       this._recordProblem(checked.failure)
       return false
@@ -238,7 +238,7 @@
   private _tick (): void {
     const transfer = this._transfer
     if (transfer === undefined || this._completeDigest !== '') return this._stopTicking()
-    this.membersChanged()
+    this.updateMembers()
     this._reportActiveConnections(transfer)
     this._applyEffects(transfer.tick(performance.now()))
   }
@@ -249,10 +249,10 @@
   }
 
   /** A connection that receives bytes is not stalled, although keepalives may be queued behind other chunks. */
-  private _reportActiveConnections (transfer: TransferCourse): void {
+  private _reportActiveConnections (transfer: ChunkTransfer): void {
     const now = performance.now()
     for (const [attempt, connection] of this._connections) {
-      if (connection.open && connection.silence(now) < ACTIVITY_TIMEOUT) transfer.coming(attempt, now)
+      if (connection.open && connection.timeSinceContact(now) < ACTIVITY_TIMEOUT) transfer.chunkPending(attempt, now)
     }
   }
 
@@ -271,7 +271,7 @@
       this._dependencies.log.info('version-whole', {
         manifest: manifestDigest, chunks: this._manifest?.chunks.length, took: Math.round(performance.now() - this._startedAt), ...Object.fromEntries(this._outcomes)
       })
-      this._dependencies.onWhole(manifestDigest)
+      this._dependencies.onComplete(manifestDigest)
     }
   }
 
@@ -287,7 +287,7 @@
     const outcome = problem === undefined ? `from_${effect.source.kind}` : problem.replaceAll('-', '_')
     this._outcomes.set(outcome, (this._outcomes.get(outcome) ?? 0) + 1)
     if (problem !== undefined) this._dependencies.log.debug('chunk-failed', { problem, source: sourceName(effect), chunk: effect.index, attempt: effect.attempt })
-    this._applyEffects(problem === undefined ? transfer.arrived(effect.attempt, now) : transfer.failed(effect.attempt, problem, now))
+    this._applyEffects(problem === undefined ? transfer.chunkReceived(effect.attempt, now) : transfer.failed(effect.attempt, problem, now))
   }
 
   /** Fetches, verifies and stores one chunk. Returns the failure, or `undefined` on success. */
@@ -312,7 +312,7 @@
     }
     const address = this._dependencies.addressOf(effect.source.instance)
     if (address === undefined) return 'unreachable'
-    const onPending = (): void => this._transfer?.coming(effect.attempt, performance.now())
+    const onPending = (): void => this._transfer?.chunkPending(effect.attempt, performance.now())
     return await fetchChunk(this._dependencies.pool, { address, digest: effect.digest, wait: CHUNK_WAIT, signal, onPending, onConnection: connection => this._connections.set(effect.attempt, connection) })
   }
 
--- a/packages/node/src/lib/command-line.ts
+++ b/packages/node/src/lib/command-line.ts
@@ -9,11 +9,11 @@
 import { readFileSync } from 'node:fs'
 import { Command } from 'commander'
 import { formatPairs } from './observe/log.js'
-import { askHttp } from './platform/http-client.js'
+import { requestHttp } from './platform/http-client.js'
 import { runDaemon } from './run-daemon.js'
 import { EXIT_WRONG_INPUT, orExit } from './settings/or-exit.js'
 import { settingsPage } from './settings/page.js'
-import { guessRole, readSettings } from './settings/settings.js'
+import { inferRole, readSettings } from './settings/settings.js'
 
 /** The timeout of a query or an order, in milliseconds. */
 const ASK_TIMEOUT = 10_000
@@ -77,7 +77,7 @@
 }
 
 function check (file: string): void {
-  const settings = orExit(() => readSettings(file, guessRole(file)))
+  const settings = orExit(() => readSettings(file, inferRole(file)))
   process.stdout.write(`${formatPairs({ event: 'settings-good', file, role: settings.role })}\n`)
 }
 
@@ -85,7 +85,7 @@
   const key = readFileSync(options.keyFile, 'utf8').trim()
   const path = `/operator/ask?format=${encodeURIComponent(options.format)}`
   try {
-    const answer = await askHttp(options.entry, { method: 'POST', path, body: text, headers: { authorization: `Bearer ${key}` }, timeout: ASK_TIMEOUT })
+    const answer = await requestHttp(options.entry, { method: 'POST', path, body: text, headers: { authorization: `Bearer ${key}` }, timeout: ASK_TIMEOUT })
     process.stdout.write(answer.body.toString('utf8').replace(/\n?$/, '\n'))
     process.exitCode = answer.status === 200 ? 0 : answer.status === 400 ? EXIT_WRONG_INPUT : 1
   } catch (error) {
--- a/packages/node/src/lib/entry/agent-call.ts
+++ b/packages/node/src/lib/entry/agent-call.ts
@@ -34,7 +34,7 @@
 export interface CallConnection {
   readonly open: boolean
   ask (request: PeerRequest, payload: Buffer | undefined, listener: ReplyListener): number
-  tell (request: PeerRequest): void
+  notify (request: PeerRequest): void
   forget (call: number): void
 }
 
@@ -142,7 +142,7 @@
 
   private _sendHangUp (): void {
     if (!this._connection.open) return
-    this._connection.tell({ type: 'hang-up', call: this._callNumber })
+    this._connection.notify({ type: 'hang-up', call: this._callNumber })
   }
 
   private _end (end: CallEnd): void {
--- a/packages/node/src/lib/entry/once-carrier.ts
+++ b/packages/node/src/lib/entry/at-most-once-attempts.ts
@@ -14,7 +14,7 @@
 import type { Reply } from '../peer/connection.js'
 import type { PeerPool } from '../peer/pool.js'
 import { AgentCall, type CallEnd, type CallTimeouts } from './agent-call.js'
-import { forwardedRequest } from './carrier.js'
+import { forwardedRequest } from './request-executor.js'
 import type { Job } from './dispatcher.js'
 import type { Group } from './group.js'
 
@@ -25,7 +25,7 @@
   | { readonly type: 'failed', readonly health: 'unclear' | 'bad', readonly failure: RequestFailure }
 
 /** Dependencies of the carrier. */
-export interface OnceCarrierOptions {
+export interface AtMostOnceAttemptsOptions {
   readonly incarnation: string
   readonly pool: PeerPool
   readonly patience: CallTimeouts
@@ -48,10 +48,10 @@
 }
 
 /** Runs the attempts of one entry. */
-export class OnceCarrier {
+export class AtMostOnceAttempts {
   private _nextAttempt = 1
 
-  constructor (private readonly _options: OnceCarrierOptions) {}
+  constructor (private readonly _options: AtMostOnceAttemptsOptions) {}
 
   /**
    * Issues a request id whose keepers are agents that are reachable now, spread over as many availability zones as
--- a/packages/node/src/lib/entry/dispatcher.ts
+++ b/packages/node/src/lib/entry/dispatcher.ts
@@ -7,7 +7,7 @@
  * Queues requests and decides which starts next. Sheds requests that cannot start in time as soon as they come in, with
  * a time after which to retry.
  */
-import { requestFailure, type Candidate, type ChoicePolicy, type Configuration, type InstanceRecord, type RequestClass, type RequestFailure, type Waiting } from '@drumdrift/core'
+import { requestFailure, type Candidate, type ChoicePolicy, type Configuration, type InstanceRecord, type RequestClass, type RequestFailure, type QueuedRequest } from '@drumdrift/core'
 import type { Histograms } from '../observe/histograms.js'
 import type { Counters } from '../observe/metrics.js'
 import type { AnswerSink } from './answer-sink.js'
@@ -138,7 +138,7 @@
     return maximum === undefined || (group.inProgress.get(organisation) ?? 0) < maximum
   }
 
-  private async _start (waiting: Waiting<Job>, group: Group<Job>): Promise<void> {
+  private async _start (waiting: QueuedRequest<Job>, group: Group<Job>): Promise<void> {
     const { request } = waiting.item
     const startedAt = performance.now()
     this._histograms.record({ measure: 'queueing', organisation: request.organisation, requestClass: request.requestClass }, startedAt - waiting.enqueuedAt)
@@ -189,7 +189,7 @@
     }
   }
 
-  private _expiryFailure (waiting: Waiting<Job>, group: Group<Job>, now: number): RequestFailure {
+  private _expiryFailure (waiting: QueuedRequest<Job>, group: Group<Job>, now: number): RequestFailure {
     if (waiting.item.request.deadline <= now) return requestFailure('deadline-passed', 'not-run', 'the deadline passed before the request started')
     const wait = group.expectedWait(waiting.organisation, organisation => this._weight(organisation))
     return requestFailure('overloaded', 'not-run', 'the request could not start in time', Math.max(MIN_RETRY_MILLISECONDS, wait))
--- a/packages/node/src/lib/entry/entry.ts
+++ b/packages/node/src/lib/entry/entry.ts
@@ -12,7 +12,7 @@
 import { readCost } from '../observe/cost.js'
 import { Histograms } from '../observe/histograms.js'
 import { Counters } from '../observe/metrics.js'
-import { OperatorDesk } from '../operator/desk.js'
+import { OperatorCommandHandler } from '../operator/operator-command-handler.js'
 import type { Responder, Traffic } from '../peer/connection.js'
 import { PeerPool } from '../peer/pool.js'
 import { PeerServer } from '../peer/server.js'
@@ -21,10 +21,10 @@
 import type { Settings } from '../settings/settings.js'
 import { SpreadRunner } from '../spread-runner.js'
 import { spreadSelf } from '../spread-self.js'
-import { RequestCarrier } from './carrier.js'
+import { RequestExecutor } from './request-executor.js'
 import { Dispatcher, type DispatcherPolicy } from './dispatcher.js'
-import { HttpFront } from './http-front.js'
-import { OnceCarrier } from './once-carrier.js'
+import { EntryHttpServer } from './http-server.js'
+import { AtMostOnceAttempts } from './at-most-once-attempts.js'
 
 const KIBIBYTE = 1024
 const ADMISSION_TIMEOUT_MILLISECONDS = 1_000
@@ -41,7 +41,7 @@
   private readonly _server: PeerServer
   private readonly _spread: SpreadRunner
   private readonly _dispatcher: Dispatcher
-  private readonly _front: HttpFront
+  private readonly _front: EntryHttpServer
   private _organisations: ReadonlyMap<string, string> = new Map()
   private _draining = false
 
@@ -56,17 +56,17 @@
       self: spreadSelf(_settings), platform, pool: this._pool, log: _log, counters: this._counters, onAdopted: () => this._applyPublishedState()
     })
     const patience = { admission: ADMISSION_TIMEOUT_MILLISECONDS, firstAnswer: milliseconds('first-answer-seconds'), betweenParts: milliseconds('silence-seconds') }
-    const once = new OnceCarrier({
+    const once = new AtMostOnceAttempts({
       incarnation: this.incarnation, pool: this._pool, patience, agents: () => this._spread.spread.instances.filter(record => record.role === 'agent')
     })
-    const carrier = new RequestCarrier({ pool: this._pool, once, patience, histograms: this._histograms, counters: this._counters, fingerprint: request => fingerprintOf(text('peers', 'key'), request) })
+    const carrier = new RequestExecutor({ pool: this._pool, once, patience, histograms: this._histograms, counters: this._counters, fingerprint: request => fingerprintOf(text('peers', 'key'), request) })
     const policy = { maxQueueLength: _settings.number('requests', 'queue-length'), maxWait: milliseconds('queue-seconds'), choice: text('requests', 'choice') as ChoicePolicy, queueing: text('requests', 'queueing') as DispatcherPolicy['queueing'], retryRatio: _settings.number('requests', 'retry-percent') / 100 }
     const self = { instance: this._name, availabilityZone: text('process', 'availability-zone') }
     this._dispatcher = new Dispatcher(self, policy, (job, group) => carrier.execute(job, group), this._histograms, this._counters)
-    const desk = new OperatorDesk({
+    const desk = new OperatorCommandHandler({
       keys: _settings.list('operators', 'keys'), spread: this._spread.spread, pool: this._pool, log: _log, counters: this._counters, histograms: this._histograms, self: () => this.status()
     })
-    this._front = new HttpFront({
+    this._front = new EntryHttpServer({
       address: text('process', 'http-address'),
       maxBodyBytes: _settings.number('requests', 'largest-body-kilobytes') * KIBIBYTE,
       maxDeadline: milliseconds('deadline-seconds'),
@@ -151,8 +151,8 @@
   }
 
   private _handlePeerRequest (request: PeerRequest, responder: Responder): void {
-    if (request.type === 'compare') this._spread.compared(request, responder)
-    else if (request.type === 'push') this._spread.pushed(request, responder)
+    if (request.type === 'compare') this._spread.handleCompare(request, responder)
+    else if (request.type === 'push') this._spread.handlePush(request, responder)
     else if (request.type === 'status') responder.send({ type: 'status', status: this.status() })
     else if (request.type === 'leave') this._handleLeave(request, responder)
     else responder.send({ type: 'refused', reason: 'not-supported', detail: 'an entry does not support this request' })
--- a/packages/node/src/lib/entry/group.ts
+++ b/packages/node/src/lib/entry/group.ts
@@ -10,7 +10,7 @@
 import {
   ConcurrencyLimit, Ejection, EndpointChoice, endpointSubset, FairQueue, RetryBudget, type Candidate, type ChoicePolicy, type EndpointStatus, type InstanceRecord
 } from '@drumdrift/core'
-import { StartPace } from './start-pace.js'
+import { StartInterval } from './start-interval.js'
 
 /** Maximum number of endpoints of one zone that an entry uses. */
 const SUBSET_SIZE = 24
@@ -34,8 +34,8 @@
   private _running = 0
   private _meanDuration = INITIAL_DURATION_MILLISECONDS
   /** Interval between starts, overall and for each organisation with queued requests. */
-  private readonly _startPace = new StartPace()
-  private readonly _organisationPaces = new Map<string, StartPace>()
+  private readonly _startPace = new StartInterval()
+  private readonly _organisationPaces = new Map<string, StartInterval>()
 
   constructor (readonly name: string, self: Candidate, policy: { readonly choice: ChoicePolicy, readonly retryRatio: number }, random: () => number) {
     this.choice = new EndpointChoice(self, random, policy.choice)
@@ -108,7 +108,7 @@
   }
 
   updateStatus (instance: string, status: EndpointStatus): void {
-    this.choice.heard(instance, status)
+    this.choice.updateStatus(instance, status)
     this._updateLimit()
   }
 
@@ -120,8 +120,8 @@
     else this._ejection.ended(instance)
   }
 
-  private _paceOf (organisation: string): StartPace {
-    const pace = this._organisationPaces.get(organisation) ?? new StartPace()
+  private _paceOf (organisation: string): StartInterval {
+    const pace = this._organisationPaces.get(organisation) ?? new StartInterval()
     this._organisationPaces.set(organisation, pace)
     return pace
   }
@@ -131,7 +131,7 @@
   }
 
   private _updateLimit (): void {
-    this.limit.setMost(this.choice.slots(this._records.map(record => record.instance), ASSUMED_SLOTS))
+    this.limit.setMaximum(this.choice.slots(this._records.map(record => record.instance), ASSUMED_SLOTS))
   }
 }
 
--- a/packages/node/src/lib/entry/http-front.ts
+++ b/packages/node/src/lib/entry/http-server.ts
@@ -20,7 +20,7 @@
 export type OperatorHandler = (request: IncomingMessage, body: Buffer) => Promise<{ readonly status: number, readonly type: string, readonly body: string }>
 
 /** Dependencies and limits of the HTTP server. */
-export interface HttpFrontOptions {
+export interface EntryHttpServerOptions {
   readonly address: string
   readonly maxBodyBytes: number
   /** The default and maximum time to a deadline, in milliseconds. */
@@ -45,11 +45,11 @@
 const UNAVAILABLE_RETRY_MILLISECONDS = 1_000
 
 /** The HTTP server of one entry. */
-export class HttpFront {
+export class EntryHttpServer {
   private readonly _server: Server
   private _draining = false
 
-  constructor (private readonly _options: HttpFrontOptions) {
+  constructor (private readonly _options: EntryHttpServerOptions) {
     this._server = createServer({ maxHeaderSize: MAX_HEADER_BYTES, requestTimeout: REQUEST_TIMEOUT_MILLISECONDS }, (request, response) => {
       this._route(request, response)
     })
--- a/packages/node/src/lib/entry/carrier.ts
+++ b/packages/node/src/lib/entry/request-executor.ts
@@ -7,7 +7,7 @@
  * Runs a dispatched request until it is answered or fails: chooses endpoints, retries where that is allowed, and
  * resumes a broken event stream on another endpoint of the same version.
  */
-import { requestFailure, startOf, SuspectRequests, type AdmissionRefusal, type ForwardedRequest, type InstanceRecord, type PeerRequest, type RequestClass, type RequestFailure } from '@drumdrift/core'
+import { requestFailure, startKeyOf, SuspectRequests, type AdmissionRefusal, type ForwardedRequest, type InstanceRecord, type PeerRequest, type RequestClass, type RequestFailure } from '@drumdrift/core'
 import { match } from 'ts-pattern'
 import { setTimeout as pause } from 'node:timers/promises'
 import type { Histograms, Measure } from '../observe/histograms.js'
@@ -17,12 +17,12 @@
 import type { CallerRequest } from './caller-request.js'
 import type { Job } from './dispatcher.js'
 import type { Group } from './group.js'
-import { OnceCarrier, type OnceOutcome } from './once-carrier.js'
+import { AtMostOnceAttempts, type OnceOutcome } from './at-most-once-attempts.js'
 
 /** Dependencies of the carrier. */
-export interface CarrierOptions {
+export interface RequestExecutorOptions {
   readonly pool: PeerPool
-  readonly once: OnceCarrier
+  readonly once: AtMostOnceAttempts
   readonly patience: CallTimeouts
   readonly histograms: Histograms
   readonly counters: Counters
@@ -57,14 +57,14 @@
 type NextStep = 'done' | 'again' | { readonly failure: RequestFailure }
 
 /** Runs the requests of one entry. */
-export class RequestCarrier {
+export class RequestExecutor {
   /**
    * Holds back requests that crash the endpoints which run them. Without it, such a request is retried on one endpoint after the other,
    * up to ten times, and again each time its caller resends it.
    */
   private readonly _suspects = new SuspectRequests()
 
-  constructor (private readonly _options: CarrierOptions) {}
+  constructor (private readonly _options: RequestExecutorOptions) {}
 
   /**
    * Runs a request. Returns the failure to report to the caller, or `undefined` if the caller received the complete answer or has
@@ -151,7 +151,7 @@
       .with({ type: 'broken' }, () => {
         // An agent also aborts at the deadline, which is no evidence against its endpoint. Restarts of an endpoint are not visible
         // here, so each loss counts as a separate start.
-        if (now < job.request.deadline) this._suspects.lost(state.fingerprint, startOf({ id: record.instance, born: now }), now)
+        if (now < job.request.deadline) this._suspects.lost(state.fingerprint, startKeyOf({ id: record.instance, born: now }), now)
         return this._handleFailure(state, record, 'the answer was interrupted')
       })
       .with({ type: 'silent', admitted: false }, () => this._handleFailure(state, record, 'the endpoint did not respond'))
--- a/packages/node/src/lib/entry/start-pace.ts
+++ b/packages/node/src/lib/entry/start-interval.ts
@@ -8,7 +8,7 @@
 const MAX_INTERVAL_MILLISECONDS = 1_000
 
 /** An exponentially weighted moving average of the interval between the starts of one queue. */
-export class StartPace {
+export class StartInterval {
   private _interval = 0
   private _startedAt: number | undefined
 
--- a/packages/node/src/lib/observe/notice-log.ts
+++ b/packages/node/src/lib/observe/notice-log.ts
@@ -4,7 +4,7 @@
  * SPDX-License-Identifier: BSD-3-Clause
  */
 /** Logs and counts the notices that endpoints send about themselves. */
-import { endpointOf, type LimitChange, type NoticeChange } from '@drumdrift/core'
+import { endpointIdOf, type LimitChange, type NoticeChange } from '@drumdrift/core'
 import type { Log } from './log.js'
 import type { Counters } from './metrics.js'
 
@@ -30,25 +30,25 @@
   /** Records that a limit began, changed or ended, reported by the endpoint's own answer or by another process. */
   limit ({ start, limit, share }: LimitChange, source: 'own' | 'told'): void {
     this._counters.add(limit === undefined ? 'endpoint_limits_ended' : 'endpoint_limits_named')
-    if (limit === undefined) this._log.info('endpoint-limit-ended', { endpoint: endpointOf(start), source })
-    else this._log.warn('endpoint-limited', { endpoint: endpointOf(start), source, limit, share: roundShare(share) })
+    if (limit === undefined) this._log.info('endpoint-limit-ended', { endpoint: endpointIdOf(start), source })
+    else this._log.warn('endpoint-limited', { endpoint: endpointIdOf(start), source, limit, share: roundShare(share) })
   }
 
   private readonly _handlers: Handlers = {
     limit: ({ change }) => { this.limit(change, 'own') },
     leaving: ({ start }) => {
       this._counters.add('endpoints_leaving')
-      this._log.warn('endpoint-leaving', { endpoint: endpointOf(start), detail: 'announced in an answer; this start of the endpoint receives no further requests' })
+      this._log.warn('endpoint-leaving', { endpoint: endpointIdOf(start), detail: 'announced in an answer; this start of the endpoint receives no further requests' })
     },
     resting: ({ start, rest }) => {
       this._counters.add('endpoint_rests')
-      this._log.warn('endpoint-resting', { endpoint: endpointOf(start), for: Math.round(rest) })
+      this._log.warn('endpoint-resting', { endpoint: endpointIdOf(start), for: Math.round(rest) })
     },
     refused: ({ start, what, value }) => {
       this._counters.add('endpoint_notices_refused')
       if (this._refusedStarts.has(start) || this._refusedStarts.size >= MAX_REFUSED_STARTS) return
       this._refusedStarts.add(start)
-      this._log.warn('endpoint-notice-refused', { endpoint: endpointOf(start), what, value, detail: 'the value is invalid; the previous state stays in effect' })
+      this._log.warn('endpoint-notice-refused', { endpoint: endpointIdOf(start), what, value, detail: 'the value is invalid; the previous state stays in effect' })
     }
   }
 }
--- a/packages/node/src/lib/operator/desk.ts
+++ b/packages/node/src/lib/operator/operator-command-handler.ts
@@ -19,7 +19,7 @@
 import { renderRows, rowOf, type AnswerFormat } from './render.js'
 
 /** The dependencies of the operator commands of an entry. */
-export interface OperatorDeskParts {
+export interface OperatorCommandHandlerDependencies {
   /** Operators and their keys, as name:key. */
   readonly keys: readonly string[]
   readonly spread: Spread
@@ -46,8 +46,8 @@
 const PLAIN_TEXT_TYPE = 'text/plain; charset=utf-8'
 
 /** Handles the operator requests of one entry. */
-export class OperatorDesk {
-  constructor (private readonly _parts: OperatorDeskParts) {}
+export class OperatorCommandHandler {
+  constructor (private readonly _dependencies: OperatorCommandHandlerDependencies) {}
 
   /** Handles a request to `/operator/ask` or `/operator/histograms`. */
   async answer (request: IncomingMessage, body: Buffer): Promise<OperatorAnswer> {
@@ -69,7 +69,7 @@
   }
 
   private async _showStatuses (command: Extract<Command, { type: 'show' }>, format: AnswerFormat): Promise<OperatorAnswer> {
-    const records = this._parts.spread.instances.filter(record => matchesSubject(command.what, record) && matchesRecord(command.filters, record))
+    const records = this._dependencies.spread.instances.filter(record => matchesSubject(command.what, record) && matchesRecord(command.filters, record))
     const { statuses, unreachable } = await this._collectStatuses(records)
     const rows = statuses.filter(status => matchesStatus(command.filters, status)).map(rowOf)
     const now = performance.now()
@@ -77,9 +77,9 @@
       event: 'view',
       shown: rows.length,
       unseen: unreachable.length,
-      revision: this._parts.spread.revision('configuration'),
-      view_age_milliseconds: Math.round(Math.min(this._parts.spread.age('instances', now), 1e12)),
-      asked_from: this._parts.self().availabilityZone
+      revision: this._dependencies.spread.revision('configuration'),
+      view_age_milliseconds: Math.round(Math.min(this._dependencies.spread.age('instances', now), 1e12)),
+      asked_from: this._dependencies.self().availabilityZone
     })
     const missing = unreachable.map(instance => formatPairs({ event: 'unseen', instance }))
     const table = rows.length > 0 ? [renderRows(rows, format)] : []
@@ -87,7 +87,7 @@
   }
 
   private _compileRollout (command: Extract<Command, { type: 'rollout' }>): OperatorAnswer {
-    const current = this._parts.spread.configuration
+    const current = this._dependencies.spread.configuration
     const pool = current?.pools[command.pool]
     if (current === undefined || pool === undefined) return refusal('unknown-pool', `there is no pool named ${command.pool}`)
     const { switchFraction = pool.switchFraction, originCopies = pool.originCopies } = command
@@ -97,7 +97,7 @@
   }
 
   private _compileLastingDrain (instance: string): OperatorAnswer {
-    const current = this._parts.spread.configuration
+    const current = this._dependencies.spread.configuration
     if (current === undefined) return refusal('no-configuration', 'no configuration has been received yet')
     if (this._findRecord(instance) === undefined) return refusal('unknown-instance', `there is no instance named ${instance}`)
     return this._compileDocument({ ...current, draining: [...new Set([...current.draining, instance])] })
@@ -107,7 +107,7 @@
   private _compileDocument (next: Configuration): OperatorAnswer {
     const checked = checkConfiguration(next)
     if ('failure' in checked) return refusal('invalid', checked.failure.detail)
-    const madeFrom = this._parts.spread.revision('configuration')
+    const madeFrom = this._dependencies.spread.revision('configuration')
     const body = JSON.stringify({ madeFrom, document: checked.value })
     return { status: 200, type: 'application/json', body }
   }
@@ -118,9 +118,9 @@
     const incarnation = command.incarnation ?? (await this._fetchStatus(record))?.incarnation
     if (incarnation === undefined) return refusal('unseen', `${command.instance} could not be reached`)
     const { lifecycle } = command
-    this._parts.log.info('order-given', { operator, instance: command.instance, incarnation, lifecycle })
+    this._dependencies.log.info('order-given', { operator, instance: command.instance, incarnation, lifecycle })
     try {
-      const { reply } = await this._parts.pool.call(record.address, { type: 'leave', incarnation, lifecycle, operator }, { timeout: REQUEST_TIMEOUT_MILLISECONDS })
+      const { reply } = await this._dependencies.pool.call(record.address, { type: 'leave', incarnation, lifecycle, operator }, { timeout: REQUEST_TIMEOUT_MILLISECONDS })
       if (reply.type === 'left') return textAnswer(200, formatPairs({ event: 'left', instance: command.instance, incarnation, lifecycle: reply.lifecycle }))
       return refusal(reply.type === 'refused' ? reply.reason : 'refused', reply.type === 'refused' ? reply.detail : 'unexpected reply')
     } catch {
@@ -145,10 +145,10 @@
   }
 
   private async _fetchStatus (record: InstanceRecord): Promise<ProcessStatus | undefined> {
-    const self = this._parts.self()
+    const self = this._dependencies.self()
     if (record.instance === self.instance) return self
     try {
-      const { reply } = await this._parts.pool.call(record.address, { type: 'status' }, { timeout: REQUEST_TIMEOUT_MILLISECONDS })
+      const { reply } = await this._dependencies.pool.call(record.address, { type: 'status' }, { timeout: REQUEST_TIMEOUT_MILLISECONDS })
       return reply.type === 'status' ? reply.status : undefined
     } catch {
       return undefined
@@ -156,7 +156,7 @@
   }
 
   private async _encodeHistograms (): Promise<OperatorAnswer> {
-    const series = await Promise.all(this._parts.histograms.all().map(async ({ measure, organisation, requestClass, histogram }) => {
+    const series = await Promise.all(this._dependencies.histograms.all().map(async ({ measure, organisation, requestClass, histogram }) => {
       return { measure, organisation, requestClass, histogram: await encodeHistogram(histogram) }
     }))
     return { status: 200, type: 'application/json', body: JSON.stringify(series) }
@@ -164,7 +164,7 @@
 
   private _authenticate (authorization: string | undefined): string | undefined {
     const given = /^Bearer (.+)$/i.exec(authorization ?? '')?.[1] ?? ''
-    for (const entry of this._parts.keys) {
+    for (const entry of this._dependencies.keys) {
       const colon = entry.indexOf(':')
       if (colon > 0 && sameSecret(given, entry.slice(colon + 1))) return entry.slice(0, colon)
     }
@@ -172,13 +172,13 @@
   }
 
   private _refuseOperator (request: IncomingMessage): OperatorAnswer {
-    this._parts.counters.add('operators_refused')
-    this._parts.log.warn('operator-refused', { remote: request.socket.remoteAddress ?? 'unknown' })
+    this._dependencies.counters.add('operators_refused')
+    this._dependencies.log.warn('operator-refused', { remote: request.socket.remoteAddress ?? 'unknown' })
     return textAnswer(403, formatPairs({ event: 'refused', reason: 'wrong-key' }))
   }
 
   private _findRecord (instance: string): InstanceRecord | undefined {
-    return this._parts.spread.instances.find(record => record.instance === instance)
+    return this._dependencies.spread.instances.find(record => record.instance === instance)
   }
 }
 
--- a/packages/node/src/lib/operator/report.ts
+++ b/packages/node/src/lib/operator/report.ts
@@ -11,7 +11,7 @@
 import type { Histogram } from 'hdr-histogram-js'
 import { mergeHistogram, newHistogram, percentileOf } from '../observe/histograms.js'
 import { formatPairs } from '../observe/log.js'
-import { askHttp } from '../platform/http-client.js'
+import { requestHttp } from '../platform/http-client.js'
 import { plotPercentiles, type PlotSeries } from './plot.js'
 
 interface EncodedSeries {
@@ -47,7 +47,7 @@
 }
 
 async function fetchHistograms (entry: string, key: string): Promise<EncodedSeries[]> {
-  const answer = await askHttp(entry, { path: '/operator/histograms', headers: { authorization: `Bearer ${key}` } })
+  const answer = await requestHttp(entry, { path: '/operator/histograms', headers: { authorization: `Bearer ${key}` } })
   if (answer.status !== 200) {
     process.stdout.write(`${formatPairs({ event: 'unseen', entry, status: answer.status })}\n`)
     return []
--- a/packages/node/src/lib/operator/watch.ts
+++ b/packages/node/src/lib/operator/watch.ts
@@ -10,7 +10,7 @@
 import { readFileSync } from 'node:fs'
 import { setTimeout as pause } from 'node:timers/promises'
 import { formatPairs } from '../observe/log.js'
-import { askHttp } from '../platform/http-client.js'
+import { requestHttp } from '../platform/http-client.js'
 
 const POLL_INTERVAL_MILLISECONDS = 500
 /** A rollout without progress for this long is reported as stuck, in milliseconds. */
@@ -52,7 +52,7 @@
 }
 
 async function fetchAgents (pool: string, entry: string, key: string): Promise<Row[]> {
-  const answer = await askHttp(entry, {
+  const answer = await requestHttp(entry, {
     method: 'POST', path: '/operator/ask?format=json', body: `show agents where pool = ${pool}`, headers: { authorization: `Bearer ${key}` }, timeout: 5_000
   })
   const lines = answer.body.toString('utf8').split('\n').filter(line => line.startsWith('{'))
--- a/packages/node/src/lib/own-daemons.ts
+++ b/packages/node/src/lib/own-daemons.ts
@@ -9,10 +9,10 @@
  */
 import { AgentProcess } from './agent/agent.js'
 import { EntryProcess } from './entry/entry.js'
-import type { DaemonMaker } from './run-daemon.js'
+import type { DaemonFactory } from './run-daemon.js'
 
 /** The factories of the daemons by role. */
-export const ownDaemonFactories: Record<'entry' | 'agent', DaemonMaker> = {
+export const ownDaemonFactories: Record<'entry' | 'agent', DaemonFactory> = {
   entry: (settings, log) => new EntryProcess(settings, log),
   agent: (settings, log, stop) => new AgentProcess(settings, log, stop)
 }
--- a/packages/node/src/lib/peer/connection.ts
+++ b/packages/node/src/lib/peer/connection.ts
@@ -81,7 +81,7 @@
    * Milliseconds since the last contact with the other side. Time during which this side paused reading does not count,
    * because the delay is then its own.
    */
-  silence (now: number): number {
+  timeSinceContact (now: number): number {
     return Math.max(0, now - Math.max(this._lastReceivedAt, this._pausedUntil))
   }
 
@@ -131,7 +131,7 @@
   }
 
   /** Sends a request without waiting for a reply. */
-  tell (request: PeerRequest): void {
+  notify (request: PeerRequest): void {
     this._write({ call: this._nextCallNumber++, request }, undefined)
   }
 
--- a/packages/node/src/lib/platform/http-client.ts
+++ b/packages/node/src/lib/platform/http-client.ts
@@ -20,7 +20,7 @@
 }
 
 /** A request and its limits. */
-export interface HttpQuestion {
+export interface HttpRequestOptions {
   readonly method?: string
   readonly path: string
   readonly headers?: OutgoingHttpHeaders
@@ -31,7 +31,7 @@
   readonly maxBytes?: number
   readonly signal?: AbortSignal
   /** Whether the connection is kept open for further requests; `true` by default. */
-  readonly keepConnection?: boolean
+  readonly keepAlive?: boolean
   /** Delays reading, so that the process does not exceed its share of the link. */
   readonly pacer?: ReadPacer
 }
@@ -46,9 +46,9 @@
  *
  * @throws DrumdriftError with a peer failure: `connection-lost`, `timed-out` or `oversized`.
  * @example
- * const answer = await askHttp('10.0.0.1:8500', { path: '/configuration' })
+ * const answer = await requestHttp('10.0.0.1:8500', { path: '/configuration' })
  */
-export async function askHttp (address: string, options: HttpQuestion): Promise<HttpAnswer> {
+export async function requestHttp (address: string, options: HttpRequestOptions): Promise<HttpAnswer> {
   const response = await openHttp(address, options)
   const body = await collect(response, options)
   return { status: response.statusCode ?? 0, headers: response.headers, body }
@@ -59,9 +59,9 @@
  *
  * @throws DrumdriftError with a peer failure.
  */
-export function openHttp (address: string, options: HttpQuestion): Promise<IncomingMessage> {
+export function openHttp (address: string, options: HttpRequestOptions): Promise<IncomingMessage> {
   const { host, port } = parseAddress(address)
-  const { method = 'GET', path, headers = {}, body, timeout = DEFAULT_TIMEOUT, signal, keepConnection = true } = options
+  const { method = 'GET', path, headers = {}, body, timeout = DEFAULT_TIMEOUT, signal, keepAlive: keepConnection = true } = options
   return new Promise((resolve, reject) => {
     const outgoing = request({ host, port, method, path, headers, agent: keepConnection ? connections : false, timeout, signal }, resolve)
     outgoing.on('timeout', () => outgoing.destroy(httpError('timed-out', `${method} ${path}: no answer within ${timeout} ms`)))
@@ -70,7 +70,7 @@
   })
 }
 
-function collect (response: IncomingMessage, { maxBytes = MAX_ANSWER_BYTES, pacer }: HttpQuestion): Promise<Buffer> {
+function collect (response: IncomingMessage, { maxBytes = MAX_ANSWER_BYTES, pacer }: HttpRequestOptions): Promise<Buffer> {
   return new Promise((resolve, reject) => {
     const buffers: Buffer[] = []
     let length = 0
--- a/packages/node/src/lib/platform/platform-client.ts
+++ b/packages/node/src/lib/platform/platform-client.ts
@@ -9,7 +9,7 @@
  */
 import type { Published, Topic } from '@drumdrift/core'
 import type { ReadPacer } from '../peer/connection.js'
-import { askHttp, type HttpAnswer } from './http-client.js'
+import { requestHttp, type HttpAnswer } from './http-client.js'
 
 /** A service of the platform that weights can be fetched from. */
 export type Upstream = 'store' | 'origin'
@@ -47,7 +47,7 @@
   async read (topic: Topic, after: number, watch: boolean): Promise<Published | 'unchanged' | 'unreachable'> {
     const wait = watch ? MAX_WATCH_WAIT : 0
     try {
-      const answer = await askHttp(this._addresses[topic], {
+      const answer = await requestHttp(this._addresses[topic], {
         path: `/${topic}?after=${after}&wait=${wait}`, timeout: READ_TIMEOUT + wait, maxBytes: MAX_DOCUMENT_BYTES
       })
       return readDocument(answer)
@@ -58,7 +58,7 @@
 
   async weights (upstream: Upstream, kind: 'chunks' | 'manifests', digest: string, timeout: number, signal?: AbortSignal): Promise<Buffer | undefined> {
     try {
-      const answer = await askHttp(this._addresses[upstream], { path: `/${kind}/${digest}`, timeout, signal, pacer: this._pacer })
+      const answer = await requestHttp(this._addresses[upstream], { path: `/${kind}/${digest}`, timeout, signal, pacer: this._pacer })
       return answer.status === 200 ? answer.body : undefined
     } catch {
       return undefined
--- a/packages/node/src/lib/routing/caller-answer.ts
+++ b/packages/node/src/lib/routing/caller-answer.ts
@@ -7,7 +7,7 @@
  * Writes the answer to a caller. A broken answer never looks complete to the caller.
  */
 import type { ServerResponse } from 'node:http'
-import type { AnswerHead, OwnAnswer } from './ports.js'
+import type { AnswerHead, LocalAnswer } from './ports.js'
 
 /** The answer to one request. */
 export class CallerAnswer {
@@ -68,7 +68,7 @@
   }
 
   /** Writes a failure that the system itself reports. If an answer has begun, closes its connection instead. */
-  fail ({ status, headers, body }: OwnAnswer): void {
+  fail ({ status, headers, body }: LocalAnswer): void {
     if (this._isOver()) return
     this._ended = true
     if (this._begun) {
--- a/packages/node/src/lib/routing/chunk-holdings.ts
+++ b/packages/node/src/lib/routing/chunk-holdings.ts
@@ -6,7 +6,7 @@
 /**
  * Announces the chunks that this agent holds to its followers, and follows the chunks held by peers that it may fetch from.
  */
-import { ChunkPlaces, failureOf, hash32, type ChunkMember } from '@drumdrift/core'
+import { ChunkAssignment, failureOf, hash32, type ChunkMember } from '@drumdrift/core'
 import type { Log } from '../observe/log.js'
 import type { PeerConnection, Responder } from '../peer/connection.js'
 import type { PeerPool } from '../peer/pool.js'
@@ -212,8 +212,8 @@
  * const peers = peersToFollow(self, members, 64)
  */
 export function peersToFollow (self: ChunkMember, members: readonly ChunkMember[], chunks: number): string[] {
-  const places = new ChunkPlaces(self, members)
-  const readers = new Set(Array.from({ length: chunks }, (_, chunk) => chunk).filter(chunk => places.turn(chunk).inZone === 0).map(chunk => places.reader(chunk)))
+  const places = new ChunkAssignment(self, members)
+  const readers = new Set(Array.from({ length: chunks }, (_, chunk) => chunk).filter(chunk => places.ranks(chunk).inZone === 0).map(chunk => places.originReader(chunk)))
   const zones = new Map<string, string[]>()
   for (const { instance, availabilityZone } of members) {
     if (instance === self.instance) continue
--- a/packages/node/src/lib/routing/connection-reserve.ts
+++ b/packages/node/src/lib/routing/connection-reserve.ts
@@ -37,7 +37,7 @@
    *
    * @param start The expected start of the endpoint: a connection to an earlier start is not usable.
    * @example
-   * const socket = reserve.take('10.0.0.7:8080', startOf(record)) ?? connect('10.0.0.7:8080')
+   * const socket = reserve.take('10.0.0.7:8080', startKeyOf(record)) ?? connect('10.0.0.7:8080')
    */
   take (address: string, start: string): Socket | undefined {
     const held = this._connections.get(address)
--- a/packages/node/src/lib/routing/packed-news.ts
+++ b/packages/node/src/lib/routing/delta-codec.ts
@@ -8,7 +8,7 @@
  * 360 KB as the store sends it and 25 KB encoded, which takes 7 ms of processor time.
  */
 import { deflateRawSync, inflateRawSync } from 'node:zlib'
-import { publishedTopics, type PublishedDelta, type PublishedNote, type PublishedState, type PublishedTopic } from '@drumdrift/core'
+import { publishedTopics, type PublishedDelta, type PublishedRevisions, type PublishedState, type PublishedTopic } from '@drumdrift/core'
 import { Encoder } from 'cbor-x'
 import { peerError } from '../peer/frame.js'
 
@@ -23,7 +23,7 @@
  * Encodes a delta of published state.
  *
  * @example
- * responder.send({ type: 'news' }, encodeDelta(state.since(note, now)))
+ * responder.send({ type: 'news' }, encodeDelta(state.deltaSince(note, now)))
  */
 export function encodeDelta (delta: PublishedDelta): Buffer {
   return deflateRawSync(codec.encode(delta), { level: COMPRESSION_LEVEL })
@@ -61,10 +61,10 @@
   constructor (private readonly _state: PublishedState) {}
 
   /** Returns the encoded changes since the revisions in `note`. */
-  since (note: PublishedNote, topics: readonly PublishedTopic[] | undefined, now: number): Buffer {
-    const key = JSON.stringify([this._state.edition, note, topics])
+  since (note: PublishedRevisions, topics: readonly PublishedTopic[] | undefined, now: number): Buffer {
+    const key = JSON.stringify([this._state.changeCount, note, topics])
     if (this._last?.key === key) return this._last.encoded
-    const encoded = encodeDelta(this._state.since(note, now, topics))
+    const encoded = encodeDelta(this._state.deltaSince(note, now, topics))
     this._last = { key, encoded }
     return encoded
   }
--- a/packages/node/src/lib/routing/endpoint-attempt.ts
+++ b/packages/node/src/lib/routing/endpoint-attempt.ts
@@ -8,7 +8,7 @@
  * `AttemptEnd`, from which the next step is decided.
  */
 import type { IncomingMessage } from 'node:http'
-import { LEAST_UNSUCCESSFUL_STATUS, type AttemptEnd, type Choice } from '@drumdrift/core'
+import { MIN_UNSUCCESSFUL_STATUS, type AttemptEnd, type ChosenEndpoint } from '@drumdrift/core'
 import { EndpointCall, type EndpointCallEnd, type EndpointRequest } from './endpoint-call.js'
 import type { AnswerHead, EndpointHead } from './ports.js'
 import type { StreamProgress } from './stream-progress.js'
@@ -26,7 +26,7 @@
 
 /** The parameters of an attempt. */
 export interface AttemptPlan {
-  readonly choice: Choice
+  readonly choice: ChosenEndpoint
   readonly request: EndpointRequest
   /** The events of the answer that have arrived, over all attempts of the request. */
   readonly progress: StreamProgress
@@ -45,7 +45,7 @@
 
 /** An attempt in progress. */
 export class EndpointAttempt {
-  readonly choice: Choice
+  readonly choice: ChosenEndpoint
   readonly sentAt = performance.now()
   private readonly _call: EndpointCall
   private readonly _bodyParts: Buffer[] = []
@@ -134,7 +134,7 @@
     const { status } = head
     // A success without a length or chunked encoding looks complete even if its endpoint crashed midway, so it is never trusted:
     // for the caller, a truncated answer that looks complete is worse than none.
-    if (!framed && status < LEAST_UNSUCCESSFUL_STATUS) return { type: 'broken', connection: 'lost', detail: 'the answer has no declared length and ended when its connection closed' }
+    if (!framed && status < MIN_UNSUCCESSFUL_STATUS) return { type: 'broken', connection: 'lost', detail: 'the answer has no declared length and ended when its connection closed' }
     const stream = isStream(head)
     if (stream && this._plan.progress.withinEvent) return { type: 'broken', connection: 'open', detail: 'the stream ended in the middle of an event' }
     return { type: 'answered', status, stream }
@@ -143,5 +143,5 @@
 
 /** Only successes are streamed to callers; rejections and failures are passed on as one answer. */
 function isStream ({ eventStream, status }: AnswerHead): boolean {
-  return eventStream && status < LEAST_UNSUCCESSFUL_STATUS
+  return eventStream && status < MIN_UNSUCCESSFUL_STATUS
 }
--- a/packages/node/src/lib/routing/engine-switcher.ts
+++ b/packages/node/src/lib/routing/engine-switcher.ts
@@ -8,7 +8,7 @@
  * version switch decides to.
  */
 import {
-  readRate, UnreadTokens, usualWriteTime, VersionSwitch, type LoadReport, type ModelVersion, type PoolDescription, type SwitchTurn, type SwitchView
+  prefillRate, UnreadTokenEstimator, typicalGenerationTime, VersionSwitch, type LoadReport, type ModelVersion, type PoolDescription, type SwitchPosition, type SwitchView
 } from '@drumdrift/core'
 import type { Log } from '../observe/log.js'
 import type { Counters } from '../observe/metrics.js'
@@ -24,7 +24,7 @@
 }
 
 /** Dependencies and settings of an {@link EngineSwitcher}. */
-export interface EngineSwitcherParts {
+export interface EngineSwitcherDependencies {
   readonly engine: LoadableEngine
   readonly log: Log
   readonly counters: Counters
@@ -32,7 +32,7 @@
   readonly versionBound: number
   readonly situation: () => SwitchSituation
   /** The engine's position in the switch order of its zone. It is costly, so it is computed only where the decision depends on it. */
-  readonly turn: () => SwitchTurn
+  readonly turn: () => SwitchPosition
   /** Verifies the staged version again; returns `false` if chunks are missing or corrupt. */
   readonly confirmWhole: () => Promise<boolean>
   readonly onLoad: (load: LoadReport) => void
@@ -68,7 +68,7 @@
 export class EngineSwitcher {
   private _switch: VersionSwitch
   private readonly _timer: NodeJS.Timeout
-  private _unread = new UnreadTokens()
+  private _unread = new UnreadTokenEstimator()
   private _report: EngineReport | undefined
   private _polling = false
   private _ticks = 0
@@ -78,7 +78,7 @@
   /** Start time of the engine, as last reported. */
   private _engineStart: number | undefined
 
-  constructor (private readonly _parts: EngineSwitcherParts) {
+  constructor (private readonly _dependencies: EngineSwitcherDependencies) {
     this._switch = this._newSwitch()
     this._timer = setInterval(() => { this._tick() }, POLL_INTERVAL)
   }
@@ -103,7 +103,7 @@
   }
 
   private get _busy (): boolean {
-    const slots = this._parts.pool()?.slots ?? Infinity
+    const slots = this._dependencies.pool()?.slots ?? Infinity
     return this._report !== undefined && this._report.running + this._report.waiting >= LIGHT_LOAD_SHARE * slots
   }
 
@@ -118,14 +118,14 @@
     this._polling = true
     try {
       const before = this._report
-      this._report = await this._parts.engine.report()
+      this._report = await this._dependencies.engine.report()
       this._updateReachability()
       this._detectRestart(before)
       this._logVersionChange(before)
       this._publishLoad()
       if (!this._switchDue) return
       this._switchDue = false
-      this._parts.onPolled()
+      this._dependencies.onPolled()
       await this._stepSwitch()
     } finally {
       this._polling = false
@@ -136,42 +136,42 @@
     const reachable = this._report !== undefined
     if (reachable === this._reachable) return
     this._reachable = reachable
-    if (reachable) this._parts.log.info('engine-regained')
-    else this._parts.log.warn('engine-lost')
+    if (reachable) this._dependencies.log.info('engine-regained')
+    else this._dependencies.log.warn('engine-lost')
   }
 
-  private _newSwitch (): VersionSwitch { return new VersionSwitch(this._parts.versionBound, SWITCH_LEAD) }
+  private _newSwitch (): VersionSwitch { return new VersionSwitch(this._dependencies.versionBound, SWITCH_LEAD) }
 
   /** Discards all state about the engine after it has restarted: its prompts, its orders and the contents of its staging area. */
   private _detectRestart (before: EngineReport | undefined): void {
     this._engineStart ??= before?.born ?? this._report?.born
     const born = this._report?.born
     if (born === undefined || born === this._engineStart) return
-    this._parts.log.info('engine-started-again', { born, before: this._engineStart })
+    this._dependencies.log.info('engine-started-again', { born, before: this._engineStart })
     this._engineStart = born
-    this._unread = new UnreadTokens()
+    this._unread = new UnreadTokenEstimator()
     this._switch = this._newSwitch()
-    this._parts.onEngineRestarted()
+    this._dependencies.onEngineRestarted()
   }
 
   private _logVersionChange (before: EngineReport | undefined): void {
-    const model = this._parts.situation().wanted?.model
+    const model = this._dependencies.situation().wanted?.model
     if (model === undefined || this._report === undefined) return
     const old = before?.models.find(held => held.model === model)?.version ?? 0
     const version = this.version(model)
-    if (version !== old) this._parts.log.info('engine-version', { model, version, before: old })
+    if (version !== old) this._dependencies.log.info('engine-version', { model, version, before: old })
   }
 
   private _view (): SwitchView | undefined {
-    const { wanted, heardAt, whole } = this._parts.situation()
+    const { wanted, heardAt, whole } = this._dependencies.situation()
     if (wanted === undefined) return undefined
     const identity = identityOf(wanted)
-    const { turn } = this._parts
+    const { turn } = this._dependencies
     return {
       wanted: wanted.version,
-      heardAt,
+      receivedAt: heardAt,
       whole: whole === identity ? wanted.version : 0,
-      wholeIn: this._parts.timeToWhole(),
+      wholeIn: this._dependencies.timeToWhole(),
       engine: this._report === undefined ? undefined : { version: this.version(wanted.model), busy: this._report.busy },
       // Lazy: computed on every poll, even without a version in transfer, it took 5% of the agents' work.
       get turn () { return turn() }
@@ -179,15 +179,15 @@
   }
 
   private _publishLoad (): void {
-    const { wanted } = this._parts.situation()
+    const { wanted } = this._dependencies.situation()
     const view = this._view()
     if (this._report === undefined || wanted === undefined || view === undefined) return
     const { running, waiting, busy, pace, born } = this._report
     const now = performance.now()
-    const unreadTokens = Math.round(this._unread.observe(this._report, readRate(this._parts.pool()), now))
+    const unreadTokens = Math.round(this._unread.observe(this._report, prefillRate(this._dependencies.pool()), now))
     const closesAt = this._switch.plannedAt(view, now)
     const closesIn = closesAt === undefined ? undefined : Math.max(0, Math.round(closesAt - now))
-    this._parts.onLoad({
+    this._dependencies.onLoad({
       born, running, waiting, unreadTokens, version: this.version(wanted.model), accepting: !busy && !this._ordering, pace, closesIn, opensIn: this._opensIn(this._report, wanted)
     })
   }
@@ -197,16 +197,16 @@
    * Returns `undefined` if it is already served or the estimate is not possible.
    */
   private _opensIn ({ running }: EngineReport, { model, version }: ModelVersion): number | undefined {
-    const pool = this._parts.pool()
-    const timeToWhole = this._parts.timeToWhole()
+    const pool = this._dependencies.pool()
+    const timeToWhole = this._dependencies.timeToWhole()
     if (pool === undefined || timeToWhole === undefined || this.version(model) >= version) return undefined
-    const finishTime = running > 0 ? usualWriteTime(pool, running) : 0
+    const finishTime = running > 0 ? typicalGenerationTime(pool, running) : 0
     const warmUp = pool.models.find(({ name }) => name === model)?.warmUp ?? 0
     return Math.round(timeToWhole + finishTime + warmUp)
   }
 
   private async _stepSwitch (): Promise<void> {
-    const { wanted, heardAt } = this._parts.situation()
+    const { wanted, heardAt } = this._dependencies.situation()
     const view = this._view()
     if (wanted === undefined || view === undefined) return
     const now = performance.now()
@@ -218,10 +218,10 @@
     this._ordering = true
     this._publishLoad()
     try {
-      const result = await this._parts.confirmWhole() ? await this._parts.engine.order(wanted) : 'not-whole'
+      const result = await this._dependencies.confirmWhole() ? await this._dependencies.engine.order(wanted) : 'not-whole'
       this._switch.answered(result, performance.now())
-      this._parts.counters.add(`orders_${result.replaceAll('-', '_')}`)
-      this._parts.log.info('engine-ordered', { model: wanted.model, version: wanted.version, why, result, since_named: age === undefined ? undefined : Math.round(age) })
+      this._dependencies.counters.add(`orders_${result.replaceAll('-', '_')}`)
+      this._dependencies.log.info('engine-ordered', { model: wanted.model, version: wanted.version, why, result, since_named: age === undefined ? undefined : Math.round(age) })
     } finally {
       this._ordering = false
     }
--- a/packages/node/src/lib/routing/epoch-log.ts
+++ b/packages/node/src/lib/routing/epoch-log.ts
@@ -4,7 +4,7 @@
  * SPDX-License-Identifier: BSD-3-Clause
  */
 /** Reports epoch changes of the store, and configurations in a restored store that are older than the held one, to the log and the metrics. */
-import type { PublishedChange, PublishedNote, PublishedState } from '@drumdrift/core'
+import type { PublishedChange, PublishedRevisions, PublishedState } from '@drumdrift/core'
 import type { Log } from '../observe/log.js'
 import type { Counters } from '../observe/metrics.js'
 
@@ -21,11 +21,11 @@
    * @example
    * epochs.reportEpochChange(before, response.upTo, 'store')
    */
-  reportEpochChange (before: PublishedNote, revision: number, by: string): void {
+  reportEpochChange (before: PublishedRevisions, revision: number, by: string): void {
     const { epoch } = this._state
     if (epoch === before.epoch) return
     this._counters.add('store_epoch', epoch - before.epoch)
-    if (!this._state.knows('configuration') && !this._state.knows('endpoints')) return
+    if (!this._state.hasFollowed('configuration') && !this._state.hasFollowed('endpoints')) return
     this._log.warn('epoch-began', { from: before.epoch, epoch, before: Math.max(before.configuration, before.versions, before.endpoints), revision, by })
   }
 
--- a/packages/node/src/lib/routing/load-follower.ts
+++ b/packages/node/src/lib/routing/load-follower.ts
@@ -111,7 +111,7 @@
   sendToSome (news: PeerRequest, agents = RELAY_FANOUT): void {
     const open = [...this._followed.values()].flatMap(({ connection }) => connection?.open === true ? [{ connection, order: Math.random() }] : [])
     open.sort((left, right) => left.order - right.order)
-    for (const { connection } of open.slice(0, agents)) connection.tell(news)
+    for (const { connection } of open.slice(0, agents)) connection.notify(news)
   }
 
   close (): void { clearInterval(this._timer) }
@@ -158,7 +158,7 @@
         },
         lost: () => this._onConnectionLost(agent, followed, 'connection-lost')
       })
-      for (const news of this._dependencies.initialMessages()) connection.tell(news)
+      for (const news of this._dependencies.initialMessages()) connection.notify(news)
     } catch (error) {
       const failure = failureOf(error)
       this._onConnectionLost(agent, followed, 'reason' in failure ? failure.reason : failure.type)
--- a/packages/node/src/lib/routing/load-publisher.ts
+++ b/packages/node/src/lib/routing/load-publisher.ts
@@ -7,7 +7,7 @@
  * Publishes the load of the agent's engine to the entries that follow it: at once if it has changed significantly since a follower's
  * last report, and otherwise with the answers to their pings, as a heartbeat.
  */
-import { isLoadNews, type LoadReport, type PeerReply } from '@drumdrift/core'
+import { shouldSendReport, type LoadReport, type PeerReply } from '@drumdrift/core'
 import type { PeerConnection, Responder } from '../peer/connection.js'
 
 /**
@@ -76,7 +76,7 @@
   }
 
   /** Records how many requests per millisecond a follower sends to the pool, and to how many engines. */
-  noteRate (connection: PeerConnection, sentRate: number, followed: number, now: number): void {
+  recordRate (connection: PeerConnection, sentRate: number, followed: number, now: number): void {
     const follower = this._followers.get(connection)
     if (follower === undefined) return
     follower.sentRate = sentRate
@@ -85,10 +85,10 @@
   }
 
   /** Sends a message to one follower. */
-  tellOne (reply: PeerReply, connection: PeerConnection): void { this._followers.get(connection)?.responder.send(reply) }
+  sendTo (reply: PeerReply, connection: PeerConnection): void { this._followers.get(connection)?.responder.send(reply) }
 
   /** Sends a message to all followers except one. */
-  tellOthers (reply: PeerReply, except: PeerConnection): void {
+  sendToOthers (reply: PeerReply, except: PeerConnection): void {
     for (const [connection, { responder }] of this._followers) if (connection !== except) responder.send(reply)
   }
 
@@ -105,7 +105,7 @@
   private _isDue ({ lastSent, lastSentAt }: Follower, load: LoadReport, now: number): boolean {
     const age = now - lastSentAt
     if (lastSent === undefined || age >= HEARTBEAT_INTERVAL) return true
-    return isLoadNews(load, { told: lastSent, age, ...this._engine() })
+    return shouldSendReport(load, { told: lastSent, age, ...this._engine() })
   }
 
   /** The request rate of all reachable followers to this engine, and the number of entries: see `LoadReport`. */
--- a/packages/node/src/lib/routing/peer-news.ts
+++ b/packages/node/src/lib/routing/peer-state-queries.ts
@@ -8,10 +8,10 @@
 import type { Log } from '../observe/log.js'
 import type { Counters } from '../observe/metrics.js'
 import type { PeerPool } from '../peer/pool.js'
-import { decodeDelta } from './packed-news.js'
+import { decodeDelta } from './delta-codec.js'
 
 /** Dependencies and settings of the queries to peers. */
-export interface PeerNewsParts {
+export interface PeerStateQueriesDependencies {
   readonly state: PublishedState
   readonly pool: PeerPool
   readonly log: Log
@@ -27,14 +27,14 @@
 const FULL_STATE_TIMEOUT = 2_000
 
 /** Queries the peers of one process. */
-export class PeerNews {
+export class PeerStateQueries {
   private _querying = false
 
-  constructor (private readonly _parts: PeerNewsParts) {}
+  constructor (private readonly _dependencies: PeerStateQueriesDependencies) {}
 
   /** Queries a random peer, unless a query is in flight. */
   async query (): Promise<void> {
-    const addresses = this._parts.peers()
+    const addresses = this._dependencies.peers()
     const address = addresses[Math.floor(Math.random() * addresses.length)]
     if (address === undefined || this._querying) return
     this._querying = true
@@ -46,7 +46,7 @@
   }
 
   private async _queryPeer (address: string): Promise<void> {
-    const { state, pool, log, counters, onDelta } = this._parts
+    const { state, pool, log, counters, onDelta } = this._dependencies
     const sentAt = performance.now()
     counters.add('peer_news_asked')
     try {
--- a/packages/node/src/lib/routing/ports.ts
+++ b/packages/node/src/lib/routing/ports.ts
@@ -120,7 +120,7 @@
 export type AnswerHead = Extract<EndpointHead, { type: 'answer' }>
 
 /** An answer that the entry gives itself. */
-export interface OwnAnswer {
+export interface LocalAnswer {
   readonly status: number
   readonly headers: readonly string[]
   readonly body: string
@@ -136,7 +136,7 @@
   readEndpoint (id: string, status: number, headers: IncomingHttpHeaders, rawHeaders: readonly string[]): EndpointHead
   /** Parses the endpoint's notices. They apply even if the answer belongs to another request or to none. */
   readNotice (status: number, headers: IncomingHttpHeaders): EndpointNotice
-  writeFailure (id: string, failure: RequestFailure): OwnAnswer
+  writeFailure (id: string, failure: RequestFailure): LocalAnswer
 }
 
 /** The status of the engine of an agent. */
--- a/packages/node/src/lib/routing/published-feed.ts
+++ b/packages/node/src/lib/routing/published-feed.ts
@@ -7,12 +7,12 @@
  * Keeps published state up to date: watches the store, and queries peers while the store is unavailable.
  */
 import { setTimeout as pause } from 'node:timers/promises'
-import { PublishedState, StoreCursor, topicOf, type ModelVersion, type Place, type PublishedChange, type PublishedDelta, type PublishedTopic } from '@drumdrift/core'
+import { PublishedState, StoreCursor, topicOf, type ModelVersion, type EntryLocation, type PublishedChange, type PublishedDelta, type PublishedTopic } from '@drumdrift/core'
 import type { Log } from '../observe/log.js'
 import type { Counters } from '../observe/metrics.js'
 import type { PeerPool } from '../peer/pool.js'
 import { EpochLog } from './epoch-log.js'
-import { PeerNews } from './peer-news.js'
+import { PeerStateQueries } from './peer-state-queries.js'
 import { RefusedDocuments } from './refused-documents.js'
 import { RelayFollower, waitUntil } from './relay-follower.js'
 import { topicsOfScope, type HistoryLost, type PublishedStore, type ReadFreshness, type StoreAnswer, type StoreChanges, type StoreFailure, type StoreScope } from './ports.js'
@@ -35,13 +35,13 @@
 export interface Relays {
   /** Addresses of the relays; empty for a process that is itself a relay. */
   readonly addresses: readonly string[]
-  readonly place: Place
+  readonly place: EntryLocation
   /** Topics whose changes are fetched as soon as a relay has them. */
   readonly topics: () => readonly PublishedTopic[]
 }
 
 /** Dependencies and settings of a {@link PublishedFeed}. */
-export interface PublishedFeedParts {
+export interface PublishedFeedDependencies {
   readonly store: PublishedStore
   readonly pool: PeerPool
   readonly log: Log
@@ -94,24 +94,24 @@
   private readonly _refreshing = new Set<StoreScope>()
   private readonly _refusedDocuments: RefusedDocuments
   private readonly _epochs: EpochLog
-  private readonly _peerNews: PeerNews
+  private readonly _peerQueries: PeerStateQueries
   private _lastFailureAt = -Infinity
   private _closed = false
 
-  constructor (private readonly _parts: PublishedFeedParts) {
+  constructor (private readonly _dependencies: PublishedFeedDependencies) {
     this._peerTimer = setInterval(() => { this._tick() }, PEER_QUERY_INTERVAL)
-    const { pool, log, counters, peers, relays: { addresses, place, topics } } = _parts
+    const { pool, log, counters, peers, relays: { addresses, place, topics } } = _dependencies
     const onDelta = (address: string, delta: PublishedDelta, took: number): void => { if (!this._closed) this._applyPeerDelta(address, delta, took) }
     this._refusedDocuments = new RefusedDocuments(log, counters)
     this._epochs = new EpochLog(this.state, log, counters)
-    this._peerNews = new PeerNews({ state: this.state, pool, log, counters, peers, onDelta })
+    this._peerQueries = new PeerStateQueries({ state: this.state, pool, log, counters, peers, onDelta })
     this._relays = new RelayFollower({ relays: addresses, place, pool, log, counters, state: this.state, topics, onDelta })
   }
 
   /** Starts following the watched scopes in the background. */
   start (): void {
     this._relays.start()
-    for (const watch of this._parts.watches) this._follow(watch)
+    for (const watch of this._dependencies.watches) this._follow(watch)
   }
 
   close (): void {
@@ -168,7 +168,7 @@
 
   /** During startup, waits for a relay to deliver the full state. */
   private async _awaitRelayState (scope: StoreScope): Promise<void> {
-    if (this._parts.relays.addresses.length === 0) return
+    if (this._dependencies.relays.addresses.length === 0) return
     await waitUntil(() => this._closed || this._followed(scope) > 0, this._startedAt + STARTUP_RELAY_TIMEOUT - performance.now(), STARTUP_POLL_INTERVAL)
   }
 
@@ -188,7 +188,7 @@
     while (!this._closed) {
       if (relayed && this._relays.followsStore) {
         await this._deferToRelays(scope)
-        cursor.caughtUp()
+        cursor.markCaughtUp()
         pausedAt = undefined
         continue
       }
@@ -207,7 +207,7 @@
       }
       backoff = MIN_BACKOFF
       if (response.type === 'history-lost' || verdict === 'read-whole') {
-        this._parts.log.warn('history-lost', { scope, revision: cursor.followed, epoch: this.state.epoch, told: response.epoch })
+        this._dependencies.log.warn('history-lost', { scope, revision: cursor.followed, epoch: this.state.epoch, told: response.epoch })
         this._scopesFromStore.delete(scope)
         // All processes lose the history at the same time; a relay rereads the full state within a few hundred milliseconds.
         if (relayed) await waitUntil(() => this._closed || this._relays.followsStore, STARTUP_RELAY_TIMEOUT, STARTUP_POLL_INTERVAL)
@@ -224,13 +224,13 @@
   }
 
   private async _read (scope: StoreScope, freshness: ReadFreshness): Promise<StoreChanges | StoreFailure> {
-    this._parts.counters.add('store_reads')
-    return await this._parts.store.readWhole(scope, freshness)
+    this._dependencies.counters.add('store_reads')
+    return await this._dependencies.store.readWhole(scope, freshness)
   }
 
   private async _watch (watch: Watch): Promise<StoreChanges | HistoryLost | StoreFailure> {
-    this._parts.counters.add('store_watches')
-    return await this._parts.store.awaitChanges(watch.scope, this._followed(watch.scope), this._watchWait(watch))
+    this._dependencies.counters.add('store_watches')
+    return await this._dependencies.store.awaitChanges(watch.scope, this._followed(watch.scope), this._watchWait(watch))
   }
 
   /** Turns a response from an epoch before the current one into a failure: its contents may have been lost since. */
@@ -253,12 +253,12 @@
   private _applySnapshot (scope: StoreScope, response: StoreChanges, sentAt: number): void {
     const now = performance.now()
     const before = this.state.note
-    if (response.epoch !== undefined) this.state.enter(response.epoch, now)
+    if (response.epoch !== undefined) this.state.enterEpoch(response.epoch, now)
     this._epochs.reportEpochChange(before, response.upTo, 'store')
     this._epochs.reportOlderConfigurations(response.changes)
-    const changes = topicsOfScope[scope].flatMap(topic => this.state.takeWhole(topic, response.changes.filter(change => topicOf(change) === topic), response.upTo, now))
+    const changes = topicsOfScope[scope].flatMap(topic => this.state.takeSnapshot(topic, response.changes.filter(change => topicOf(change) === topic), response.upTo, now))
     this._recordRefused(response)
-    this._parts.log.info('published-read', { scope, epoch: this.state.epoch, revision: response.upTo, items: response.changes.length, news: changes.length, took: Math.round(now - sentAt), bytes: response.bytes })
+    this._dependencies.log.info('published-read', { scope, epoch: this.state.epoch, revision: response.upTo, items: response.changes.length, news: changes.length, took: Math.round(now - sentAt), bytes: response.bytes })
     this._emitChanges(changes)
   }
 
@@ -275,19 +275,19 @@
   }
 
   private _emitChanges (changes: readonly PublishedChange[]): void {
-    if (changes.length > 0) this._parts.onChanges(changes)
+    if (changes.length > 0) this._dependencies.onChanges(changes)
   }
 
   private _onCallFailed (scope: StoreScope, failure: StoreFailure, sentAt: number): void {
     const now = performance.now()
     this._scopesFromStore.delete(scope)
-    this._parts.counters.add('store_failures')
-    this._parts.counters.add(`store_failures_${failure.reason.replaceAll('-', '_')}`)
-    this._parts.log.debug('store-call-failed', { scope, reason: failure.reason, took: Math.round(now - sentAt), complete: this.state.complete })
+    this._dependencies.counters.add('store_failures')
+    this._dependencies.counters.add(`store_failures_${failure.reason.replaceAll('-', '_')}`)
+    this._dependencies.log.debug('store-call-failed', { scope, reason: failure.reason, took: Math.round(now - sentAt), complete: this.state.complete })
     this._lastFailureAt = now
     if (!this._failing.has(scope)) {
       this._failing.set(scope, now)
-      this._parts.log.warn('store-lost', { scope, reason: failure.reason, detail: failure.detail, revision: this._followed(scope) })
+      this._dependencies.log.warn('store-lost', { scope, reason: failure.reason, detail: failure.detail, revision: this._followed(scope) })
     }
     // A relay that still follows the store shows that the store is up: records then do not expire, and removals are real.
     if (!this._relays.followsStore) this.state.storeLost()
@@ -298,15 +298,15 @@
     if (since === undefined) return
     const now = performance.now()
     this._failing.delete(scope)
-    this._parts.log.info('store-regained', { scope, away: Math.round(now - since) })
+    this._dependencies.log.info('store-regained', { scope, away: Math.round(now - since) })
     if (this.storeAvailable) this.state.storeRegained(now, upTo)
   }
 
   private _tick (): void {
     this._emitChanges(this.state.expire(performance.now()))
-    const awaitingRelays = this._parts.relays.addresses.length > 0 && performance.now() - this._startedAt < STARTUP_RELAY_TIMEOUT
+    const awaitingRelays = this._dependencies.relays.addresses.length > 0 && performance.now() - this._startedAt < STARTUP_RELAY_TIMEOUT
     const incomplete = !this.storeAvailable || !this.state.complete
-    if (incomplete && !awaitingRelays) this._peerNews.query()
+    if (incomplete && !awaitingRelays) this._peerQueries.query()
   }
 
   private _applyPeerDelta (address: string, delta: PublishedDelta, took: number): void {
@@ -315,7 +315,7 @@
     const { configuration, versions, endpoints } = delta.upTo
     this._epochs.reportEpochChange(before, Math.max(configuration, versions, endpoints), address)
     if (changes.length === 0) return
-    this._parts.log.info('published-from-peer', { address, epoch: this.state.epoch, news: changes.length, configuration, endpoints, took })
+    this._dependencies.log.info('published-from-peer', { address, epoch: this.state.epoch, news: changes.length, configuration, endpoints, took })
     this._emitChanges(changes)
   }
 }
--- a/packages/node/src/lib/routing/published-readings.ts
+++ b/packages/node/src/lib/routing/published-state-poller.ts
@@ -24,7 +24,7 @@
 const ENDPOINTS_READ_INTERVAL = 2_000
 
 /** Callbacks that control an agent's reads. */
-export interface PublishedReadingsParts {
+export interface PublishedStatePollerDependencies {
   /** Whether a transfer is in progress or due. */
   readonly needsMembers: () => boolean
   /**
@@ -35,13 +35,13 @@
 }
 
 /** Reads published state for one agent. */
-export class PublishedReadings {
+export class PublishedStatePoller {
   private _timer: NodeJS.Timeout | undefined
   private _endpointsReadAt = -Infinity
   private _configurationReadAt = -Infinity
   private _versionsReadAt = -Infinity
 
-  constructor (private readonly _feed: PublishedFeed, private readonly _parts: PublishedReadingsParts) {}
+  constructor (private readonly _feed: PublishedFeed, private readonly _dependencies: PublishedStatePollerDependencies) {}
 
   start (): void {
     this._timer = setInterval(() => { this._readDue() }, CHECK_INTERVAL)
@@ -67,15 +67,15 @@
   }
 
   private async _readVersions (now: number): Promise<void> {
-    const known = this._feed.state.knows('versions')
+    const known = this._feed.state.hasFollowed('versions')
     if (now - this._versionsReadAt < (known ? VERSIONS_READ_INTERVAL : INITIAL_READ_INTERVAL)) return
     this._versionsReadAt = now
     await this._feed.refresh('versions')
-    if (!known) this._parts.onFirstVersionsRead()
+    if (!known) this._dependencies.onFirstVersionsRead()
   }
 
   private async _readMembers (now: number): Promise<void> {
-    const needed = !this._feed.state.knows('endpoints') || this._parts.needsMembers()
+    const needed = !this._feed.state.hasFollowed('endpoints') || this._dependencies.needsMembers()
     if (!needed || now - this._endpointsReadAt < ENDPOINTS_READ_INTERVAL) return
     this._endpointsReadAt = now
     await this._feed.refresh('endpoints')
--- a/packages/node/src/lib/routing/news-relay.ts
+++ b/packages/node/src/lib/routing/published-state-relay.ts
@@ -9,7 +9,7 @@
  */
 import type { PeerRequest, RelayNote } from '@drumdrift/core'
 import type { PeerConnection, Responder } from '../peer/connection.js'
-import { DeltaEncoder } from './packed-news.js'
+import { DeltaEncoder } from './delta-codec.js'
 import type { PublishedFeed } from './published-feed.js'
 
 /** Maximum interval between messages to a follower, in milliseconds. */
@@ -18,7 +18,7 @@
 const ANNOUNCE_INTERVAL = 50
 
 /** Announces the published state that one process holds, and serves it to peers. */
-export class NewsRelay {
+export class PublishedStateRelay {
   private readonly _followers = new Map<PeerConnection, Responder>()
   private readonly _encoder: DeltaEncoder
   /** Set once there is a first follower. */
--- a/packages/node/src/lib/routing/regions.ts
+++ b/packages/node/src/lib/routing/regions.ts
@@ -4,7 +4,7 @@
  * SPDX-License-Identifier: BSD-3-Clause
  */
 /** Reads the regions of availability zones from the settings. */
-import type { Place } from '@drumdrift/core'
+import type { EntryLocation } from '@drumdrift/core'
 import type { Settings } from '../settings/settings.js'
 
 /**
@@ -13,7 +13,7 @@
  * @example
  * const chooser = new EndpointChooser(placeOf(settings))
  */
-export function placeOf (settings: Settings): Place {
+export function placeOf (settings: Settings): EntryLocation {
   const regions = new Map(settings.list('platform', 'regions').map(pair => {
     const [zone = '', region = zone] = pair.split(':')
     return [zone, region] as const
--- a/packages/node/src/lib/routing/relay-follower.ts
+++ b/packages/node/src/lib/routing/relay-follower.ts
@@ -8,17 +8,17 @@
  * need not read the store. The relays are the seeds listed in the settings.
  */
 import { setTimeout as pause } from 'node:timers/promises'
-import { failureOf, RelayBook, type Place, type PublishedDelta, type PublishedState, type PublishedTopic } from '@drumdrift/core'
+import { failureOf, RelayRegistry, type EntryLocation, type PublishedDelta, type PublishedState, type PublishedTopic } from '@drumdrift/core'
 import type { Log } from '../observe/log.js'
 import type { Counters } from '../observe/metrics.js'
 import type { PeerConnection } from '../peer/connection.js'
 import type { PeerPool } from '../peer/pool.js'
-import { decodeDelta } from './packed-news.js'
+import { decodeDelta } from './delta-codec.js'
 
 /** Dependencies and settings of a {@link RelayFollower}. */
-export interface RelayFollowerParts {
+export interface RelayFollowerDependencies {
   readonly relays: readonly string[]
-  readonly place: Place
+  readonly place: EntryLocation
   readonly pool: PeerPool
   readonly log: Log
   readonly counters: Counters
@@ -57,15 +57,15 @@
 
 /** Follows the relays of one process. */
 export class RelayFollower {
-  private readonly _book: RelayBook
+  private readonly _book: RelayRegistry
   private readonly _relays = new Map<string, RelayState>()
   private _timer: NodeJS.Timeout | undefined
   private _fetchStartedAt = -Infinity
   private _fetching = false
 
-  constructor (private readonly _parts: RelayFollowerParts) {
-    this._book = new RelayBook(_parts.place)
-    for (const relay of _parts.relays) this._relays.set(relay, { connecting: false, connection: undefined, receivedAt: 0, retryAt: 0, excludedUntil: 0 })
+  constructor (private readonly _dependencies: RelayFollowerDependencies) {
+    this._book = new RelayRegistry(_dependencies.place)
+    for (const relay of _dependencies.relays) this._relays.set(relay, { connecting: false, connection: undefined, receivedAt: 0, retryAt: 0, excludedUntil: 0 })
   }
 
   /** Starts following the relays in the background. */
@@ -76,7 +76,7 @@
   }
 
   /** Whether at least one connected relay currently follows the store. */
-  get followsStore (): boolean { return this._book.confirmed(this._parts.state.epoch, performance.now()) }
+  get followsStore (): boolean { return this._book.followsStore(this._dependencies.state.epoch, performance.now()) }
 
   close (): void { clearInterval(this._timer) }
 
@@ -87,7 +87,7 @@
    */
   async fetchState (topics: readonly PublishedTopic[]): Promise<boolean> {
     const now = performance.now()
-    const address = this._book.nearest(this._parts.state.epoch, this._excludedRelays(now), now)
+    const address = this._book.nearestRelay(this._dependencies.state.epoch, this._excludedRelays(now), now)
     return address !== undefined && await this._fetchFrom(address, topics)
   }
 
@@ -106,14 +106,14 @@
    * to the revision that the relay has followed.
    */
   private _advanceFollowed (now: number): void {
-    const { state } = this._parts
+    const { state } = this._dependencies
     const { held } = state
-    for (const topic of this._parts.topics()) state.followed(topic, this._book.followedBy(held, topic, now))
+    for (const topic of this._dependencies.topics()) state.followed(topic, this._book.followedRevision(held, topic, now))
   }
 
   private _fetchChanges (now: number): void {
-    const topics = this._parts.topics()
-    const address = this._book.ahead(this._parts.state.held, topics, this._excludedRelays(now), now)
+    const topics = this._dependencies.topics()
+    const address = this._book.relayAhead(this._dependencies.state.held, topics, this._excludedRelays(now), now)
     if (address !== undefined) this._fetchFrom(address, topics)
   }
 
@@ -125,16 +125,16 @@
     const sentAt = performance.now()
     this._fetching = true
     this._fetchStartedAt = sentAt
-    this._parts.counters.add('relay_news_asked')
+    this._dependencies.counters.add('relay_news_asked')
     try {
-      const { reply, payload } = await this._parts.pool.call(address, { type: 'news', note: this._parts.state.note, topics }, { timeout: this._parts.state.complete ? FETCH_TIMEOUT : FIRST_FETCH_TIMEOUT })
+      const { reply, payload } = await this._dependencies.pool.call(address, { type: 'news', note: this._dependencies.state.note, topics }, { timeout: this._dependencies.state.complete ? FETCH_TIMEOUT : FIRST_FETCH_TIMEOUT })
       if (reply.type !== 'news') return false
-      this._parts.counters.add('relay_news_bytes', payload.length)
-      this._parts.onDelta(address, decodeDelta(payload), Math.round(performance.now() - sentAt))
+      this._dependencies.counters.add('relay_news_bytes', payload.length)
+      this._dependencies.onDelta(address, decodeDelta(payload), Math.round(performance.now() - sentAt))
       return true
     } catch (error) {
-      this._parts.counters.add('relay_news_failures')
-      this._parts.log.warn('relay-silent', { address, reason: failureOf(error).type, took: Math.round(performance.now() - sentAt) })
+      this._dependencies.counters.add('relay_news_failures')
+      this._dependencies.log.warn('relay-silent', { address, reason: failureOf(error).type, took: Math.round(performance.now() - sentAt) })
       const relay = this._relays.get(address)
       if (relay !== undefined) relay.excludedUntil = performance.now() + EXCLUSION_TIME
       return false
@@ -146,20 +146,20 @@
   private async _connect (address: string, relay: RelayState): Promise<void> {
     relay.connecting = true
     try {
-      const connection = await this._parts.pool.connection(address, { patience: CONNECT_TIMEOUT })
+      const connection = await this._dependencies.pool.connection(address, { patience: CONNECT_TIMEOUT })
       relay.connection = connection
       relay.receivedAt = performance.now()
       connection.ask({ type: 'follow-news' }, undefined, {
         reply: reply => {
           if (reply.type !== 'news-note') return
           relay.receivedAt = performance.now()
-          this._book.heard(address, reply.note, relay.receivedAt)
+          this._book.recordNote(address, reply.note, relay.receivedAt)
           this._tick()
         },
         lost: () => this._onDisconnected(address, relay)
       })
     } catch (error) {
-      this._parts.log.debug('relay-unreachable', { address, reason: failureOf(error).type })
+      this._dependencies.log.debug('relay-unreachable', { address, reason: failureOf(error).type })
       this._onDisconnected(address, relay)
     } finally {
       relay.connecting = false
--- a/packages/node/src/lib/routing/request-record.ts
+++ b/packages/node/src/lib/routing/request-record.ts
@@ -4,7 +4,7 @@
  * SPDX-License-Identifier: BSD-3-Clause
  */
 /** Records one request for operators: log lines, counters, and latency histograms by organisation and route. */
-import type { AttemptEnd, Choice, NextStep, OrganisationDescription, RequestFailure, Route } from '@drumdrift/core'
+import type { AttemptEnd, ChosenEndpoint, NextAction, OrganisationDescription, RequestFailure, Route } from '@drumdrift/core'
 import type { Histograms } from '../observe/histograms.js'
 import type { Log } from '../observe/log.js'
 import type { Counters } from '../observe/metrics.js'
@@ -38,11 +38,11 @@
 export interface EndedAttempt {
   /** Counted from 1. */
   readonly number: number
-  readonly choice: Choice
+  readonly choice: ChosenEndpoint
   readonly end: AttemptEnd
   /** In milliseconds. */
   readonly took: number
-  readonly next: NextStep
+  readonly next: NextAction
   /** Set if the endpoint may have been lost while running the request: see `fingerprintOf`. */
   readonly fingerprint: string | undefined
 }
@@ -56,7 +56,7 @@
    *
    * @param spared Other endpoints that receive no requests because they asked for it, by reason.
    */
-  attemptSent (number: number, choice: Choice, remaining: number, resumeAfter: string | undefined, spared: string | undefined): void {
+  attemptSent (number: number, choice: ChosenEndpoint, remaining: number, resumeAfter: string | undefined, spared: string | undefined): void {
     const { head, route } = this._request
     const { record, expected, version, reportAge, roundTrip, candidates } = choice
     this._dependencies.counters.add('attempts')
--- a/packages/node/src/lib/routing/route-entry.ts
+++ b/packages/node/src/lib/routing/route-entry.ts
@@ -8,7 +8,7 @@
  * published state, follows the load of the engines, and routes requests.
  */
 import { setTimeout as pause } from 'node:timers/promises'
-import { ageOf, publishedTopics, RouteTable, type LoadReport, type PeerRequest, type PublishedChange, type RetryTerms } from '@drumdrift/core'
+import { ageOf, publishedTopics, RouteTable, type LoadReport, type PeerRequest, type PublishedChange, type RetryLimits } from '@drumdrift/core'
 import { Histograms } from '../observe/histograms.js'
 import type { Log } from '../observe/log.js'
 import { Counters } from '../observe/metrics.js'
@@ -22,7 +22,7 @@
 import { ConnectionReserve } from './connection-reserve.js'
 import { LoadFollower, type PingContent, type RelayedMessage } from './load-follower.js'
 import type { RoutingPlatform } from './ports.js'
-import { NewsRelay } from './news-relay.js'
+import { PublishedStateRelay } from './published-state-relay.js'
 import { NoticeExchange } from './notice-exchange.js'
 import { PublishedFeed, type Watch } from './published-feed.js'
 import { ReadinessServer } from './readiness-server.js'
@@ -69,7 +69,7 @@
   private readonly _pool: PeerPool
   private readonly _server: PeerServer
   private readonly _feed: PublishedFeed
-  private readonly _relay: NewsRelay
+  private readonly _relay: PublishedStateRelay
   private readonly _follower: LoadFollower
   private readonly _suspects: SuspectExchange
   private readonly _notices: NoticeExchange
@@ -109,7 +109,7 @@
       peers: () => this._peers(),
       onChanges: changes => this._applyChanges(changes)
     })
-    this._relay = new NewsRelay(this._feed, text('process', 'availability-zone'))
+    this._relay = new PublishedStateRelay(this._feed, text('process', 'availability-zone'))
     this._follower = new LoadFollower({
       pool: this._pool,
       log: _log,
@@ -241,7 +241,7 @@
 
   private _pingContent (agent: string, now: number): PingContent {
     const wanted = this._feed.state.wanted(this._units.modelOf(agent) ?? '')
-    const named = wanted?.heardAt === undefined ? undefined : { model: wanted.model, version: wanted.version, age: now - wanted.heardAt }
+    const named = wanted?.receivedAt === undefined ? undefined : { model: wanted.model, version: wanted.version, age: now - wanted.receivedAt }
     return { ...this._units.poolTraffic(agent, now), named }
   }
 
@@ -302,7 +302,7 @@
   }
 }
 
-function retryTermsOf (settings: Settings): RetryTerms {
+function retryTermsOf (settings: Settings): RetryLimits {
   const number = (key: string): number => settings.number('requests', key)
   return { ratio: number('retry-ratio'), slack: number('retry-slack'), window: number('retry-window-seconds') * 1000 }
 }
--- a/packages/node/src/lib/routing/routed-request.ts
+++ b/packages/node/src/lib/routing/routed-request.ts
@@ -9,7 +9,7 @@
 import type { IncomingMessage } from 'node:http'
 import type { Socket } from 'node:net'
 import {
-  AttemptCourse, decideStart, LEAST_FAILURE_STATUS, LEAST_UNSUCCESSFUL_STATUS, requestFailure, retryAfter, startOf, targetOf, type AttemptEnd, type Choice, type Need, type Opening, type RequestFailure
+  AttemptTracker, decideAdmission, MIN_FAILURE_STATUS, MIN_UNSUCCESSFUL_STATUS, requestFailure, retryAfter, startKeyOf, pickService, type AttemptEnd, type ChosenEndpoint, type EndpointRequirements, type PoolOpening, type RequestFailure
 } from '@drumdrift/core'
 import { avoidanceOf, healthOf, reasonOf } from './attempt-outcome.js'
 import type { CallerAnswer } from './caller-answer.js'
@@ -58,7 +58,7 @@
 
 /** The routing of one request, from its acceptance to its final answer. */
 export class RoutedRequest {
-  private readonly _course: AttemptCourse
+  private readonly _course: AttemptTracker
   private readonly _record: RequestRecord
   private readonly _tried = new Set<string>()
   private readonly _deadline: number
@@ -78,7 +78,7 @@
 
   constructor (private readonly _dependencies: RoutedRequestDependencies, private readonly _request: ReadRequest, private readonly _answer: CallerAnswer) {
     const { head, route, receivedAt } = _request
-    this._course = new AttemptCourse(route)
+    this._course = new AttemptTracker(route)
     this._record = new RequestRecord(_dependencies, _request)
     this._progress = new StreamProgress(head.lastEventId)
     this._deadline = receivedAt + Math.min(route.timeout, head.patience ?? route.timeout)
@@ -89,7 +89,7 @@
   /** Makes the first attempt, or refuses the request. */
   start (): void {
     const { route } = this._request
-    this._unit = this._dependencies.unit(targetOf(route, this._dependencies.random()))
+    this._unit = this._dependencies.unit(pickService(route, this._dependencies.random()))
     const now = performance.now()
     this._unit?.retries.requested(now)
     this._usualObjective = this._unit?.objective.observe(route.objective) ?? route.objective
@@ -97,7 +97,7 @@
     if (this._dependencies.suspects.standing(this._fingerprint(), now) === 'held-back') return this._refuseSuspect(now)
     const choice = this._choose(now)
     if (choice === undefined) return this._refuse('no-endpoint', `no endpoint of ${route.name} can take it`)
-    const decision = decideStart({ expected: choice.expectedOfUsual, objective: route.objective, usualObjective: this._usualObjective })
+    const decision = decideAdmission({ expected: choice.expectedOfUsual, objective: route.objective, usualObjective: this._usualObjective })
     if (decision.type === 'refuse') return this._refuse('overloaded', `the expected answer time of ${Math.round(choice.expected)} ms is too long`)
     this._send(choice, now)
   }
@@ -112,22 +112,22 @@
     return head.patience === undefined ? 0 : this._unit?.firstTries.elapsed(route.name, head.patience) ?? 0
   }
 
-  private _choose (now: number): Choice | undefined {
+  private _choose (now: number): ChosenEndpoint | undefined {
     const unit = this._unit
     return unit?.chooser.choose(unit.description, this._need(), now)
   }
 
-  private _need (): Need {
+  private _need (): EndpointRequirements {
     const { promptTokens, answerTokens, model } = this._request.head
     return {
       promptTokens, answerTokens, model, leastVersion: this._dependencies.minimumVersion(model), mustBeginBy: version => this._dependencies.mustBeginBy(model, version), usualObjective: this._usualObjective, tried: this._tried
     }
   }
 
-  private _send (choice: Choice, now: number): void {
+  private _send (choice: ChosenEndpoint, now: number): void {
     const { head, route } = this._request
     this._attempts += 1
-    this._tried.add(startOf(choice.record))
+    this._tried.add(startKeyOf(choice.record))
     this._progress.restart()
     const remaining = Math.max(1, Math.floor(this._deadline - now))
     const attempt = new EndpointAttempt({
@@ -150,18 +150,18 @@
    * An endpoint's notices apply whatever the outcome of its answer, unless another instance answers at its address. A foreign answer
    * that names no limit does not lift the current one, because an endpoint that sends corrupt answers may still be overloaded.
    */
-  private _readHead ({ statusCode = 0, headers, rawHeaders }: IncomingMessage, { record }: Choice, sentAt: number): EndpointHead {
+  private _readHead ({ statusCode = 0, headers, rawHeaders }: IncomingMessage, { record }: ChosenEndpoint, sentAt: number): EndpointHead {
     const { dialect, notices } = this._dependencies
     const endpointHead = dialect.readEndpoint(this._request.head.id, statusCode, headers, rawHeaders)
     const wrongInstance = endpointHead.type === 'not-run' && endpointHead.reason === 'wrong-instance'
     if (wrongInstance) return endpointHead
     const notice = dialect.readNotice(statusCode, headers)
     const limit = endpointHead.type === 'foreign' ? notice.limit ?? 'unsaid' : notice.limit
-    notices.recordNotice(startOf(record), { ...notice, limit }, sentAt, performance.now())
+    notices.recordNotice(startKeyOf(record), { ...notice, limit }, sentAt, performance.now())
     return endpointHead
   }
 
-  private _endpointRequest (choice: Choice, remaining: number): EndpointRequest {
+  private _endpointRequest (choice: ChosenEndpoint, remaining: number): EndpointRequest {
     const { head, method, path, body, organisation, route } = this._request
     const { record, version } = choice
     const terms = { endpoint: record, remaining, organisation: organisation?.name, version, resumeAfter: this._progress.lastEventId }
@@ -173,15 +173,15 @@
    * A connection that was opened in advance may have failed unnoticed. One is used only if the agent of the endpoint has reported
    * recently, and only for requests that may be retried elsewhere.
    */
-  private _takeReservedSocket ({ record, reportAge }: Choice): Socket | undefined {
+  private _takeReservedSocket ({ record, reportAge }: ChosenEndpoint): Socket | undefined {
     const usable = this._course.repeatable && reportAge <= FRESH_REPORT_AGE
-    return usable ? this._dependencies.reserve.take(record.address, startOf(record)) : undefined
+    return usable ? this._dependencies.reserve.take(record.address, startKeyOf(record)) : undefined
   }
 
   private _forwardEvents ({ choice }: EndpointAttempt, head: AnswerHead, events: Uint8Array): void {
     const now = performance.now()
-    this._dependencies.suspects.recordAlive(startOf(choice.record), now)
-    this._unit?.chooser.load(startOf(choice.record)).begun(this._request.head.id, choice.expected, now)
+    this._dependencies.suspects.recordAlive(startKeyOf(choice.record), now)
+    this._unit?.chooser.load(startKeyOf(choice.record)).begun(this._request.head.id, choice.expected, now)
     if (!this._answer.begun) this._record.firstEvent(now)
     this._answer.head(head)
     this._answer.data(events)
@@ -211,21 +211,21 @@
   private _updateChooser ({ choice, head, sentAt }: EndpointAttempt, end: AttemptEnd, now: number): void {
     const { chooser } = this._unit ?? {}
     if (chooser === undefined) return
-    const start = startOf(choice.record)
+    const start = startKeyOf(choice.record)
     // Failures don't count towards the response time of an endpoint: one at the deadline takes as long as the route allows. When they
     // did count, 40 of 684 plain requests in a day were refused because their endpoints were taken for slow.
-    if (end.type === 'answered' && end.status < LEAST_FAILURE_STATUS && head?.eventStream !== true) chooser.plainTook(start, now - sentAt, now)
-    if (end.type === 'not-run') chooser.avoid(start, avoidanceOf(end.reason), now)
+    if (end.type === 'answered' && end.status < MIN_FAILURE_STATUS && head?.eventStream !== true) chooser.recordPlainAnswer(start, now - sentAt, now)
+    if (end.type === 'not-run') chooser.skip(start, avoidanceOf(end.reason), now)
     chooser.ended(start, this._request.head.id, this._finished && end.type !== 'answered' ? 'unclear' : healthOf(end), now)
   }
 
   /** A rejection shows that the endpoint is alive too, unless it names another instance. */
   private _updateSuspects ({ choice }: EndpointAttempt, end: AttemptEnd, now: number): void {
     const { suspects } = this._dependencies
-    const start = startOf(choice.record)
+    const start = startKeyOf(choice.record)
     if (end.type === 'broken' && end.connection === 'lost') suspects.lost(this._fingerprint(), start, now)
     // An engine rejects at the deadline requests that it may not have begun, so only a success shows that it survived the request.
-    if (end.type === 'answered' && end.status < LEAST_UNSUCCESSFUL_STATUS) suspects.answered(this._fingerprint(), now)
+    if (end.type === 'answered' && end.status < MIN_UNSUCCESSFUL_STATUS) suspects.answered(this._fingerprint(), now)
     if (end.type === 'answered' || (end.type === 'not-run' && end.reason === 'full')) suspects.recordAlive(start, now)
   }
 
@@ -254,7 +254,7 @@
   private _refuse (code: 'overloaded' | 'no-endpoint', detail: string): void {
     const now = performance.now()
     const unit = this._unit
-    const opening: Opening = unit === undefined ? { type: 'unknown' } : unit.chooser.opening(unit.description, this._need(), now)
+    const opening: PoolOpening = unit === undefined ? { type: 'unknown' } : unit.chooser.opening(unit.description, this._need(), now)
     const excluded = formatExcludedCounts(unit, now)
     const opensIn = opening.type === 'expected' ? `, which opens in ${Math.round(opening.in)} ms` : ''
     const wait = retryAfter({ patience: Math.max(0, this._deadline - now), objective: this._objectiveDeadline - now }, this._dependencies.random(), opening)
--- a/packages/node/src/lib/routing/service-units.ts
+++ b/packages/node/src/lib/routing/service-units.ts
@@ -7,7 +7,7 @@
  * The services to which one entry routes, each with its endpoints and the entry's share of the retry budget. They follow the
  * published state.
  */
-import { EndpointChooser, type EndpointGate, enginesToFollow, FirstTries, FleetSize, isEarlierStart, RetryAllowance, startOf, UsualObjective, type EndpointRecord, type LoadReport, type Place, type PublishedState, type RetryTerms, type ServiceDescription, type ZoneOfAgents } from '@drumdrift/core'
+import { EndpointChooser, type EndpointGate, enginesToFollow, FirstTryEstimator, FleetSize, isEarlierStart, RetryAllowance, startKeyOf, UsualObjective, type EndpointRecord, type LoadReport, type EntryLocation, type PublishedState, type RetryLimits, type ServiceDescription, type AgentZone } from '@drumdrift/core'
 import { parseAddress } from '../settings/address.js'
 
 /** The routing state of one service at one entry. */
@@ -16,7 +16,7 @@
   readonly chooser: EndpointChooser
   readonly retries: RetryAllowance
   readonly objective: UsualObjective
-  readonly firstTries: FirstTries
+  readonly firstTries: FirstTryEstimator
 }
 
 /** The longest interval at which an agent polls its engine, in milliseconds: see the pauses of the engine switcher. */
@@ -42,7 +42,7 @@
    * @param _agentPort The port on which agents listen on their instances.
    * @param _gate Decides which endpoints may be sent requests, according to their notices.
    */
-  constructor (private readonly _self: string, private readonly _place: Place, private readonly _retryTerms: RetryTerms, private readonly _agentPort: number, private readonly _gate: EndpointGate) {}
+  constructor (private readonly _self: string, private readonly _place: EntryLocation, private readonly _retryTerms: RetryLimits, private readonly _agentPort: number, private readonly _gate: EndpointGate) {}
 
   /** Returns the estimated number of entries of the deployment, or `undefined` if no agent has reported yet. */
   entries (now: number): number | undefined { return this._fleet.estimate(now) }
@@ -80,7 +80,7 @@
 
   private _agentAddress ({ address }: EndpointRecord): string { return `${parseAddress(address).host}:${this._agentPort}` }
 
-  private _zones (): ZoneOfAgents[] {
+  private _zones (): AgentZone[] {
     const zones = new Map<string, { availabilityZone: string, listed: number, followed: number }>()
     for (const [agent, { record: { availabilityZone } }] of this._byAgent) {
       const zone = zones.get(availabilityZone) ?? { availabilityZone, listed: 0, followed: 0 }
@@ -93,13 +93,13 @@
 
   private _newUnit (description: ServiceDescription): ServiceUnit {
     const retries = new RetryAllowance(this._retryTerms, now => this.entries(now), performance.now())
-    return { description, chooser: new EndpointChooser(this._place, Math.random, this._gate), retries, objective: new UsualObjective(), firstTries: new FirstTries() }
+    return { description, chooser: new EndpointChooser(this._place, Math.random, this._gate), retries, objective: new UsualObjective(), firstTries: new FirstTryEstimator() }
   }
 
   /** Returns the rate of requests to the pool of an agent, per millisecond, and the number of engines that share them. */
   poolTraffic (agent: string, now: number): { readonly sentRate: number, readonly followed: number } {
     const chooser = this._units.get(this._byAgent.get(agent)?.service ?? '')?.chooser
-    return chooser === undefined ? { sentRate: 0, followed: 0 } : { sentRate: chooser.sentRate(now), followed: Math.max(1, chooser.heardCount(now)) }
+    return chooser === undefined ? { sentRate: 0, followed: 0 } : { sentRate: chooser.sentRate(now), followed: Math.max(1, chooser.reportingCount(now)) }
   }
 
   /** Returns the model that the pool of an agent serves, or `undefined` if it is not known. */
@@ -111,7 +111,7 @@
   /** Records that a round-trip measurement to an agent, and so to the engine on its instance, began or ended. */
   recordPing (agent: string, step: 'begun' | 'ended', now: number): void {
     const endpoint = this._byAgent.get(agent)
-    if (endpoint !== undefined) this._units.get(endpoint.service)?.chooser.measured(startOf(endpoint.record), step, now)
+    if (endpoint !== undefined) this._units.get(endpoint.service)?.chooser.measured(startKeyOf(endpoint.record), step, now)
   }
 
   /**
@@ -134,15 +134,15 @@
   lastProvenAlive (agent: string, { born }: LoadReport, now: number): { readonly start: string, readonly at: number } | undefined {
     const { record, service } = this._byAgent.get(agent) ?? {}
     if (record === undefined || record.born !== born) return undefined
-    const roundTrip = this._units.get(service ?? '')?.chooser.load(startOf(record)).longestRoundTrip(now) ?? 0
-    return { start: startOf(record), at: now - MAX_POLL_INTERVAL - roundTrip }
+    const roundTrip = this._units.get(service ?? '')?.chooser.load(startKeyOf(record)).longestRoundTrip(now) ?? 0
+    return { start: startKeyOf(record), at: now - MAX_POLL_INTERVAL - roundTrip }
   }
 
   /** Ignores a late report of an earlier start than the listed one. A report of a later start shows that the listed one has ended. */
   private _updateChooser ({ service, record }: AgentEndpoint, load: LoadReport, now: number): void {
     const chooser = this._units.get(service)?.chooser
     if (isEarlierStart(load.born, record.born)) return
-    if (isEarlierStart(record.born, load.born)) chooser?.avoid(startOf(record), 'wrong-instance', now)
-    else chooser?.heard(startOf(record), load, now)
+    if (isEarlierStart(record.born, load.born)) chooser?.skip(startKeyOf(record), 'wrong-instance', now)
+    else chooser?.heard(startKeyOf(record), load, now)
   }
 }
--- a/packages/node/src/lib/routing/suspect-exchange.ts
+++ b/packages/node/src/lib/routing/suspect-exchange.ts
@@ -7,7 +7,7 @@
  * Tracks requests that may crash endpoints, and shares what one entry knows of them with the other entries. Agents relay messages
  * that are new to them to all entries that follow them.
  */
-import { readSuspectNews, SuspectRequests, type Standing, type SuspectNews } from '@drumdrift/core'
+import { readSuspectNews, SuspectRequests, type SuspectStatus, type SuspectNews } from '@drumdrift/core'
 import type { Log } from '../observe/log.js'
 import type { Counters } from '../observe/metrics.js'
 
@@ -35,7 +35,7 @@
 
   close (): void { clearInterval(this._timer) }
 
-  standing (fingerprint: string, now: number): Standing { return this._suspects.standing(fingerprint, now) }
+  standing (fingerprint: string, now: number): SuspectStatus { return this._suspects.standing(fingerprint, now) }
 
   /** Returns the endpoints that were lost while running a request, and how long it is held back, in milliseconds. */
   evidence (fingerprint: string, now: number): { readonly lost: string[], readonly heldBackFor: number } {
@@ -81,7 +81,7 @@
     if (news.losses.length + news.answers.length > 0) this._dependencies.send(news)
   }
 
-  private _reportIfHeldBack (fingerprint: string, before: Standing, source: 'own' | 'told', now: number): void {
+  private _reportIfHeldBack (fingerprint: string, before: SuspectStatus, source: 'own' | 'told', now: number): void {
     if (before === 'held-back' || this.standing(fingerprint, now) !== 'held-back') return
     const { lost, heldBackFor } = this.evidence(fingerprint, now)
     this._dependencies.counters.add('requests_found_fatal')
--- a/packages/node/src/lib/routing/version-transfer.ts
+++ b/packages/node/src/lib/routing/version-transfer.ts
@@ -7,7 +7,7 @@
  * The transfer of one version to this instance: stores its chunks, follows which peers hold them, and runs the swarm that
  * fetches them.
  */
-import { ChunkSwarm, defaultSwarmPolicy, switchPlace, type ChunkMember, type Manifest, type SwarmLimit, type SwitchTurn } from '@drumdrift/core'
+import { ChunkSwarm, defaultSwarmPolicy, switchPosition, type ChunkMember, type Manifest, type SwarmLimit, type SwitchPosition } from '@drumdrift/core'
 import type { ChunkStore } from '../agent/chunk-store.js'
 import type { ChunkDigest } from '../agent/digest.js'
 import type { ChunkStaging } from '../agent/engine-client.js'
@@ -19,7 +19,7 @@
 import { HoldingsFollower } from './chunk-holdings.js'
 
 /** Dependencies and settings shared by all transfers of one agent. */
-export interface TransferParts {
+export interface VersionTransferDependencies {
   readonly self: ChunkMember
   readonly largestBytes: number
   readonly source: WeightsSource
@@ -57,12 +57,12 @@
    * @param store The chunk store on top of that staging area.
    * @param _capacity Capacity of the staging area in bytes; a larger version is not fetched.
    */
-  constructor (private readonly _parts: TransferParts, private readonly _staging: ChunkStaging, readonly store: ChunkStore, private readonly _capacity = Infinity) {
-    this._holdings = new HoldingsFollower(_parts.self, _parts.pool, _parts.log, {
+  constructor (private readonly _dependencies: VersionTransferDependencies, private readonly _staging: ChunkStaging, readonly store: ChunkStore, private readonly _capacity = Infinity) {
+    this._holdings = new HoldingsFollower(_dependencies.self, _dependencies.pool, _dependencies.log, {
       joined: peer => this._swarm?.peerJoined(peer),
       holds: (peer, { held, elsewhere }) => {
         this._swarm?.peerHolds(peer, held)
-        this._swarm?.heardOf(elsewhere, performance.now())
+        this._swarm?.peerReports(elsewhere, performance.now())
         this._detectFirstWholeInZone()
       },
       lost: peer => this._swarm?.peerLost(peer)
@@ -73,15 +73,15 @@
   /** The identity of the version in transfer or staged; empty for none. */
   get identity (): string { return this._keeper.wanted }
   /** Whether the version is complete and verified. */
-  get whole (): boolean { return this.identity !== '' && this._keeper.wholeDigest === this.identity }
+  get whole (): boolean { return this.identity !== '' && this._keeper.completeDigest === this.identity }
   /** The share of the version's chunks held by this instance, 0 to 1. */
   get progress (): number { return this._keeper.progress }
   /** The share of the version's chunks held by this instance or a peer, 0 to 1; 0 while the manifest is unknown. */
-  get known (): number { return this._keeper.currentManifest === undefined ? 0 : this._swarm?.known ?? 0 }
+  get known (): number { return this._keeper.currentManifest === undefined ? 0 : this._swarm?.availableShare ?? 0 }
   /** Bytes not yet received; 0 while the manifest is unknown. */
   get missingBytes (): number { return (1 - this.progress) * (this._keeper.currentManifest?.bytes ?? 0) }
   /** When the last chunk was received, on this process's clock; -Infinity for never. */
-  get lastChunkAt (): number { return this._swarm?.arrivedAt ?? -Infinity }
+  get lastChunkAt (): number { return this._swarm?.lastChunkAt ?? -Infinity }
 
   close (): void {
     this._keeper.close()
@@ -103,9 +103,9 @@
   }
 
   /** The position of this instance's engine in the switch order of its zone. */
-  get turn (): SwitchTurn {
-    const { self, members } = this._parts
-    return { ...switchPlace(self, this._swarm?.wholePeers ?? [], members(), this.identity), since: this._firstWholeInZoneAt ?? performance.now() }
+  get turn (): SwitchPosition {
+    const { self, members } = this._dependencies
+    return { ...switchPosition(self, this._swarm?.completePeers ?? [], members(), this.identity), firstCompleteAt: this._firstWholeInZoneAt ?? performance.now() }
   }
 
   /** Stops following peers, since the engine serves the version. */
@@ -115,7 +115,7 @@
 
   /** Applies a change of the member list. */
   membersChanged (): void {
-    this._keeper.membersChanged()
+    this._keeper.updateMembers()
     if (this._following && this._keeper.currentManifest !== undefined) this._follow(this.identity)
   }
 
@@ -139,15 +139,15 @@
   /** See `WeightsKeeper.manifest`. */
   manifest (identity: string, wait: number): Promise<Buffer | undefined> { return this._keeper.manifest(identity, wait) }
 
-  /** See `WeightsKeeper.confirmWhole`. */
-  confirmWhole (): Promise<boolean> { return this._keeper.confirmWhole() }
+  /** See `WeightsKeeper.confirmComplete`. */
+  confirmWhole (): Promise<boolean> { return this._keeper.confirmComplete() }
 
   private _newKeeper (): WeightsKeeper {
-    const { self, largestBytes, source, pool, log, counters, members, chunkDigest, manifestMatches } = this._parts
+    const { self, largestBytes, source, pool, log, counters, members, chunkDigest, manifestMatches } = this._dependencies
     return new WeightsKeeper({
       self,
       newTransfer: ({ members, identity, manifest, held }) => this._newSwarm(members, identity, manifest, held),
-      largestBytes,
+      maxBytes: largestBytes,
       platform: source,
       pool,
       engine: this._staging,
@@ -156,9 +156,9 @@
       counters,
       members,
       addressOf: instance => instance,
-      onWhole: () => {
+      onComplete: () => {
         this._firstWholeInZoneAt ??= performance.now()
-        this._parts.onWhole()
+        this._dependencies.onWhole()
       },
       chunkDigest,
       manifestMatches
@@ -167,15 +167,15 @@
 
   private _detectFirstWholeInZone (): void {
     if (this._firstWholeInZoneAt !== undefined) return
-    const { self, members } = this._parts
-    const whole = this._swarm?.wholePeers ?? []
+    const { self, members } = this._dependencies
+    const whole = this._swarm?.completePeers ?? []
     const wholeInZone = members().some(({ instance, availabilityZone }) => availabilityZone === self.availabilityZone && whole.includes(instance))
     if (wholeInZone) this._firstWholeInZoneAt = performance.now()
   }
 
   private _follow (identity: string): void {
     this._following = identity !== ''
-    this._holdings.follow(identity, identity === '' ? [] : this._parts.members(), this._keeper.currentManifest?.chunks.length ?? 0)
+    this._holdings.follow(identity, identity === '' ? [] : this._dependencies.members(), this._keeper.currentManifest?.chunks.length ?? 0)
   }
 
   /**
@@ -183,10 +183,10 @@
    * later the switch order depend on them.
    */
   private _newSwarm (members: readonly ChunkMember[], identity: string, manifest: Manifest, held: ReadonlySet<string>): ChunkSwarm {
-    const policy = { ...defaultSwarmPolicy, originCopyTime: this._parts.originCopyTime(manifest) }
-    const swarm = new ChunkSwarm(this._parts.self, members, identity, manifest, held, Math.random, policy)
+    const policy = { ...defaultSwarmPolicy, originCopyTime: this._dependencies.originCopyTime(manifest) }
+    const swarm = new ChunkSwarm(this._dependencies.self, members, identity, manifest, held, Math.random, policy)
     this._swarm = swarm
-    if (this._namedAt !== undefined) swarm.namedAt(this._namedAt)
+    if (this._namedAt !== undefined) swarm.setPublishedAt(this._namedAt)
     this._applyLimit()
     // Peers send a follower only changes, so the subscription is renewed to make them send this swarm all held chunks.
     this._follow('')
--- a/packages/node/src/lib/routing/versions-under-way.ts
+++ b/packages/node/src/lib/routing/version-transfers.ts
@@ -8,7 +8,7 @@
  * until it replaces the first. Without the second, naming a version while the previous one was in transfer, or not yet loaded
  * by all engines, would discard the previous one; if the origin was unavailable then, nothing could be served for seconds.
  */
-import { overlapStep, worthFinishing, type ModelVersion, type StagedVersion, type SwitchTurn } from '@drumdrift/core'
+import { overlapStep, shouldFinish, type ModelVersion, type StagedVersion, type SwitchPosition } from '@drumdrift/core'
 import { ChunkStore } from '../agent/chunk-store.js'
 import type { ChunkSource } from '../agent/chunk-server.js'
 import type { ChunkStaging } from '../agent/engine-client.js'
@@ -16,7 +16,7 @@
 import type { OwnChunks } from './chunk-holdings.js'
 import { MemoryStaging } from './memory-staging.js'
 import { identityOf } from './ports.js'
-import { VersionTransfer, type TransferParts } from './version-transfer.js'
+import { VersionTransfer, type VersionTransferDependencies } from './version-transfer.js'
 
 /** A wanted version. */
 export interface NewestVersion extends ModelVersion {
@@ -43,7 +43,7 @@
 const STALL_TIMEOUT = 500
 
 /** Manages the versions in transfer to one engine. */
-export class VersionsUnderWay implements ChunkSource {
+export class VersionTransfers implements ChunkSource {
   private readonly _stagedTransfer: VersionTransfer
   private readonly _nextTransfer: VersionTransfer
   private readonly _memory: MemoryStaging
@@ -58,7 +58,7 @@
    * @param engine The engine's staging memory.
    * @param memoryBytes Memory limit in bytes for chunks in this process, applied to the staged and the next version each.
    */
-  constructor (parts: TransferParts, engine: ChunkStaging, memoryBytes: number) {
+  constructor (parts: VersionTransferDependencies, engine: ChunkStaging, memoryBytes: number) {
     this._log = parts.log
     this._stagedTransfer = new VersionTransfer(parts, engine, new ChunkStore(engine, memoryBytes))
     this._memory = new MemoryStaging(engine, memoryBytes)
@@ -82,7 +82,7 @@
   /** Whether a version is still incomplete. */
   get transferring (): boolean { return (this._stagedVersion !== undefined && !this._stagedTransfer.whole) || (this._nextVersion !== undefined && !this._nextTransfer.whole) }
   /** The engine's position in the order in which its zone switches to the target. */
-  get turn (): SwitchTurn { return this._stagedTransfer.turn }
+  get turn (): SwitchPosition { return this._stagedTransfer.turn }
   /** Number of chunks in the engine's staging memory. */
   get stagedCount (): number { return this._stagedTransfer.store.staged.size }
 
@@ -112,8 +112,8 @@
     const identity = identityOf(newest)
     if (identity === this._stagedTransfer.identity || identity === this._nextTransfer.identity) return
     const staged = this._stagedView()
-    const beside = staged !== undefined && served < staged.version && worthFinishing(staged)
-    this._log.info('version-wanted', { model: newest.model, version: newest.version, staging: staged?.version, staged_progress: staged?.progress, staged_known: staged?.known, beside })
+    const beside = staged !== undefined && served < staged.version && shouldFinish(staged)
+    this._log.info('version-wanted', { model: newest.model, version: newest.version, staging: staged?.version, staged_progress: staged?.progress, staged_known: staged?.availableShare, beside })
     if (beside) {
       this._nextVersion = newest
       this._clearMemory()
@@ -127,8 +127,8 @@
     if (staged !== undefined && staged.whole && served >= staged.version) this._stagedTransfer.stopFollowing()
     if (staged === undefined || next === undefined || this._replacing) return
     const progressing = !staged.whole && now - this._stagedTransfer.lastChunkAt < STALL_TIMEOUT
-    this._nextTransfer.limit(progressing ? { peers: NEXT_VERSION_PEER_REQUESTS, origin: staged.known < 1 ? 0 : 1 } : undefined)
-    const step = overlapStep({ staged, ahead: { version: next.version, whole: this._nextTransfer.whole }, served, ordering, mayBegin: mayBegin(staged.version) })
+    this._nextTransfer.limit(progressing ? { peers: NEXT_VERSION_PEER_REQUESTS, origin: staged.availableShare < 1 ? 0 : 1 } : undefined)
+    const step = overlapStep({ staged, newer: { version: next.version, whole: this._nextTransfer.whole }, served, ordering, mayBegin: mayBegin(staged.version) })
     if (step.type === 'wait') return
     this._log.info('version-takes-over', { model: next.model, version: next.version, before: staged.version, why: step.why, whole: this._nextTransfer.whole, served })
     await this._replaceStaged(next)
@@ -171,7 +171,7 @@
 
   private _stagedView (): StagedVersion | undefined {
     if (this._stagedVersion === undefined) return undefined
-    return { version: this._stagedVersion.version, whole: this._stagedTransfer.whole, progress: this._stagedTransfer.progress, known: this._stagedTransfer.known }
+    return { version: this._stagedVersion.version, whole: this._stagedTransfer.whole, progress: this._stagedTransfer.progress, availableShare: this._stagedTransfer.known }
   }
 
   private _transferOf (identity: string): VersionTransfer | undefined {
--- a/packages/node/src/lib/routing/weights-agent.ts
+++ b/packages/node/src/lib/routing/weights-agent.ts
@@ -9,7 +9,7 @@
  */
 import { setTimeout as pause } from 'node:timers/promises'
 import {
-  defaultSwarmPolicy, LimitBook, LinkPacer, readLimitNews, readRate, readSuspectNews, SuspectRequests, type ChunkMember, type Manifest, type NamedVersion, type PeerReply, type PublishedChange, type PublishedTopic, type PeerRequest, type PoolDescription
+  defaultSwarmPolicy, LimitStatements, LinkPacer, readLimitNews, prefillRate, readSuspectNews, SuspectRequests, type ChunkMember, type Manifest, type NamedVersion, type PeerReply, type PublishedChange, type PublishedTopic, type PeerRequest, type PoolDescription
 } from '@drumdrift/core'
 import { ChunkServer } from '../agent/chunk-server.js'
 import { Histograms } from '../observe/histograms.js'
@@ -26,11 +26,11 @@
 import { EngineSwitcher } from './engine-switcher.js'
 import { LoadPublisher } from './load-publisher.js'
 import type { WeightsPlatform } from './ports.js'
-import { DeltaEncoder } from './packed-news.js'
+import { DeltaEncoder } from './delta-codec.js'
 import { PublishedFeed } from './published-feed.js'
-import { PublishedReadings } from './published-readings.js'
+import { PublishedStatePoller } from './published-state-poller.js'
 import { placeOf } from './regions.js'
-import { VersionsUnderWay, type NewestVersion } from './versions-under-way.js'
+import { VersionTransfers, type NewestVersion } from './version-transfers.js'
 
 const MEBIBYTE = 1024 * 1024
 const GIBIBYTE = 1024 * MEBIBYTE
@@ -54,17 +54,17 @@
   private readonly _pool: PeerPool
   private readonly _server: PeerServer
   private readonly _feed: PublishedFeed
-  private readonly _readings: PublishedReadings
+  private readonly _readings: PublishedStatePoller
   private readonly _encoder: DeltaEncoder
-  private readonly _versions: VersionsUnderWay
+  private readonly _versions: VersionTransfers
   private readonly _chunks: ChunkServer
   private readonly _switcher: EngineSwitcher
   private readonly _holdingsPublisher = new HoldingsPublisher(identity => this._versions.known(identity))
-  private readonly _loadPublisher = new LoadPublisher(() => ({ readRate: readRate(this._poolDescription), slots: this._poolDescription?.slots ?? Infinity }))
+  private readonly _loadPublisher = new LoadPublisher(() => ({ readRate: prefillRate(this._poolDescription), slots: this._poolDescription?.slots ?? Infinity }))
   /** Reports by entries of requests that may crash endpoints; kept for entries that restart. */
   private readonly _suspects = new SuspectRequests()
   /** Reports by entries of the limits of endpoints; kept for entries that restart. */
-  private readonly _limits = new LimitBook()
+  private readonly _limits = new LimitStatements()
   private readonly _metrics: MetricsServer | undefined
   private _members: readonly ChunkMember[] = []
   private _poolDescription: PoolDescription | undefined
@@ -90,7 +90,7 @@
     const self = { instance: text('process', 'instance'), key: text('peers', 'key') }
     this._pool = new PeerPool(self, this._traffic, readPacer)
     this._feed = this._newFeed()
-    this._readings = new PublishedReadings(this._feed, { needsMembers: () => this._versions.transferring, onFirstVersionsRead: () => this._applyState() })
+    this._readings = new PublishedStatePoller(this._feed, { needsMembers: () => this._versions.transferring, onFirstVersionsRead: () => this._applyState() })
     this._encoder = new DeltaEncoder(this._feed.state)
     this._versions = this._newVersions()
     this._chunks = new ChunkServer(this._versions, { upload: (bytes, now) => pacer().upload(bytes, now) }, digest => this._versions.expects(digest))
@@ -142,12 +142,12 @@
   /** The topics fetched from relays: versions always, the others only until they are known. */
   private _relayedTopics (): PublishedTopic[] {
     const { state } = this._feed
-    return ['versions', ...(state.configuration === undefined ? ['configuration' as const] : []), ...(state.knows('endpoints') ? [] : ['endpoints' as const])]
+    return ['versions', ...(state.configuration === undefined ? ['configuration' as const] : []), ...(state.hasFollowed('endpoints') ? [] : ['endpoints' as const])]
   }
 
-  private _newVersions (): VersionsUnderWay {
+  private _newVersions (): VersionTransfers {
     const { engine, source, chunkDigest, manifestMatches } = this._platform
-    return new VersionsUnderWay({
+    return new VersionTransfers({
       self: this._self,
       largestBytes: this._settings.number('weights', 'largest-gigabytes') * GIBIBYTE,
       source,
@@ -239,9 +239,9 @@
   /** The wanted version of this pool's model. */
   private _wanted (): NewestVersion | undefined {
     const model = this._poolDescription?.models[0]?.name
-    if (model === undefined || !this._feed.state.knows('versions')) return undefined
+    if (model === undefined || !this._feed.state.hasFollowed('versions')) return undefined
     const wanted = this._feed.state.wanted(model)
-    return { model, version: wanted?.version ?? FIRST_VERSION, heardAt: wanted?.heardAt }
+    return { model, version: wanted?.version ?? FIRST_VERSION, heardAt: wanted?.receivedAt }
   }
 
   private _applyState (): void {
@@ -262,7 +262,7 @@
    * are staged, most likely only the manifest is missing: after a power loss of all sites, with low bandwidth between regions, the
    * list of 105 endpoints arrives 0.7 s after the configuration.
    */
-  private _mayFetch (): boolean { return this._feed.state.knows('endpoints') || this._versions.stagedCount > 0 }
+  private _mayFetch (): boolean { return this._feed.state.hasFollowed('endpoints') || this._versions.stagedCount > 0 }
 
   private _answer (request: PeerRequest, responder: Responder): void {
     const handler = Object.hasOwn(this._handlers, request.type) ? this._handlers[request.type] : undefined
@@ -273,7 +273,7 @@
   private readonly _handlers: { readonly [Type in PeerRequest['type']]?: (request: Extract<PeerRequest, { type: Type }>, responder: Responder) => void } = {
     ping: ({ sentRate, followed, named }, responder) => {
       if (named !== undefined) this._onNamedVersion(named)
-      this._loadPublisher.noteRate(responder.connection, Number(sentRate) || 0, Number(followed) || 0, performance.now())
+      this._loadPublisher.recordRate(responder.connection, Number(sentRate) || 0, Number(followed) || 0, performance.now())
       this._loadPublisher.answerPing(responder, performance.now())
     },
     news: ({ note, topics }, responder) => responder.send({ type: 'news' }, this._encoder.since(note, topics, performance.now())),
@@ -296,7 +296,7 @@
     const report = readSuspectNews(input)
     if (report === undefined) return this._log.warn('peer-malformed', { type: 'suspects', detail: 'malformed report of suspect requests' })
     const news = this._suspects.heard(report, performance.now())
-    if (news.losses.length + news.answers.length > 0) this._loadPublisher.tellOthers({ type: 'suspects', news }, connection)
+    if (news.losses.length + news.answers.length > 0) this._loadPublisher.sendToOthers({ type: 'suspects', news }, connection)
   }
 
   /** Forwards reported limits to the other entries, and sends the sender corrections where its values differ from this agent's. */
@@ -305,9 +305,9 @@
     if (report === undefined) return this._log.warn('peer-malformed', { type: 'limits', detail: 'malformed report of limits' })
     const now = performance.now()
     const news = this._limits.told(report, now)
-    if (news.length > 0) this._loadPublisher.tellOthers({ type: 'limits', news }, responder.connection)
+    if (news.length > 0) this._loadPublisher.sendToOthers({ type: 'limits', news }, responder.connection)
     const corrections = this._limits.corrections(report, now)
-    if (corrections.length > 0) this._loadPublisher.tellOne({ type: 'limits', news: corrections }, responder.connection)
+    if (corrections.length > 0) this._loadPublisher.sendTo({ type: 'limits', news: corrections }, responder.connection)
   }
 
   private _onNamedVersion ({ model, version, age }: NamedVersion): void {
--- a/packages/node/src/lib/run-daemon.ts
+++ b/packages/node/src/lib/run-daemon.ts
@@ -29,7 +29,7 @@
 }
 
 /** Creates a daemon from validated settings. The daemon may call `stop` to stop itself. */
-export type DaemonMaker = (settings: Settings, log: Log, stop: () => void) => Daemon
+export type DaemonFactory = (settings: Settings, log: Log, stop: () => void) => Daemon
 
 /**
  * Runs a daemon until it is stopped.
@@ -38,7 +38,7 @@
  * @example
  * await runDaemon(readSettings('agent.ini', 'agent'), ownDaemonFactories.agent)
  */
-export async function runDaemon (settings: Settings, make: DaemonMaker, file = ''): Promise<void> {
+export async function runDaemon (settings: Settings, make: DaemonFactory, file = ''): Promise<void> {
   const { role } = settings
   const log = new Log(settings.text('process', 'log-level') as LogLevel, { role, instance: settings.text('process', 'instance') })
   process.on('uncaughtException', error => log.error('fault', { detail: error.message, at: error.stack?.split('\n')[1]?.trim() }))
--- a/packages/node/src/lib/settings/settings.ts
+++ b/packages/node/src/lib/settings/settings.ts
@@ -104,7 +104,7 @@
 }
 
 /** Infers the role from the content of a file: only an agent's file has an [endpoint] section. */
-export function guessRole (file: string): Role {
+export function inferRole (file: string): Role {
   return /^\s*\[endpoint\]/m.test(readFileSync(file, 'utf8')) ? 'agent' : 'entry'
 }
 
--- a/packages/node/src/lib/spread-runner.ts
+++ b/packages/node/src/lib/spread-runner.ts
@@ -42,7 +42,7 @@
   close (): void { clearInterval(this._timer) }
 
   /** Answers a peer's comparison. If this process is behind the peer, compares in turn. */
-  compared (request: Extract<PeerRequest, { type: 'compare' }>, responder: Responder): void {
+  handleCompare (request: Extract<PeerRequest, { type: 'compare' }>, responder: Responder): void {
     const now = performance.now()
     const { reply, behind } = this.spread.compared(request.note, now)
     responder.send({ type: 'documents', documents: reply, note: this.spread.note(now) })
@@ -50,7 +50,7 @@
   }
 
   /** Receives the documents that a peer pushed. */
-  pushed (request: Extract<PeerRequest, { type: 'push' }>, responder: Responder): void {
+  handlePush (request: Extract<PeerRequest, { type: 'push' }>, responder: Responder): void {
     this._applyEffects(this.spread.received(request.documents, 'pushed', performance.now()))
     responder.send({ type: 'done' })
   }
--- a/packages/node/src/test/lib/agent-call_test.ts
+++ b/packages/node/src/test/lib/agent-call_test.ts
@@ -24,7 +24,7 @@
     return 1
   }
 
-  tell (request: PeerRequest): void { this.sent.push(request) }
+  notify (request: PeerRequest): void { this.sent.push(request) }
   forget (): void {}
 }
 
--- a/packages/node/src/test/lib/agent/request-runner_test.ts
+++ b/packages/node/src/test/lib/agent/request-runner_test.ts
@@ -10,7 +10,7 @@
 import { createServer, type Server, type ServerResponse } from 'node:http'
 import type { AddressInfo } from 'node:net'
 import { afterEach, beforeEach, describe, it } from 'node:test'
-import { AdmissionDoor, EndpointLimits, EndpointNotices, LinkPacer, type EndpointStatus, type ForwardedRequest } from '@drumdrift/core'
+import { AdmissionController, EndpointLimits, EndpointNotices, LinkPacer, type EndpointStatus, type ForwardedRequest } from '@drumdrift/core'
 import { RequestRunner } from '../../../lib/agent/request-runner.js'
 import { BoundedOutput } from '../../../lib/observe/bounded-output.js'
 import { Log } from '../../../lib/observe/log.js'
@@ -27,7 +27,7 @@
   let endpoint: Server
   let requestCount: number
   let answer: (response: ServerResponse) => void
-  let admissionController: AdmissionDoor
+  let admissionController: AdmissionController
   let runner: RequestRunner
 
   beforeEach(async () => {
@@ -38,7 +38,7 @@
     })
     await new Promise<void>(resolve => { endpoint.listen(0, '127.0.0.1', resolve) })
     const notices = new EndpointNotices(new EndpointLimits(() => 1, () => 0))
-    admissionController = new AdmissionDoor('a.1', 8, notices, 'desk')
+    admissionController = new AdmissionController('a.1', 8, notices, 'desk')
     admissionController.setServing(true)
     runner = new RequestRunner({
       endpointAddress: `127.0.0.1:${(endpoint.address() as AddressInfo).port}`, endpoint: 'desk', notices, noticeLog: new NoticeLog(log, new Counters()), admissionController, pacer: new LinkPacer(1e9, performance.now()), counters: new Counters(), status: () => status, fence: () => 0
--- a/packages/node/src/test/lib/carrier_test.ts
+++ b/packages/node/src/test/lib/request-executor_test.ts
@@ -10,10 +10,10 @@
 import type { AnswerHead, InstanceRecord, PeerReply, PeerRequest, RequestFailure } from '@drumdrift/core'
 import type { AnswerSink } from '../../lib/entry/answer-sink.js'
 import type { CallerRequest } from '../../lib/entry/caller-request.js'
-import { RequestCarrier } from '../../lib/entry/carrier.js'
+import { RequestExecutor } from '../../lib/entry/request-executor.js'
 import type { Job } from '../../lib/entry/dispatcher.js'
 import { Group } from '../../lib/entry/group.js'
-import type { OnceCarrier } from '../../lib/entry/once-carrier.js'
+import type { AtMostOnceAttempts } from '../../lib/entry/at-most-once-attempts.js'
 import { Histograms } from '../../lib/observe/histograms.js'
 import { Counters } from '../../lib/observe/metrics.js'
 import type { ReplyListener } from '../../lib/peer/connection.js'
@@ -36,7 +36,7 @@
   async connection (address: string): Promise<unknown> {
     return {
       open: true,
-      tell: () => {},
+      notify: () => {},
       forget: () => {},
       ask: (_request: PeerRequest, payload: Buffer, listener: ReplyListener): number => {
         queueMicrotask(() => this._answer(address, payload, listener))
@@ -63,18 +63,18 @@
   fail (): void {}
 }
 
-describe('RequestCarrier', () => {
+describe('RequestExecutor', () => {
   const agents = new FakeAgents('fatal')
   let group: Group<Job>
-  let carrier: RequestCarrier
+  let carrier: RequestExecutor
 
   beforeEach(() => {
     mock.timers.enable({ apis: ['setTimeout'] })
     agents.broken.length = 0
     group = new Group<Job>('pool', { instance: 'entry-1', availabilityZone: 'koshi' }, { choice: 'affinity', retryRatio: 0.1 }, () => 0.5)
     group.setEndpoints(records, 0)
-    carrier = new RequestCarrier({
-      pool: agents as unknown as PeerPool, once: undefined as unknown as OnceCarrier, patience: { admission: 1_000, firstAnswer: 1_000, betweenParts: 1_000 }, histograms: new Histograms(), counters: new Counters(), fingerprint: request => fingerprintOf('k', request)
+    carrier = new RequestExecutor({
+      pool: agents as unknown as PeerPool, once: undefined as unknown as AtMostOnceAttempts, patience: { admission: 1_000, firstAnswer: 1_000, betweenParts: 1_000 }, histograms: new Histograms(), counters: new Counters(), fingerprint: request => fingerprintOf('k', request)
     })
   })
   afterEach(() => mock.timers.reset())
--- a/packages/node/src/test/lib/routing/chunk-holdings_test.ts
+++ b/packages/node/src/test/lib/routing/chunk-holdings_test.ts
@@ -7,7 +7,7 @@
 import { afterEach, describe, it } from 'node:test'
 import type { PeerReply } from '@drumdrift/core'
 import type { PeerConnection, Responder } from '../../../lib/peer/connection.js'
-import { ChunkPlaces, type ChunkMember } from '@drumdrift/core'
+import { ChunkAssignment, type ChunkMember } from '@drumdrift/core'
 import { HoldingsPublisher, peersToFollow, type KnownChunks } from '../../../lib/routing/chunk-holdings.js'
 
 /** Waits until all chunks are announced: a single chunk is delayed for up to 0.24 s, and checks are 0.06 s apart. */
@@ -108,9 +108,9 @@
   it('returns a bounded sample of a large fleet that includes the predecessor and the readers of the chunks that the member fetches into its zone', () => {
     const members = fleet(20)
     for (const self of members) {
-      const [places, peers] = [new ChunkPlaces(self, members), peersToFollow(self, members, CHUNKS)]
-      const fetched = Array.from({ length: CHUNKS }, (_, chunk) => chunk).filter(chunk => places.turn(chunk).inZone === 0)
-      const readers = fetched.map(chunk => places.reader(chunk)).filter(reader => reader !== self.instance)
+      const [places, peers] = [new ChunkAssignment(self, members), peersToFollow(self, members, CHUNKS)]
+      const fetched = Array.from({ length: CHUNKS }, (_, chunk) => chunk).filter(chunk => places.ranks(chunk).inZone === 0)
+      const readers = fetched.map(chunk => places.originReader(chunk)).filter(reader => reader !== self.instance)
       assert.ok([places.predecessor, ...readers].every(peer => peers.includes(peer)), self.instance)
       assert.ok(peers.length <= 12 + 2 * 6, `${peers.length}`)
     }
--- a/packages/node/src/test/lib/routing/packed-news_test.ts
+++ b/packages/node/src/test/lib/routing/delta-codec_test.ts
@@ -8,7 +8,7 @@
 import { deflateRawSync } from 'node:zlib'
 import { failureOf, PublishedState, type PublishedChange } from '@drumdrift/core'
 import { encode } from 'cbor-x'
-import { DeltaEncoder, encodeDelta, decodeDelta } from '../../../lib/routing/packed-news.js'
+import { DeltaEncoder, encodeDelta, decodeDelta } from '../../../lib/routing/delta-codec.js'
 
 const record = { id: 'a', service: 'pool', address: '10.0.0.1:80', availabilityZone: 'koshi', slots: 4, draining: false, models: [{ model: 'm', version: 2 }] }
 const endpointChange: PublishedChange = { type: 'endpoint', revision: 2, record }
@@ -17,14 +17,14 @@
 
 function stateWithChanges (): PublishedState {
   const state = new PublishedState()
-  state.takeWhole('endpoints', [endpointChange], 3, 0)
-  state.takeWhole('versions', [versionChange], 3, 0)
+  state.takeSnapshot('endpoints', [endpointChange], 3, 0)
+  state.takeSnapshot('versions', [versionChange], 3, 0)
   return state
 }
 
 describe('encodeDelta and decodeDelta', () => {
   it('round-trip a delta', () => {
-    const delta = stateWithChanges().since(noRevisions, 0)
+    const delta = stateWithChanges().deltaSince(noRevisions, 0)
     assert.deepEqual(decodeDelta(encodeDelta(delta)), delta)
   })
 
--- a/packages/node/src/test/lib/routing/engine-switcher_test.ts
+++ b/packages/node/src/test/lib/routing/engine-switcher_test.ts
@@ -26,7 +26,7 @@
     counters: new Counters(),
     versionBound: 8_000,
     situation: () => ({ wanted: { model: 'm', version: 1 }, heardAt: undefined, whole: 'm@1' }),
-    turn: () => ({ index: 0, finalIndex: 0, of: 1, since: 0 }),
+    turn: () => ({ index: 0, finalIndex: 0, of: 1, firstCompleteAt: 0 }),
     confirmWhole: async () => true,
     onLoad: load => { loads.push(load) },
     onPolled: () => {},
--- a/packages/node/src/test/lib/routing/load-publisher_test.ts
+++ b/packages/node/src/test/lib/routing/load-publisher_test.ts
@@ -79,11 +79,11 @@
     const publisher = createPublisher()
     const [first, second] = [new Follower(), new Follower()]
     publisher.follow(first, 0)
-    publisher.noteRate(first.connection, 0.02, 1, 0)
+    publisher.recordRate(first.connection, 0.02, 1, 0)
     publisher.publish(load, 0)
     publisher.follow(second, 10)
     assert.deepEqual(second.reports, [{ ...load, sentRate: 0.02, entries: 1 }])
-    publisher.noteRate(second.connection, 0.03, 1, 20)
+    publisher.recordRate(second.connection, 0.03, 1, 20)
     first.disconnect()
     publisher.publish({ ...load, waiting: 1 }, 100)
     assert.deepEqual([first.reports.length, second.reports.at(-1)?.sentRate], [1, 0.03])
@@ -98,8 +98,8 @@
       const publisher = createPublisher()
       const [first, second] = [new Follower(), new Follower()]
       for (const follower of [first, second]) publisher.follow(follower, 0)
-      publisher.noteRate(first.connection, 0.02, 1, firstPingAt)
-      publisher.noteRate(second.connection, 0.03, 1, 2_000)
+      publisher.recordRate(first.connection, 0.02, 1, firstPingAt)
+      publisher.recordRate(second.connection, 0.03, 1, 2_000)
       publisher.publish(load, 2_500)
       assert.equal(second.reports.at(-1)?.sentRate, expected)
     })
@@ -110,7 +110,7 @@
     const followers = [new Follower(), new Follower()]
     for (const follower of followers) {
       publisher.follow(follower, 0)
-      publisher.noteRate(follower.connection, 0.1, 20, 0)
+      publisher.recordRate(follower.connection, 0.1, 20, 0)
     }
     publisher.publish(load, 0)
     assert.deepEqual([followers[1]?.reports.at(-1)?.sentRate, followers[1]?.reports.at(-1)?.entries], [0.01, 0.1])
@@ -118,7 +118,7 @@
 
   it('ignores the rate of a connection that does not follow', () => {
     const publisher = createPublisher()
-    publisher.noteRate(new Follower().connection, 9, 1, 0)
+    publisher.recordRate(new Follower().connection, 9, 1, 0)
     const follower = new Follower()
     publisher.follow(follower, 0)
     publisher.publish(load, 0)
--- a/packages/node/src/test/lib/routing/service-units_test.ts
+++ b/packages/node/src/test/lib/routing/service-units_test.ts
@@ -5,7 +5,7 @@
  */
 import assert from 'node:assert/strict'
 import { describe, it } from 'node:test'
-import { openGate, PublishedState, startOf, type EndpointRecord, type LoadReport, type PoolDescription } from '@drumdrift/core'
+import { openGate, PublishedState, startKeyOf, type EndpointRecord, type LoadReport, type PoolDescription } from '@drumdrift/core'
 import { ServiceUnits } from '../../../lib/routing/service-units.js'
 
 const pool: PoolDescription = {
@@ -44,7 +44,7 @@
       const units = unitsWith([engine(1, 200)])
       units.recordLoad(agent, { ...load, born }, 10)
       const { chooser, description } = units.get('pool') ?? assert.fail('no pool')
-      assert.equal(chooser.load(startOf(engine(1, 200))).report(20) !== undefined, recorded)
+      assert.equal(chooser.load(startKeyOf(engine(1, 200))).report(20) !== undefined, recorded)
       assert.equal(chooser.choose(description, need, 20) !== undefined, chosen)
     })
   }
@@ -55,7 +55,7 @@
     assert.equal(units.recordLoad(agent, { ...load, entries: 1e9 }, 10), false)
     assert.equal(units.recordLoad(agent, { ...load, entries: 7 }, 10), true)
     assert.equal(units.recordLoad(agent, { ...load, entries: 0 }, 10), true, 'an agent that has just started counts no entries yet')
-    assert.notEqual(units.get('pool')?.chooser.load(startOf(engine(1, 200))).report(20), undefined)
+    assert.notEqual(units.get('pool')?.chooser.load(startKeyOf(engine(1, 200))).report(20), undefined)
   })
 
   it('follows a subset of many engines, and sends only to those', () => {
--- a/packages/node/src/test/lib/routing/versions-under-way_test.ts
+++ b/packages/node/src/test/lib/routing/version-transfers_test.ts
@@ -6,7 +6,7 @@
 import assert from 'node:assert/strict'
 import { createHash } from 'node:crypto'
 import { afterEach, describe, it } from 'node:test'
-import { switchPlace, type Manifest } from '@drumdrift/core'
+import { switchPosition, type Manifest } from '@drumdrift/core'
 import type { ChunkStaging } from '../../../lib/agent/engine-client.js'
 import { BoundedOutput } from '../../../lib/observe/bounded-output.js'
 import { Log } from '../../../lib/observe/log.js'
@@ -15,7 +15,7 @@
 import { PeerPool } from '../../../lib/peer/pool.js'
 import { PeerServer } from '../../../lib/peer/server.js'
 import { HoldingsPublisher } from '../../../lib/routing/chunk-holdings.js'
-import { VersionsUnderWay, type EngineView } from '../../../lib/routing/versions-under-way.js'
+import { VersionTransfers, type EngineView } from '../../../lib/routing/version-transfers.js'
 
 const CHUNKS = 8
 const self = { instance: '127.0.0.1:1', availabilityZone: 'koshi' }
@@ -85,14 +85,14 @@
 const view: EngineView = { served: 1, ordering: false, mayBegin: () => true }
 const log = new Log('error', { role: 'test' }, new BoundedOutput(1, 1_000_000, (_descriptor, bytes, callback) => { setImmediate(() => callback(null, bytes.length)) }))
 
-describe('VersionsUnderWay', () => {
+describe('VersionTransfers', () => {
   const open: { close (): void }[] = []
   afterEach(() => { for (const each of open.splice(0)) each.close() })
 
-  function setUp (limits: Readonly<Record<number, number>>, memory = 1_000, peers: readonly string[] = []): { versions: VersionsUnderWay, origin: OriginFake, staging: StagingFake } {
+  function setUp (limits: Readonly<Record<number, number>>, memory = 1_000, peers: readonly string[] = []): { versions: VersionTransfers, origin: OriginFake, staging: StagingFake } {
     const [origin, staging, pool] = [new OriginFake(), new StagingFake(), new PeerPool({ instance: 'a', key: 'k' })]
     origin.limits = limits
-    const versions = new VersionsUnderWay({
+    const versions = new VersionTransfers({
       self, largestBytes: 1_000_000, source: origin, pool, log, counters: new Counters(), members: () => [self, ...peers.map(instance => ({ instance, availabilityZone: 'koshi' }))], chunkDigest: 'sha256', originCopyTime: () => 100, onWhole: () => {}, manifestMatches: (identity, bytes) => JSON.parse(bytes.toString()).version === identity.split('@')[1]
     }, staging, memory)
     open.push(versions, pool)
@@ -209,15 +209,15 @@
   const orders: [name: string, index: number][] = [['before', 1], ['after', 0]]
   for (const [name, index] of orders) {
     it(`starts the switch order when the first member of the zone is complete, if that member comes ${name} this one`, async () => {
-      const isInOrder = (address: string): boolean => switchPlace(self, [address], [self, { ...self, instance: address }], 'm@2').index === index
+      const isInOrder = (address: string): boolean => switchPosition(self, [address], [self, { ...self, instance: address }], 'm@2').index === index
       const address = await startPeerWithAllChunks(2, true, isInOrder)
       const { versions } = setUp({ 2: 0 }, 1_000, [address])
       const begunAt = performance.now()
       versions.want({ model: 'm', version: 2 }, 1)
       await until('the peer is known to be complete', () => performance.now() - begunAt > 200 && versions.timeToWhole(1) !== undefined)
-      const { since } = versions.turn
+      const { firstCompleteAt } = versions.turn
       await new Promise(resolve => setTimeout(resolve, 30))
-      assert.equal(versions.turn.since, since)
+      assert.equal(versions.turn.firstCompleteAt, firstCompleteAt)
       assert.equal(versions.whole, '')
     })
   }
--- a/packages/node/src/test/lib/settings_test.ts
+++ b/packages/node/src/test/lib/settings_test.ts
@@ -9,7 +9,7 @@
 import { DrumdriftError } from '@drumdrift/core'
 import { settingsPage } from '../../lib/settings/page.js'
 import { settingSpecifications } from '../../lib/settings/schema.js'
-import { checkSettings, guessRole, readSettings } from '../../lib/settings/settings.js'
+import { checkSettings, inferRole, readSettings } from '../../lib/settings/settings.js'
 
 const root = new URL('../../../../../', import.meta.url)
 const validFile = `
@@ -83,7 +83,7 @@
       assert.ok(files.length >= 3)
       for (const file of files) {
         const path = new URL(file, folder).pathname
-        readSettings(path, guessRole(path))
+        readSettings(path, inferRole(path))
       }
     })
   }
--- a/packages/soak/src/lib/fault-handlers.ts
+++ b/packages/soak/src/lib/fault-handlers.ts
@@ -68,7 +68,7 @@
   'store-forgets': async ({ deployment }) => { deployment.store.compact() },
   'store-restored': async ({ deployment, fault }) => {
     const { store } = deployment
-    store.makeCopy()
+    store.takeSnapshot()
     await pause(fault.durationMilliseconds)
     for (let count = 0; count < WRITES_SINCE_SNAPSHOT; count += 1) deployment.rewriteRecords()
     await pause(PROPAGATION_MILLISECONDS)
--- a/packages/soak/src/lib/journal.ts
+++ b/packages/soak/src/lib/journal.ts
@@ -4,7 +4,7 @@
  * SPDX-License-Identifier: BSD-3-Clause
  */
 /** Records of one soak from callers, endpoints and the store, and the faults injected. All times are in milliseconds of `performance.now()`. */
-import type { CallKind, SeenAnswer } from '@drumdrift/stand-ins'
+import type { CallKind, CallerResponse } from '@drumdrift/stand-ins'
 import type { FaultKind } from './fault-plan.js'
 
 /** A call and its result. */
@@ -16,7 +16,7 @@
   readonly entry: string
   readonly sentAt: number
   readonly endedAt: number
-  readonly answer: SeenAnswer
+  readonly answer: CallerResponse
 }
 
 /** A request that an endpoint received. */
--- a/packages/soak/src/test/lib/promises_test.ts
+++ b/packages/soak/src/test/lib/promises_test.ts
@@ -5,13 +5,13 @@
  */
 import assert from 'node:assert/strict'
 import { describe, it } from 'node:test'
-import type { SeenAnswer } from '@drumdrift/stand-ins'
+import type { CallerResponse } from '@drumdrift/stand-ins'
 import type { CallRecord, Disturbance, EndpointArrival, Journal } from '../../lib/journal.js'
 import { judge, promiseNames } from '../../lib/promises.js'
 
 const events = [1, 2, 3, 4, 5, 6].map(id => `id: ${id}\ndata: piece\n\n`)
 
-function answer (status: number, part: Partial<SeenAnswer> = {}): SeenAnswer {
+function answer (status: number, part: Partial<CallerResponse> = {}): CallerResponse {
   return { status, headers: { 'x-server-seal': 'seal-of-desk-1.1' }, body: 'answer of desk-1.1', whole: true, reused: false, ...part }
 }
 
--- a/packages/stand-ins/src/lib/link.ts
+++ b/packages/stand-ins/src/lib/link.ts
@@ -24,7 +24,7 @@
 /** A proxy to one address. */
 export class Link {
   /** Number of blocks corrupted so far. */
-  corrupted = 0
+  corruptedBlocks = 0
   /** The address that clients connect to. */
   readonly address: string
   private _mode: LinkMode = 'pass'
@@ -107,7 +107,7 @@
   private _corruptBlock (bytes: Buffer): Buffer {
     if (this._mode !== 'corrupt' || bytes.length < MIN_CORRUPTED_BYTES || this._remainingCorruptions <= 0) return bytes
     this._remainingCorruptions -= 1
-    this.corrupted += 1
+    this.corruptedBlocks += 1
     const result = Buffer.from(bytes)
     const middle = result.length >> 1
     result[middle] = (result[middle] ?? 0) ^ 0xff
--- a/packages/stand-ins/src/lib/shared-link.ts
+++ b/packages/stand-ins/src/lib/shared-link.ts
@@ -22,7 +22,7 @@
 /** A proxy to one address. Only data from that address is rate limited, since bulk data comes from there. */
 export class SharedLink {
   /** Bytes forwarded from the target. */
-  carried = 0
+  forwardedBytes = 0
   private readonly _server: Server
   private readonly _sockets = new Set<Socket>()
   private readonly _queue: Queued[] = []
@@ -93,7 +93,7 @@
 
   private _deliver ({ bytes, from, to }: Queued): void {
     this._budget -= bytes.length
-    this.carried += bytes.length
+    this.forwardedBytes += bytes.length
     if (!to.destroyed) to.write(bytes)
     const pendingBytes = (this._queuedBytes.get(from) ?? 0) - bytes.length
     if (pendingBytes > 0) this._queuedBytes.set(from, pendingBytes)
--- a/packages/stand-ins/src/lib/users-platform/caller.ts
+++ b/packages/stand-ins/src/lib/users-platform/caller.ts
@@ -7,7 +7,7 @@
 import { request as openRequest, type Agent, type IncomingHttpHeaders, type IncomingMessage } from 'node:http'
 
 /** A response as received by a caller. */
-export interface SeenAnswer {
+export interface CallerResponse {
   /** 0 if the connection ended before a response head. */
   readonly status: number
   readonly headers: IncomingHttpHeaders
@@ -19,7 +19,7 @@
 }
 
 /** A request of a caller. */
-export interface Asked {
+export interface CallerRequest {
   readonly path: string
   readonly method?: string
   readonly body?: string
@@ -46,7 +46,7 @@
 const headersOf: Partial<Record<CallKind, Record<string, string>>> = { stream: { 'x-model': 'm', 'x-token-usage': '100,30' } }
 
 /** Sends one request of a kind. */
-export async function call (address: string, { id, kind, key, agent, signal }: Call): Promise<SeenAnswer> {
+export async function call (address: string, { id, kind, key, agent, signal }: Call): Promise<CallerResponse> {
   return await ask(address, { path: `/${kind}/${id}`, agent, signal, headers: { 'x-attempt-id': id, 'x-credential': key, ...headersOf[kind] } })
 }
 
@@ -56,10 +56,10 @@
 }
 
 /** Returns the id of the worker that signed a response; `undefined` if it is not signed. */
-export function signerOf ({ headers }: SeenAnswer): string | undefined { return /^seal-of-(.*)$/.exec(String(headers['x-server-seal']))?.[1] }
+export function signerOf ({ headers }: CallerResponse): string | undefined { return /^seal-of-(.*)$/.exec(String(headers['x-server-seal']))?.[1] }
 
 /** Sends one request and collects the response. Resolves also if the request fails. */
-export function ask (address: string, { path, method = 'POST', body = 'question', headers = {}, agent, signal }: Asked): Promise<SeenAnswer> {
+export function ask (address: string, { path, method = 'POST', body = 'question', headers = {}, agent, signal }: CallerRequest): Promise<CallerResponse> {
   const [host, port] = address.split(':')
   const allHeaders = { host: 'halls.example', 'x-attempt-id': 'attempt-1', 'x-credential': 'key-1', 'x-deadline-ms': '3000', 'content-length': String(Buffer.byteLength(body)), ...headers }
   return new Promise(resolve => {
@@ -69,7 +69,7 @@
   })
 }
 
-function collect (response: IncomingMessage, reused: boolean, resolve: (answer: SeenAnswer) => void): void {
+function collect (response: IncomingMessage, reused: boolean, resolve: (answer: CallerResponse) => void): void {
   let body = ''
   const finish = (whole: boolean): void => resolve({ status: response.statusCode ?? 0, headers: response.headers, body, whole, reused })
   response.on('data', (bytes: Buffer) => { body += bytes.toString('utf8') })
--- a/packages/stand-ins/src/lib/users-platform/key-value-store.ts
+++ b/packages/stand-ins/src/lib/users-platform/key-value-store.ts
@@ -57,7 +57,7 @@
   }
 
   /** Calls a function after each page of a read, with the number of pages since this call. */
-  eachPage (run: (page: number) => void): void {
+  onEachPage (run: (page: number) => void): void {
     this._pageListener = run
     this._pages = 0
   }
@@ -78,10 +78,10 @@
   removeWorker (id: string): number { return this.remove(`servers/${id}`) }
 
   /** Freezes the result of reads that allow stale data at the current contents. */
-  keepOld (): void { this._staleSnapshot = this._currentSnapshot() }
+  freezeStaleReads (): void { this._staleSnapshot = this._currentSnapshot() }
 
   /** Takes the snapshot that `restore` uses. */
-  makeCopy (): void { this._savedSnapshot = this._currentSnapshot() }
+  takeSnapshot (): void { this._savedSnapshot = this._currentSnapshot() }
 
   /** Restores the snapshot in the next epoch: later writes are lost and their revisions are assigned again. */
   restore (): void {
--- a/packages/stand-ins/src/lib/users-platform/worker.ts
+++ b/packages/stand-ins/src/lib/users-platform/worker.ts
@@ -61,9 +61,9 @@
   /** Number of responses whose connection closed before they were complete. */
   abandoned = 0
   /** Milliseconds between the events of a stream. */
-  eventPause = EVENT_PAUSE_MILLISECONDS
+  eventPauseMilliseconds = EVENT_PAUSE_MILLISECONDS
   /** The worker crashes, with all its running requests, when it starts a request with this body; `undefined` for never. */
-  endsUnder: string | undefined
+  crashesOnBody: string | undefined
   /** Limit in requests per second over all entries, announced in each response; `undefined` to announce none. */
   limit: number | undefined
   /** Whether each response announces that the worker is leaving. */
@@ -71,7 +71,7 @@
   /** Value of `retry-after` in refusals, in seconds; `undefined` to send none. */
   rest: number | undefined
   /** Whether the worker has crashed on a request. */
-  ended = false
+  crashed = false
   version = 1
   running = 0
   busy = false
@@ -103,7 +103,7 @@
     response.on('close', () => { if (!response.writableFinished) this.abandoned += 1 })
     if (this.limit !== undefined) response.setHeader('server-limit', String(this.limit))
     if (this.leaving) response.setHeader('server-leaving', '1')
-    if (body === this.endsUnder) return this._crash(request, response)
+    if (body === this.crashesOnBody) return this._crash(request, response)
     modeHandlers[this.mode](this, request, response)
   }
 
@@ -115,7 +115,7 @@
   private _crash (request: IncomingMessage, response: ServerResponse): void {
     response.writeHead(200, { ...this.head(request), 'content-type': 'text/event-stream' }).flushHeaders()
     setTimeout(() => {
-      this.ended = true
+      this.crashed = true
       this.close()
     }, CRASH_DELAY_MILLISECONDS)
   }
@@ -161,7 +161,7 @@
     }
     response.write(`id: ${next}\ndata: piece ${next} of ${worker.id}\n\n`)
     next += 1
-  }, worker.eventPause)
+  }, worker.eventPauseMilliseconds)
 }
 
 /** Model requests are answered with a stream, others with a body of known length. */
