--- a/packages/benchmarks/src/lib/burst-bench.ts
+++ b/packages/benchmarks/src/lib/burst-bench.ts
@@ -15,7 +15,7 @@
 const SLOTS = 8
 const TOKENS = 16
 const TIMES = { load: 100, firstToken: 20, cachedFirstToken: 20, betweenTokens: 5, reportLag: 500 }
-/** The time that one request occupies a slot, including timer delays, in seconds; it matches the complete answers of the calm phase. */
+/** The time that one request occupies a slot, including timer delays, in seconds; taken from the complete answers of the calm phase. */
 const REQUEST_SECONDS = 0.125
 const CAPACITY = WORKERS * SLOTS / REQUEST_SECONDS
 /** The rate of the burst, of which the capacity is 60%. */
--- a/packages/benchmarks/src/lib/load.ts
+++ b/packages/benchmarks/src/lib/load.ts
@@ -28,7 +28,7 @@
  *
  * @returns The records of each phase.
  * @example
- * const [calm, burst] = await playLoad([{ seconds: 2, callsPerSecond: 20 }, { seconds: 5, callsPerSecond: 400 }], make, random)
+ * const [calm, burst] = await generateLoad([{ seconds: 2, callsPerSecond: 20 }, { seconds: 5, callsPerSecond: 400 }], make, random)
  */
 export async function generateLoad (phases: readonly Phase[], make: CallMaker, random: () => number): Promise<CallRecord[][]> {
   let due = performance.now()
--- a/packages/benchmarks/src/lib/policy/virtual-time.ts
+++ b/packages/benchmarks/src/lib/policy/virtual-time.ts
@@ -30,7 +30,7 @@
    * Runs all events up to and including a time.
    *
    * @example
-   * time.playUntil(10_000)
+   * time.runUntil(10_000)
    */
   runUntil (end: number): void {
     for (let next = this._queue.peek(); next !== undefined && next.at <= end; next = this._queue.peek()) {
