--- a/packages/core/src/lib/routing/attempts/early-refusal.ts
+++ b/packages/core/src/lib/routing/attempts/early-refusal.ts
@@ -34,7 +34,7 @@
 /**
  * The bounds of the retry delay at a busy pool, as shares of the remaining objective, so that the retry can still be in time.
  * Engines finish a request about every 150 ms, and capacity becomes free as quickly. In the `policy` benchmark of an overloaded pool
- * (84 engines, 98 entries, 450 requests a second, 3 seeds), delays of a fifth to a third of the patience gave 0.23 late and 0.07
+ * (84 engines, 98 entries, 450 requests a second), delays of a fifth to a third of the patience gave 0.23 late and 0.07
  * unserved requests; these bounds give 0.10 and 0.10, and 0.14 more are in time.
  */
 const MIN_RETRY_SHARE_OF_OBJECTIVE = 0.2
--- a/packages/core/src/lib/routing/attempts/retry-allowance.ts
+++ b/packages/core/src/lib/routing/attempts/retry-allowance.ts
@@ -37,7 +37,7 @@
 const RESERVED_SHARE = 0.25
 /**
  * The share of the fixed number that may be saved up; the rest is earned over the window. In the `retries` benchmark (6 to 98 entries,
- * endpoints that reject 45% of requests, three seeds), saving all of it serves 0.65 of the requests, and 0.57 if nine in ten entries
+ * endpoints that reject 45% of requests), saving all of it serves 0.65 of the requests, and 0.57 if nine in ten entries
  * restart every second; saving half of it serves 0.66 and 0.60.
  */
 const SAVED_SHARE = 0.5
