--- a/packages/node/src/lib/settings/address.ts
+++ b/packages/node/src/lib/settings/address.ts
@@ -3,17 +3,17 @@
  * Copyright 2026 the drumdrift contributors
  * SPDX-License-Identifier: BSD-3-Clause
  */
-/** Addresses are IP numbers with a port; names are not resolved. */
+/** Parses addresses. An address is an IPv4 address with a port; host names are not resolved. */
 import { isIPv4 } from 'node:net'
 
-/** A parsed address. */
+/** An IPv4 address and a port. */
 export interface Address {
   readonly host: string
   readonly port: number
 }
 
 /**
- * Whether a text is an IP number and a port.
+ * Checks whether a text is an IPv4 address with a port.
  *
  * @example
  * isAddress('10.0.0.7:7400') // true
@@ -24,7 +24,7 @@
 }
 
 /**
- * Splits an address.
+ * Splits an address into host and port. The port is `NaN` if it is not a number.
  *
  * @example
  * parseAddress('10.0.0.7:7400') // { host: '10.0.0.7', port: 7400 }
--- a/packages/node/src/lib/settings/or-exit.ts
+++ b/packages/node/src/lib/settings/or-exit.ts
@@ -4,16 +4,16 @@
  * SPDX-License-Identifier: BSD-3-Clause
  */
 /**
- * Settings at the start of a program: a mistake ends the process with one line that names it.
+ * Reads settings when a program starts. An invalid setting ends the process with one line that identifies it.
  */
 import { DrumdriftError, type SettingsFailure } from '@drumdrift/core'
 import { formatPairs } from '../observe/log.js'
 
-/** Exit code for a wrong settings file or a wrong command. */
+/** Exit code for an invalid settings file or command. */
 export const EXIT_WRONG_INPUT = 2
 
 /**
- * Reads settings, or ends the process with one line that names the mistake.
+ * Reads settings, or prints one line that describes the invalid setting and ends the process.
  *
  * @example
  * const settings = orExit(() => readSettings(file, 'entry'))
--- a/packages/node/src/lib/settings/settings.ts
+++ b/packages/node/src/lib/settings/settings.ts
@@ -4,8 +4,8 @@
  * SPDX-License-Identifier: BSD-3-Clause
  */
 /**
- * Reads a settings file in INI and checks it whole against the schema, duplicates included, which the parser alone
- * would take silently. The first mistake is a typed failure that names file, section, key and what was expected.
+ * Reads a settings file in INI format and validates it against the schema. Duplicates are rejected too; the INI parser
+ * accepts them silently. The first invalid setting raises a typed failure with file, section, key and the expected value.
  */
 import { readFileSync } from 'node:fs'
 import { parse } from 'ini'
@@ -13,12 +13,12 @@
 import { isAddress } from './address.js'
 import { settingSpecifications, type Role, type SettingSpecification, type SettingType } from './schema.js'
 
-/** Checked settings of one process. */
+/** Validated settings of one process. */
 export class Settings {
   constructor (readonly role: Role, private _values: ReadonlyMap<string, string>) {}
 
   /**
-   * A setting as text.
+   * Returns a setting as text.
    *
    * @example
    * settings.text('process', 'instance')
@@ -27,14 +27,14 @@
     return this._values.get(`${section}.${key}`) ?? ''
   }
 
-  /** A setting as a number, in the unit that its key names. */
+  /** Returns a setting as a number, in the unit given by its key. */
   number (section: string, key: string): number {
     return Number(this.text(section, key))
   }
 
   /**
-   * Takes the values of a newer reading, as after a change of the file. Whoever asks for a setting from now on gets the
-   * new value.
+   * Replaces the values by those of newer settings, for example after the file changed. Later reads return the new
+   * values.
    *
    * @returns The settings that changed, as section.key.
    * @example
@@ -46,7 +46,7 @@
     return changed
   }
 
-  /** A setting as a list. */
+  /** Returns a comma-separated setting as a list. */
   list (section: string, key: string): string[] {
     return splitList(this.text(section, key))
   }
@@ -56,18 +56,18 @@
 
 type Check = (value: string, specification: SettingSpecification) => string | undefined
 
-/** For each type, what was expected if the value is wrong. */
+/** Checks by type. Each returns a description of the expected value, or `undefined` if the value is valid. */
 const checks: Record<SettingType, Check> = {
-  name: value => namePattern.test(value) ? undefined : 'a name of letters, digits, dots, dashes and underscores, 63 at most',
-  text: value => value === '' ? 'a value' : undefined,
-  address: value => isAddress(value) ? undefined : 'an IP number and a port, such as 10.0.0.7:7400',
-  addresses: value => splitList(value).every(isAddress) ? undefined : 'IP numbers with ports, separated by commas',
+  name: value => namePattern.test(value) ? undefined : 'a name of at most 63 letters, digits, dots, dashes and underscores',
+  text: value => value === '' ? 'a non-empty value' : undefined,
+  address: value => isAddress(value) ? undefined : 'an IPv4 address and a port, such as 10.0.0.7:7400',
+  addresses: value => splitList(value).every(isAddress) ? undefined : 'IPv4 addresses with ports, separated by commas',
   number: checkNumber,
   choice: (value, { choices = [] }) => choices.includes(value) ? undefined : `one of ${choices.join(', ')}`
 }
 
 /**
- * Reads and checks a settings file.
+ * Reads and validates a settings file.
  *
  * @throws DrumdriftError with a settings failure.
  * @example
@@ -78,15 +78,15 @@
   try {
     text = readFileSync(file, 'utf8')
   } catch {
-    throw settingsError(file, '', '', 'a file that can be read')
+    throw settingsError(file, '', '', 'a readable file')
   }
   return checkSettings(text, file, role)
 }
 
 /**
- * Checks the text of a settings file.
+ * Validates the text of a settings file.
  *
- * @param file Named in failures.
+ * @param file Path of the file, for failures only.
  * @throws DrumdriftError with a settings failure.
  * @example
  * checkSettings('[process]\ninstance = entry-1', 'entry.ini', 'entry')
@@ -103,7 +103,7 @@
   return settings
 }
 
-/** The role whose keys a file uses: an agent's file has an [endpoint]. */
+/** Infers the role from the content of a file: only an agent's file has an [endpoint] section. */
 export function guessRole (file: string): Role {
   return /^\s*\[endpoint\]/m.test(readFileSync(file, 'utf8')) ? 'agent' : 'entry'
 }
@@ -111,7 +111,7 @@
 function valueOf (given: ReadonlyMap<string, string>, specification: SettingSpecification, file: string): string {
   const { section, key, type, fallback } = specification
   const value = given.get(`${section}.${key}`)
-  if (value === undefined && fallback === undefined) throw settingsError(file, section, key, `to be given: ${specification.meaning}`)
+  if (value === undefined && fallback === undefined) throw settingsError(file, section, key, `a value, because the key is required: ${specification.meaning}`)
   if (value === undefined || value === fallback) return fallback ?? ''
   const expected = checks[type](value, specification)
   if (expected !== undefined) throw settingsError(file, section, key, expected)
@@ -141,7 +141,7 @@
     if (header !== undefined) section = header.trim()
     const key = header === undefined ? trimmed.split('=')[0]?.trim() ?? '' : ''
     const name = `${section}.${key}`
-    if (seen.has(name)) throw settingsError(file, section, key, 'to stand only once')
+    if (seen.has(name)) throw settingsError(file, section, key, 'to occur only once')
     seen.add(name)
   }
 }
@@ -161,7 +161,7 @@
 function flatten (parsed: Record<string, unknown>, file: string): Map<string, string> {
   const values = new Map<string, string>()
   for (const [section, entries] of Object.entries(parsed)) {
-    if (typeof entries !== 'object' || entries === null) throw settingsError(file, '', section, 'to stand in a section')
+    if (typeof entries !== 'object' || entries === null) throw settingsError(file, '', section, 'to be in a section')
     for (const [key, value] of Object.entries(entries)) values.set(`${section}.${key}`, String(value))
   }
   return values
